--- a/crates/allotment/src/lib.rs
+++ b/crates/allotment/src/lib.rs
@@ -10,17 +10,17 @@
 //! No I/O, no clock, no randomness: the time is passed in. Times and durations are whole microseconds of one clock.
 //!
 //! ```
-//! use stonefold_allotment::{Allotment, Ramp, Sender};
+//! use stonefold_allotment::{Allotment, SlowStart, Sender};
 //!
-//! let ramp = Ramp { cold: 9_000_000, cold_from: 0.3, overload_factor: 3.0, fall: 1_500_000 };
+//! let slow_start = SlowStart { duration: 9_000_000, initial_capacity: 0.3, overload_factor: 3.0, overload_window: 1_500_000 };
 //! let sender = Sender::new(Some(2), 4, 0, 0); // the third of four, alive since 0
 //! let mut allotment = Allotment::new(17);
-//! allotment.begin(&sender, 5_000_000, 5_000_000, &ramp); // server 17 started 5 s later and was listed at once
+//! allotment.begin(&sender, 5_000_000, 5_000_000, &slow_start); // server 17 started 5 s later and was listed at once
 //! let now = 7_000_000;
-//! let left = allotment.left(&ramp, 100.0, now); // it stands 100 calls a second when warm
+//! let left = allotment.left(&slow_start, 100.0, now); // it stands 100 calls a second when warm
 //! assert!(left > 0);
-//! allotment.spend(&ramp, now);
-//! assert_eq!(allotment.left(&ramp, 100.0, now), left - 1);
+//! allotment.spend(&slow_start, now);
+//! assert_eq!(allotment.left(&slow_start, 100.0, now), left - 1);
 //! ```
 #![warn(missing_docs)]
 
@@ -38,29 +38,29 @@
 
 /// How servers warm up after a start and how much they stand meanwhile, as the settings state it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ramp {
+pub struct SlowStart {
     /// A started server is warm after this time.
-    pub cold: Micros,
+    pub duration: Micros,
     /// A started server has at least this part of its capacity, 0 to 1.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// It falls when it is sent this multiple of its capacity ...
     pub overload_factor: f64,
     /// ... in a span of this length.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
-impl Ramp {
+impl SlowStart {
     /// The part of its capacity that a server has at this time after its start.
     pub fn warmth(&self, age: Micros) -> f64 {
-        let from = self.cold_from.clamp(0.0, 1.0);
-        if age < self.cold { from + (1.0 - from) * age as f64 / self.cold as f64 } else { 1.0 }
+        let from = self.initial_capacity.clamp(0.0, 1.0);
+        if age < self.duration { from + (1.0 - from) * age as f64 / self.duration as f64 } else { 1.0 }
     }
 
     /// The budget `N`: calls that all senders together may send in the span that ends at `age` after the start,
     /// where the warm server stands `capacity` calls a second. Warmth counts at its mean over the span.
     pub fn budget(&self, capacity: f64, age: Micros) -> f64 {
-        let warmth = self.warmth(age.saturating_sub(self.fall / 2));
-        (self.overload_factor * capacity * warmth * self.fall as f64 / 1e6).max(0.0)
+        let warmth = self.warmth(age.saturating_sub(self.overload_window / 2));
+        (self.overload_factor * capacity * warmth * self.overload_window as f64 / 1e6).max(0.0)
     }
 }
 
@@ -122,9 +122,10 @@
     ///
     /// A process that began after the start doesn't know what the one before it has sent: its part opens one span
     /// after its own beginning.
-    pub fn begin(&mut self, sender: &Sender, start: Micros, now: Micros, ramp: &Ramp) {
+    pub fn begin(&mut self, sender: &Sender, start: Micros, now: Micros, slow_start: &SlowStart) {
         self.start = start;
-        self.opens = if sender.since > start { sender.since.saturating_add(ramp.fall) } else { now };
+        self.opens =
+            if sender.since > start { sender.since.saturating_add(slow_start.overload_window) } else { now };
         self.resize(sender);
     }
 
@@ -151,17 +152,17 @@
     }
 
     /// Calls that may be sent now, where the warm server stands `capacity` calls a second from all senders.
-    pub fn left(&self, ramp: &Ramp, capacity: f64, now: Micros) -> u64 {
-        let quota = self.quota(tokens(ramp.budget(capacity, now.saturating_sub(self.start))));
+    pub fn left(&self, slow_start: &SlowStart, capacity: f64, now: Micros) -> u64 {
+        let quota = self.quota(tokens(slow_start.budget(capacity, now.saturating_sub(self.start))));
         // Guards against: all senders that are told of a start at once and send at once.
         let Some(open) = now.checked_sub(self.opens) else { return 0 };
-        let opened = quota as f64 * open as f64 / ramp.fall.max(1) as f64 + self.phase;
-        quota.min(opened as u64).saturating_sub(self.spent_in(ramp.fall, now))
+        let opened = quota as f64 * open as f64 / slow_start.overload_window.max(1) as f64 + self.phase;
+        quota.min(opened as u64).saturating_sub(self.spent_in(slow_start.overload_window, now))
     }
 
     /// Counts a call that is sent now.
-    pub fn spend(&mut self, ramp: &Ramp, now: Micros) {
-        while self.spent.front().is_some_and(|&at| now.saturating_sub(at) >= ramp.fall) {
+    pub fn spend(&mut self, slow_start: &SlowStart, now: Micros) {
+        while self.spent.front().is_some_and(|&at| now.saturating_sub(at) >= slow_start.overload_window) {
             self.spent.pop_front();
         }
         self.spent.push_back(now);
--- a/crates/allotment/tests/allotment.rs
+++ b/crates/allotment/tests/allotment.rs
@@ -8,8 +8,8 @@
 use stonefold_allotment::*;
 
 /// What all stand in the span that ends at `age`, with what is left to chance.
-fn bound(ramp: &Ramp, capacity: f64, age: Micros) -> f64 {
-    let budget = ramp.budget(capacity, age);
+fn bound(slow_start: &SlowStart, capacity: f64, age: Micros) -> f64 {
+    let budget = slow_start.budget(capacity, age);
     budget + 2.0 * budget.sqrt() + 2.0
 }
 
@@ -37,15 +37,21 @@
     ]
 }
 
-fn ramp() -> impl Strategy<Value = Ramp> {
+fn slow_start() -> impl Strategy<Value = SlowStart> {
     let cold = prop_oneof![Just(0), 1u64..60 * SECOND];
-    (cold, 0.0..=1.0, 0.5..8.0, 1_000u64..5 * SECOND)
-        .prop_map(|(cold, cold_from, overload_factor, fall)| Ramp { cold, cold_from, overload_factor, fall })
+    (cold, 0.0..=1.0, 0.5..8.0, 1_000u64..5 * SECOND).prop_map(
+        |(cold, initial_capacity, overload_factor, fall)| SlowStart {
+            duration: cold,
+            initial_capacity,
+            overload_factor,
+            overload_window: fall,
+        },
+    )
 }
 
 /// Nodes that all know the truth, and what they sent.
 struct Fleet {
-    ramp: Ramp,
+    slow_start: SlowStart,
     capacity: f64,
     start: Micros,
     now: Micros,
@@ -55,31 +61,33 @@
 }
 
 impl Fleet {
-    fn new(ramp: Ramp, capacity: f64, nodes: usize, server: u64) -> Self {
+    fn new(slow_start: SlowStart, capacity: f64, nodes: usize, server: u64) -> Self {
         let now = 1_000 * SECOND;
         let senders: Vec<Sender> = (0..nodes).map(|index| Sender::new(Some(index), nodes, 0, 0)).collect();
         let allotments = vec![Allotment::new(server); nodes];
-        let mut fleet = Fleet { ramp, capacity, start: now, now, senders, allotments, sent: Vec::new() };
+        let mut fleet =
+            Fleet { slow_start, capacity, start: now, now, senders, allotments, sent: Vec::new() };
         fleet.start();
         fleet
     }
     fn start(&mut self) {
         self.start = self.now;
         for (allotment, sender) in self.allotments.iter_mut().zip(&self.senders) {
-            allotment.begin(sender, self.start, self.now, &self.ramp);
+            allotment.begin(sender, self.start, self.now, &self.slow_start);
         }
     }
     /// Sends what the node may of so many calls, and looks at the span that ends now.
     fn calls(&mut self, node: usize, calls: usize) {
         for _ in 0..calls {
-            if self.allotments[node].left(&self.ramp, self.capacity, self.now) == 0 {
+            if self.allotments[node].left(&self.slow_start, self.capacity, self.now) == 0 {
                 return;
             }
-            self.allotments[node].spend(&self.ramp, self.now);
+            self.allotments[node].spend(&self.slow_start, self.now);
             self.sent.push(self.now);
-            let within = |at: &&Micros| self.now - **at < self.ramp.fall && **at >= self.start;
+            let within =
+                |at: &&Micros| self.now - **at < self.slow_start.overload_window && **at >= self.start;
             let sum = self.sent.iter().rev().take_while(within).count() as f64;
-            let most = bound(&self.ramp, self.capacity, self.now - self.start);
+            let most = bound(&self.slow_start, self.capacity, self.now - self.start);
             assert!(sum <= most, "{sum} calls in a span that stands {most}");
         }
     }
@@ -87,14 +95,14 @@
         let nodes = self.allotments.len();
         let at = |part: f64| ((part * nodes as f64) as usize).min(nodes - 1);
         match *step {
-            Step::Wait(spans) => self.now += (spans * self.ramp.fall as f64) as Micros,
+            Step::Wait(spans) => self.now += (spans * self.slow_start.overload_window as f64) as Micros,
             Step::Calls(node, calls) => self.calls(at(node), calls),
             Step::All => (0..nodes).for_each(|node| self.calls(node, 1)),
             Step::Restart(node) => {
                 let node = at(node);
                 self.senders[node] = Sender::new(Some(node), nodes, self.now.max(self.start + 1), 0);
                 self.allotments[node] = Allotment::new(server);
-                self.allotments[node].begin(&self.senders[node], self.start, self.now, &self.ramp);
+                self.allotments[node].begin(&self.senders[node], self.start, self.now, &self.slow_start);
             }
             Step::Start => {
                 self.now += 1; // two starts are never at one time
@@ -109,13 +117,13 @@
 
     #[test]
     fn the_sum_over_all_nodes_stays_within_the_budget_in_every_span(
-        ramp in ramp(),
+        slow_start in slow_start(),
         capacity in prop_oneof![0.0..3.0, 0.0..400.0],
         nodes in prop_oneof![1usize..40, 1usize..900],
         server in any::<u64>(),
         steps in proptest::collection::vec(step(), 1..60),
     ) {
-        let mut fleet = Fleet::new(ramp, capacity, nodes, server);
+        let mut fleet = Fleet::new(slow_start, capacity, nodes, server);
         steps.iter().for_each(|step| fleet.take(step, server));
     }
 
@@ -191,36 +199,41 @@
 fn a_restarted_node_spends_nothing_twice() {
     let mut allotment = Allotment::new(1);
     let started = 10 * SECOND;
-    allotment.begin(&Sender::new(Some(0), 1, started, 0), 9 * SECOND, started, &RAMP);
-    assert_eq!(allotment.left(&RAMP, 100.0, started + RAMP.fall - 1), 0, "it may have sent all before");
-    assert!(allotment.left(&RAMP, 100.0, started + RAMP.fall * 2) > 50);
+    allotment.begin(&Sender::new(Some(0), 1, started, 0), 9 * SECOND, started, &SLOW_START);
+    assert_eq!(
+        allotment.left(&SLOW_START, 100.0, started + SLOW_START.overload_window - 1),
+        0,
+        "it may have sent all before"
+    );
+    assert!(allotment.left(&SLOW_START, 100.0, started + SLOW_START.overload_window * 2) > 50);
     // A server that started after the process did has got nothing from the one before it.
-    allotment.begin(&Sender::new(Some(0), 1, started, 0), started, started, &RAMP);
-    assert!(allotment.left(&RAMP, 100.0, started + RAMP.fall / 2) > 20);
+    allotment.begin(&Sender::new(Some(0), 1, started, 0), started, started, &SLOW_START);
+    assert!(allotment.left(&SLOW_START, 100.0, started + SLOW_START.overload_window / 2) > 20);
 }
 
 #[test]
 fn a_second_start_forgets_no_call() {
     let mut allotment = Allotment::new(1);
     let sender = Sender::new(Some(0), 1, 0, 0);
-    allotment.begin(&sender, SECOND, SECOND, &RAMP);
+    allotment.begin(&sender, SECOND, SECOND, &SLOW_START);
     let now = 5 * SECOND;
-    let left = allotment.left(&RAMP, 100.0, now);
-    (0..left).for_each(|_| allotment.spend(&RAMP, now));
-    allotment.begin(&sender, now + 1, now + 1, &RAMP);
-    assert_eq!(allotment.left(&RAMP, 100.0, now + RAMP.fall - 1), 0);
+    let left = allotment.left(&SLOW_START, 100.0, now);
+    (0..left).for_each(|_| allotment.spend(&SLOW_START, now));
+    allotment.begin(&sender, now + 1, now + 1, &SLOW_START);
+    assert_eq!(allotment.left(&SLOW_START, 100.0, now + SLOW_START.overload_window - 1), 0);
 }
 
 #[test]
 fn absurd_values_give_a_part_of_one_token() {
-    let ramp = Ramp { cold: 1, cold_from: f64::NAN, overload_factor: -1.0, fall: 0 };
+    let slow_start =
+        SlowStart { duration: 1, initial_capacity: f64::NAN, overload_factor: -1.0, overload_window: 0 };
     let mut allotment = Allotment::new(0);
-    allotment.begin(&Sender::new(None, 0, 0, 0), 0, 0, &ramp);
-    assert_eq!(allotment.left(&ramp, f64::INFINITY, u64::MAX), 1);
-    allotment.begin(&Sender::new(None, 0, u64::MAX, 0), 0, 0, &ramp);
-    assert_eq!(allotment.left(&ramp, 1.0, 0), 0);
+    allotment.begin(&Sender::new(None, 0, 0, 0), 0, 0, &slow_start);
+    assert_eq!(allotment.left(&slow_start, f64::INFINITY, u64::MAX), 1);
+    allotment.begin(&Sender::new(None, 0, u64::MAX, 0), 0, 0, &slow_start);
+    assert_eq!(allotment.left(&slow_start, 1.0, 0), 0);
     for capacity in [f64::NAN, f64::NEG_INFINITY, 0.0] {
-        assert_eq!(tokens(RAMP.budget(capacity, 0)), 1);
+        assert_eq!(tokens(SLOW_START.budget(capacity, 0)), 1);
     }
 }
 
--- a/crates/allotment/tests/fleet/mod.rs
+++ b/crates/allotment/tests/fleet/mod.rs
@@ -9,7 +9,12 @@
 pub const SECOND: Micros = 1_000_000;
 
 /// As a site might state it.
-pub const RAMP: Ramp = Ramp { cold: 9 * SECOND, cold_from: 0.3, overload_factor: 3.0, fall: 3 * SECOND / 2 };
+pub const SLOW_START: SlowStart = SlowStart {
+    duration: 9 * SECOND,
+    initial_capacity: 0.3,
+    overload_factor: 3.0,
+    overload_window: 3 * SECOND / 2,
+};
 
 /// The rates from which nodes estimate decay with this time, in seconds.
 const TAU: f64 = 2.25;
@@ -35,9 +40,9 @@
     /// Nodes differ in traffic (lognormal, and one in thirty sees five times as much) and each estimates from its
     /// own. Else all see and know the same.
     pub noisy: bool,
-    /// The part of the nodes that are restarted within the ramp.
+    /// The part of the nodes that are restarted within the slow_start.
     pub restarted: f64,
-    /// The server starts once more within the ramp.
+    /// The server starts once more within the slow_start.
     pub twice: bool,
 }
 
@@ -104,7 +109,7 @@
     }
     pub fn call(&mut self, now: Micros, budget: f64) {
         self.calls.push_back(now);
-        while self.calls.front().is_some_and(|&at| now - at >= RAMP.fall) {
+        while self.calls.front().is_some_and(|&at| now - at >= SLOW_START.overload_window) {
             self.calls.pop_front();
         }
         let over = self.calls.len() as f64 - budget;
@@ -121,7 +126,7 @@
     shares.into_iter().map(|share| share / mean).collect()
 }
 
-/// Plays one ramp.
+/// Plays one slow_start.
 pub fn play(plan: &Plan, seed: u64) -> Ran {
     let mut rng = Rng::with_seed(seed);
     let server = rng.u64(..);
@@ -133,27 +138,28 @@
     let node = |(index, share): (usize, &f64)| {
         let rate = if plan.noisy { usual * share } else { 0.0 };
         let mut allotment = Allotment::new(server);
-        allotment.begin(&sender(index, 0), start, start, &RAMP);
-        let within = start + rng.u64(0..RAMP.cold);
+        allotment.begin(&sender(index, 0), start, start, &SLOW_START);
+        let within = start + rng.u64(0..SLOW_START.duration);
         let restart = (rng.f64() < plan.restarted).then_some(within);
         let estimate = Estimate::new(rate, plan.bias * plan.capacity * share, &mut rng);
         Node { allotment, estimate, restart }
     };
     let mut nodes: Vec<Node> = shares.iter().enumerate().map(node).collect();
     let upto: Vec<f64> = shares.iter().scan(0.0, |sum, share| Some((*sum += share, *sum).1)).collect();
-    let mut again = plan.twice.then(|| start + rng.u64(SECOND..RAMP.cold));
-    let arriving = |age| match (plan.demand, RAMP.budget(plan.capacity, age)) {
+    let mut again = plan.twice.then(|| start + rng.u64(SECOND..SLOW_START.duration));
+    let arriving = |age| match (plan.demand, SLOW_START.budget(plan.capacity, age)) {
         (Demand::Together(times), budget) => times * budget,
         (Demand::Everywhere(times), budget) => times * budget.max(plan.nodes as f64),
     };
-    let most = arriving(RAMP.cold + RAMP.fall); // calls in a span, once the server is warm
+    let most = arriving(SLOW_START.duration + SLOW_START.overload_window); // calls in a span, once the server is warm
     let (mut pressure, mut now, mut arrived, mut sent, mut budgets) = (Pressure::new(), start, 0.0, 0.0, 0.0);
     loop {
-        let pause = (-(1.0 - rng.f64()).ln() / most * RAMP.fall as f64) as Micros;
-        let stood = RAMP.budget(plan.capacity, now - start + RAMP.fall / 2) / RAMP.fall as f64;
+        let pause = (-(1.0 - rng.f64()).ln() / most * SLOW_START.overload_window as f64) as Micros;
+        let stood = SLOW_START.budget(plan.capacity, now - start + SLOW_START.overload_window / 2)
+            / SLOW_START.overload_window as f64;
         budgets += stood * pause as f64;
         now += pause;
-        if now >= start + RAMP.cold {
+        if now >= start + SLOW_START.duration {
             break;
         }
         if let Some(at) = again.take_if(|at| now >= *at) {
@@ -161,7 +167,7 @@
             pressure.restart();
             for (index, node) in nodes.iter_mut().enumerate() {
                 let since = node.restart.filter(|&restart| restart <= now).unwrap_or(0);
-                node.allotment.begin(&sender(index, since), start, now, &RAMP);
+                node.allotment.begin(&sender(index, since), start, now, &SLOW_START);
             }
         }
         if rng.f64() * most > arriving(now - start) {
@@ -174,13 +180,13 @@
         if let Some(at) = node.restart.filter(|&at| at <= now && at > start) {
             node.restart = None;
             node.allotment = Allotment::new(server);
-            node.allotment.begin(&sender(index, at), start, at, &RAMP);
+            node.allotment.begin(&sender(index, at), start, at, &SLOW_START);
         }
         let capacity = node.estimate.now(now, &mut rng);
-        if node.allotment.left(&RAMP, capacity, now) > 0 {
-            node.allotment.spend(&RAMP, now);
+        if node.allotment.left(&SLOW_START, capacity, now) > 0 {
+            node.allotment.spend(&SLOW_START, now);
             sent += 1.0;
-            pressure.call(now, RAMP.budget(plan.capacity, now - start));
+            pressure.call(now, SLOW_START.budget(plan.capacity, now - start));
         }
     }
     Ran { used: sent / budgets, served: sent / arrived, ..pressure.ran }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -79,14 +79,14 @@
 impl Balancer {
     /// A balancer that knows no server yet. Random choices come from `seed` alone.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let aims = settings.classes.iter().map(|c| c.aim as f64);
+        let aims = settings.classes.iter().map(|c| c.latency_objective as f64);
         let usual = aims.clone().reduce(f64::min).filter(|&aim| aim > 0.0).unwrap_or(1e6);
         // Guards against: dozens of nodes that start together, each with places enough for a few.
-        let part = (FEW_NODES / settings.nodes as f64).min(1.0);
+        let part = (FEW_NODES / settings.node_count as f64).min(1.0);
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
             now,
-            sender: Sender::new(settings.node_index, settings.nodes, now, seed),
+            sender: Sender::new(settings.node_index, settings.node_count, now, seed),
             servers: BTreeMap::new(),
             banned: BTreeSet::new(),
             returned: BTreeMap::new(),
@@ -98,7 +98,7 @@
             served: Rate::new(now),
             unserved: Rate::new(now),
             start: START * part / (usual / 3e6),
-            tenants: settings.tenant_shares.iter().map(|_| Rate::new(now)).collect(),
+            tenants: settings.tenant_quotas.iter().map(|_| Rate::new(now)).collect(),
             unsized_list: true,
             zones: BTreeMap::new(),
             kinds: BTreeMap::new(),
@@ -116,16 +116,16 @@
     /// Takes one event and appends what is to be done, in order.
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if self.settings.must_subscribe && self.list_failures.is_none() {
+        if self.settings.watch_required && self.list_failures.is_none() {
             self.list_failures = Some(0);
-            out.push(Action::Subscribe);
+            out.push(Action::WatchEndpoints);
         }
         match event {
-            Event::Members { scope, members } => self.members(scope, members, out),
+            Event::Endpoints { update, endpoints } => self.members(update, endpoints, out),
             Event::Request(request) if self.open.contains_key(&request.id) => {} // an id in use
             Event::Request(request) => self.arrive(request, out),
-            Event::Outcome(end) => self.outcome(end, out),
-            Event::FirstByte { id, attempt } => {
+            Event::AttemptEnded(end) => self.outcome(end, out),
+            Event::ResponseStarted(AttemptId { request: id, number: attempt }) => {
                 if let Some(r) = self.open.get_mut(&id).filter(|r| attempt < r.tries.len()) {
                     r.streaming = true;
                     let to = r.tries[attempt].server;
@@ -135,15 +135,15 @@
                     self.admit_queued(CACHES, out);
                 }
             }
-            Event::ClientGone(id) => self.end(id, false, out),
-            Event::Timer(LIST_TIMER) if self.settings.must_subscribe => out.push(Action::Subscribe),
+            Event::ClientDisconnected(id) => self.end(id, false, out),
+            Event::Timer(LIST_TIMER) if self.settings.watch_required => out.push(Action::WatchEndpoints),
             Event::Timer(IDLE_TIMER) => self.thin_out(out),
             Event::Timer(LAST_TIMER) => self.finish_all(out),
             Event::Timer(token) => self.timer(RequestId(token.0 as u32), out),
             Event::Settings(settings) => self.retune(*settings),
             Event::Disable(server) => self.disable(server, out),
             Event::Enable { server, since } => self.enable(server, since),
-            Event::Stopping(at) => {
+            Event::Shutdown { deadline: at } => {
                 self.ends = at;
                 self.open.values_mut().for_each(|r| r.deadline = r.deadline.min(at));
                 out.push(Action::SetTimer { after: at.saturating_sub(self.now).max(1), token: LAST_TIMER });
@@ -154,11 +154,11 @@
     /// Goes by new settings; what is learned by class and by tenant stays.
     fn retune(&mut self, settings: Settings) {
         for class in settings.classes.iter().skip(self.timings.len() - 1) {
-            self.timings.push(Timing::guess(class.aim as f64 / 3.0));
+            self.timings.push(Timing::guess(class.latency_objective as f64 / 3.0));
         }
-        let tenants = settings.tenant_shares.len().max(self.tenants.len());
+        let tenants = settings.tenant_quotas.len().max(self.tenants.len());
         self.tenants.resize_with(tenants, || Rate::new(self.now));
-        self.sender = self.sender.moved(settings.node_index, settings.nodes);
+        self.sender = self.sender.moved(settings.node_index, settings.node_count);
         let cold = self.servers.values_mut().filter(|s| s.cold_since.is_some());
         cold.for_each(|s| s.allotment.resize(&self.sender));
         self.settings = settings;
@@ -166,26 +166,26 @@
 
     // ---- the list ----
 
-    fn members(&mut self, scope: ListScope, members: Vec<Member>, out: &mut Vec<Action>) {
-        if scope == ListScope::Failed {
+    fn members(&mut self, scope: EndpointUpdate, members: Vec<Endpoint>, out: &mut Vec<Action>) {
+        if scope == EndpointUpdate::Failed {
             // Asked again soon at first, then more rarely, and never so rarely that the list counts as told:
             // on sockets that is 6 s after a change, asked or not, so there have to be some tries by then.
             // Full jitter. Guards against: a herd that was turned away together and comes back together.
             let failures = self.list_failures.map_or(1, |n| n + 1).min(4);
             self.list_failures = Some(failures);
             // All nodes share one discovery: the more there are, the more rarely each asks.
-            let nodes = (self.settings.nodes as u64 / 8).clamp(1, 8);
-            let wait =
-                ((nodes * self.settings.must_ask_in / 32) << failures).min(self.settings.must_ask_in / 4);
-            let after = self.rng.u64(0..=wait).max(self.settings.quantum);
+            let nodes = (self.settings.node_count as u64 / 8).clamp(1, 8);
+            let wait = ((nodes * self.settings.max_poll_interval / 32) << failures)
+                .min(self.settings.max_poll_interval / 4);
+            let after = self.rng.u64(0..=wait).max(self.settings.timer_granularity);
             return out.push(Action::SetTimer { after, token: LIST_TIMER });
         }
         self.list_failures = self.list_failures.map(|_| 0);
-        if scope == ListScope::Full {
-            self.servers.values_mut().for_each(|s| s.member.state = MemberState::Removed);
+        if scope == EndpointUpdate::Full {
+            self.servers.values_mut().for_each(|s| s.member.state = EndpointState::Removed);
         }
         for mut member in members {
-            let steady = self.settings.steady_weights && member.weight.is_finite();
+            let steady = self.settings.static_weights && member.weight.is_finite();
             member.weight = if steady && member.weight > 0.0 { member.weight } else { 1.0 };
             let cold_since = self.cold_since(&member);
             let server =
@@ -197,9 +197,9 @@
             server.member = member;
         }
         // Guards against: a part spent twice, where a list omits a cold server once.
-        let (fall, now) = (self.settings.fall, self.now);
+        let (fall, now) = (self.settings.overload_window, self.now);
         let kept = |s: &Server| !s.out.is_empty() || s.allotment.spent_in(fall, now) > 0;
-        self.servers.retain(|_, s| s.member.state != MemberState::Removed || kept(s));
+        self.servers.retain(|_, s| s.member.state != EndpointState::Removed || kept(s));
         self.take_stock();
     }
 
@@ -210,7 +210,7 @@
         self.caches = caches().count();
         self.kinds.values_mut().for_each(|kind| kind.weight = 0.0);
         for s in caches() {
-            self.kinds.entry(s.member.kind).or_insert_with(Pace::new).weight += s.member.weight;
+            self.kinds.entry(s.member.machine_type).or_insert_with(Pace::new).weight += s.member.weight;
         }
         self.unsized_list = caches().zip(caches().skip(1)).all(|(a, b)| a.member.weight == b.member.weight);
     }
@@ -221,15 +221,15 @@
         let id = request.id;
         let class = request.class.filter(|&c| c < self.settings.classes.len());
         let told = class.map(|c| &self.settings.classes[c]);
-        let effect = self.settings.effect(request.class, request.write);
+        let effect = self.settings.idempotency(request.class, request.is_write);
         let key = match &request.key {
             Some(key) => xxh3_64_with_seed(key.as_bytes(), 0),
             None => self.rng.u64(..),
         };
         let mut open = Open::new(&request, key, effect, self.now);
         open.class = class.map_or(0, |c| c + 1);
-        (open.most, open.copies) = (self.settings.max_attempts, self.settings.second_copies);
-        open.aim = told.map_or(request.budget, |c| c.aim);
+        (open.most, open.copies) = (self.settings.max_attempts, self.settings.hedging);
+        open.aim = told.map_or(request.timeout, |c| c.latency_objective);
         open.deadline = open.deadline.min(self.ends);
         open.worth = self.worth(&request);
         self.open.insert(id, open);
@@ -246,8 +246,8 @@
         }
         r.wait = Wait::Nothing;
         let (stored, again) = (r.stored, !r.tries.is_empty() && r.stored.is_none());
-        let (aside, most, class) = (self.settings.mode == Mode::Aside, r.most, r.class);
-        if self.now + self.settings.quantum >= r.deadline || r.tries.len() >= most {
+        let (aside, most, class) = (self.settings.cache_mode == CacheMode::Aside, r.most, r.class);
+        if self.now + self.settings.timer_granularity >= r.deadline || r.tries.len() >= most {
             self.finish(id, out);
         } else if aside && (r.write || r.missed() && stored.is_none()) {
             self.fetch(id, out);
@@ -262,14 +262,14 @@
     }
 
     fn outcome(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
-        let id = end.id;
+        let id = end.attempt.request;
         let Some(r) = self.open.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(end.attempt).filter(|t| t.out) else { return };
+        let Some(t) = r.tries.get_mut(end.attempt.number).filter(|t| t.out) else { return };
         (t.out, t.may_have_run) = (false, end.may_have_run());
-        t.missed = end.outcome == Outcome::Miss;
+        t.missed = end.outcome == Outcome::CacheMiss;
         let (to, key) = (t.server, r.key);
         let stored = r.tries.iter().find(|t| t.missed).map(|t| t.server);
-        let at_origin = self.servers.get(&to).is_some_and(|s| s.member.origin);
+        let at_origin = self.servers.get(&to).is_some_and(|s| s.member.is_origin);
         let landed = r.leads && at_origin;
         r.leads &= !landed;
         let lost = self.observe(&end, to);
@@ -279,13 +279,13 @@
             self.advance(id, out);
         }
         if landed {
-            self.land(key, stored.filter(|_| end.outcome == Outcome::Ok), out);
+            self.land(key, stored.filter(|_| end.outcome == Outcome::Success), out);
         }
         lost.into_iter().for_each(|id| self.hedge(id, out));
         self.admit_queued(usize::from(at_origin), out);
         if let Some(s) = self.servers.get_mut(&to).filter(|s| s.out.is_empty()) {
             s.idle_since = Some(self.now);
-            let until = s.idle_until(self.settings.keepalive);
+            let until = s.idle_until(self.settings.idle_timeout);
             self.thin_by(until, out);
         }
         if self.open.get(&id).is_some_and(|r| r.settled && r.outstanding() == 0) {
@@ -295,7 +295,7 @@
 
     fn timer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.open.get(&id).filter(|r| !r.settled && !r.streaming) else { return };
-        if self.now + self.settings.quantum >= r.deadline && self.fetching(id).is_some() {
+        if self.now + self.settings.timer_granularity >= r.deadline && self.fetching(id).is_some() {
             self.finish(id, out);
         } else if r.outstanding() > 0 {
             self.hedge(id, out);
@@ -304,14 +304,14 @@
                 0 => self.finish(id, out),
                 left => self.wake(id, left, out), // answers have become quicker: it may yet be in time
             }
-        } else if r.wait == Wait::Pause || self.now + self.settings.quantum >= r.deadline {
+        } else if r.wait == Wait::Pause || self.now + self.settings.timer_granularity >= r.deadline {
             self.advance(id, out);
         }
     }
 
     /// A timer for a request, due before its end at the latest.
     fn wake(&self, id: RequestId, after: Micros, out: &mut Vec<Action>) {
-        let left = self.open[&id].deadline.saturating_sub(self.now + self.settings.quantum);
+        let left = self.open[&id].deadline.saturating_sub(self.now + self.settings.timer_granularity);
         out.push(Action::SetTimer { after: after.min(left).max(1), token: TimerToken(id.0.into()) });
     }
 }
--- a/crates/balancer/src/balancer/accounting.rs
+++ b/crates/balancer/src/balancer/accounting.rs
@@ -19,10 +19,10 @@
             return u64::MAX;
         }
         let all: f64 = self.kinds.values().map(|kind| kind.weight / self.slowness(kind)).sum();
-        let slowness = self.kinds.get(&s.member.kind).map_or(1.0, |kind| self.slowness(kind));
+        let slowness = self.kinds.get(&s.member.machine_type).map_or(1.0, |kind| self.slowness(kind));
         let share = s.member.weight / slowness / all.max(f64::MIN_POSITIVE);
-        let capacity = self.borne() * self.settings.nodes as f64 * share;
-        s.allotment.left(&self.settings.ramp(), capacity, self.now)
+        let capacity = self.borne() * self.settings.node_count as f64 * share;
+        s.allotment.left(&self.settings.slow_start(), capacity, self.now)
     }
 
     /// How slow a kind is in comparison, where the list tells no sizes.
@@ -43,19 +43,20 @@
 
     /// The time over which rates are reckoned.
     pub(super) fn tau(&self) -> f64 {
-        (self.settings.cold as f64 / 4.0).max(1e6)
+        (self.settings.slow_start_duration as f64 / 4.0).max(1e6)
     }
 
     /// What serving a request is worth: little beyond its tenant's share of this node's traffic.
     pub(super) fn worth(&mut self, request: &Request) -> f64 {
         let (now, tau) = (self.now, self.tau());
         let all = self.arrived.add(now, tau);
-        let worth = request.class.and_then(|c| self.settings.classes.get(c)).map_or(1.0, |c| c.worth);
-        let Some(tenant) = request.tenant.filter(|&t| t < self.settings.tenant_shares.len()) else {
+        let worth =
+            request.class.and_then(|c| self.settings.classes.get(c)).map_or(1.0, |c| c.priority_weight);
+        let Some(tenant) = request.tenant.filter(|&t| t < self.settings.tenant_quotas.len()) else {
             return worth;
         };
         let share = self.tenants[tenant].add(now, tau) / all;
-        let over = share > 1.25 * self.settings.tenant_shares[tenant];
-        worth * if over { self.settings.over_share_worth } else { 1.0 }
+        let over = share > 1.25 * self.settings.tenant_quotas[tenant];
+        worth * if over { self.settings.over_quota_weight } else { 1.0 }
     }
 }
--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -63,7 +63,7 @@
     pub(super) fn least(&self, r: &Open, timing: &Timing) -> Micros {
         // Guards against: reads refused untried because their clients have grown impatient.
         let least = timing.base * if r.repeatable() { HOPEFUL } else { IN_TIME };
-        self.settings.quantum.max(least as Micros)
+        self.settings.timer_granularity.max(least as Micros)
     }
 
     /// Gives free places to those who wait for them.
@@ -103,10 +103,10 @@
         if self.now < self.thin_at {
             return;
         }
-        let (now, keepalive) = (self.now, self.settings.keepalive);
+        let (now, keepalive) = (self.now, self.settings.idle_timeout);
         for s in self.servers.values_mut().filter(|s| now >= s.idle_until(keepalive)) {
             s.idle_since = None;
-            out.push(Action::Disconnect(s.member.id));
+            out.push(Action::CloseIdleConnections(s.member.id));
         }
         self.thin_at = Micros::MAX;
         let next = self.servers.values().map(|s| s.idle_until(keepalive)).min();
--- a/crates/balancer/src/balancer/choose.rs
+++ b/crates/balancer/src/balancer/choose.rs
@@ -15,7 +15,7 @@
         let Some(stored) = self.open.get_mut(&id).map(|r| r.stored.take()) else { return };
         let sent = stored.is_some_and(|server| self.send(id, server, out))
             || self.pick(id).map(|s| s.member.id).is_some_and(|server| self.send(id, server, out));
-        if !sent && self.settings.mode == Mode::Aside && self.open[&id].repeatable() {
+        if !sent && self.settings.cache_mode == CacheMode::Aside && self.open[&id].repeatable() {
             self.fetch(id, out); // no cache can take it
         } else if !sent {
             self.finish(id, out);
@@ -35,14 +35,14 @@
     /// Unusable caches slide it to the next rank.
     pub(super) fn candidates(&self, key: u64) -> Vec<&Server> {
         // The own zone first, where crossing has a price: a point of it is not worth splitting the sets.
-        let near = (100.0 * self.settings.cross_zone_price).powf(1.5).max(1.0);
+        let near = (100.0 * self.settings.cross_zone_cost).powf(1.5).max(1.0);
         let mut ranked: Vec<(f64, &Server)> = Vec::with_capacity(self.servers.len());
         for s in self.servers.values().filter(|s| s.is_cache()) {
             let hash = xxh3_64_with_seed(&key.to_le_bytes(), s.member.id.0.into());
             // Weighted rendezvous hashing: each cache wins keys in proportion to its weight.
             let uniform = (hash >> 11) as f64 / (1u64 << 53) as f64 + f64::MIN_POSITIVE;
             // Guards against: a slow kind that jams while a quick one idles, where no sizes are listed.
-            let slowness = self.kinds.get(&s.member.kind).map_or(1.0, |kind| self.slowness(kind));
+            let slowness = self.kinds.get(&s.member.machine_type).map_or(1.0, |kind| self.slowness(kind));
             // Slow start: a cold cache wins keys by its warmth, which all nodes reckon alike from its start.
             let near = if self.settings.zone == Some(s.member.zone) { near } else { 1.0 };
             let weight = s.member.weight * s.warmth(&self.settings, self.now) * near;
--- a/crates/balancer/src/balancer/guard.rs
+++ b/crates/balancer/src/balancer/guard.rs
@@ -10,7 +10,7 @@
     /// Every send. Says whether it was allowed.
     pub(super) fn send(&mut self, id: RequestId, to: ServerId, out: &mut Vec<Action>) -> bool {
         let (Some(r), Some(s)) = (self.open.get(&id), self.servers.get(&to)) else { return false };
-        let timing = if s.member.origin { &self.gates[ORIGIN].timing } else { &self.timings[r.class] };
+        let timing = if s.member.is_origin { &self.gates[ORIGIN].timing } else { &self.timings[r.class] };
         let late = self.now + self.least(r, timing) >= r.deadline;
         if r.settled || r.streaming || late || r.tries.len() >= r.most {
             return false; // nothing goes out after the end
@@ -22,12 +22,12 @@
         let in_time = repeat_until.is_none_or(|until| self.now < until);
         let mut ran = r.tries.iter().filter(|t| t.out || t.may_have_run);
         let allowed = match r.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => ran.next().is_none(),
             // Within the group that discards repeats, while it surely still remembers.
-            Effect::Keyed { scope, .. } => ran.all(|t| {
+            Idempotency::Keyed { scope, .. } => ran.all(|t| {
                 let first = self.servers.get(&t.server).map(|f| &f.member);
-                in_time && first.is_some_and(|f| f.groups_with(&s.member, scope))
+                in_time && first.is_some_and(|f| f.shares_deduplication(&s.member, scope))
             }),
         };
         // A cold cache gets no more than our part of what it can take, whoever asks.
@@ -35,13 +35,13 @@
             return false;
         }
         let cold = self.cold(s);
-        let (left, suspect, origin) = (r.deadline - self.now, self.suspect(s), s.member.origin);
+        let (left, suspect, origin) = (r.deadline - self.now, self.suspect(s), s.member.is_origin);
         let (hedge_in, due_in) = (timing.late(4.0), timing.late(6.0).max(1));
         let hedges = self.may_copy(r) && r.outstanding() == 0 && !origin && hedge_in < left;
         let s = self.servers.get_mut(&to).expect("looked up above");
         let r = self.open.get_mut(&id).expect("looked up above");
         if cold {
-            s.allotment.spend(&self.settings.ramp(), self.now);
+            s.allotment.spend(&self.settings.slow_start(), self.now);
         }
         let zone = self.zones.entry(s.member.zone).or_default();
         let retry_at = self.now + 4 * due_in; // readmitted by a trickle
@@ -54,7 +54,7 @@
         r.tries.push(Try { server: to, sent: self.now, out: true, may_have_run: false, missed: false });
         let fetches = origin && r.leads;
         let timeout = if fetches { left.max(r.aim) } else { left };
-        out.push(Action::Send { id, server: to, timeout, repeat_until });
+        out.push(Action::Send { request: id, server: to, timeout, send_before: repeat_until });
         if hedges || timeout > left {
             self.wake(id, if hedges { hedge_in } else { left }, out);
         }
@@ -64,9 +64,9 @@
     /// Every final answer of our own: refused where that is surely harmless, else failed.
     pub(super) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.open.get(&id).filter(|r| !r.settled && !r.streaming) else { return };
-        if r.effect == Effect::Safe || r.tries.iter().all(|t| !t.out && !t.may_have_run) {
-            let retry_after = self.retry_pause(r.class.checked_sub(1));
-            out.push(Action::Refuse { id, retry_after });
+        if r.effect == Idempotency::Idempotent || r.tries.iter().all(|t| !t.out && !t.may_have_run) {
+            let retry_after = self.retry_after(r.class.checked_sub(1));
+            out.push(Action::Reject { request: id, retry_after });
         } else {
             out.push(Action::Fail(id));
         }
@@ -106,14 +106,14 @@
     }
 
     pub(super) fn cancel(&self, id: RequestId, keep: Option<usize>, out: &mut Vec<Action>) {
-        let tries = self.open[&id].tries.iter().enumerate().filter(|_| self.settings.cancel);
+        let tries = self.open[&id].tries.iter().enumerate().filter(|_| self.settings.cancellation);
         let losers = tries.filter(|(n, t)| t.out && Some(*n) != keep);
-        out.extend(losers.map(|(attempt, _)| Action::Cancel { id, attempt }));
+        out.extend(losers.map(|(attempt, _)| Action::Cancel(AttemptId::new(id, attempt))));
     }
 
     /// The attempt by which a read fetches its key, once it is out.
     pub(super) fn fetching(&self, id: RequestId) -> Option<usize> {
-        let at_origin = |t: &Try| self.servers.get(&t.server).is_some_and(|s| s.member.origin);
+        let at_origin = |t: &Try| self.servers.get(&t.server).is_some_and(|s| s.member.is_origin);
         let r = self.open.get(&id).filter(|r| r.leads)?;
         r.tries.iter().position(|t| t.out && at_origin(t))
     }
--- a/crates/balancer/src/balancer/health.rs
+++ b/crates/balancer/src/balancer/health.rs
@@ -12,7 +12,7 @@
 impl Balancer {
     /// How long a client whose request of this class is refused should wait, in microseconds: spread, so
     /// that those refused together do not return together. 0 where the settings allow no pause.
-    pub fn retry_pause(&mut self, class: Option<usize>) -> Micros {
+    pub fn retry_after(&mut self, class: Option<usize>) -> Micros {
         let timing = class.and_then(|class| self.timings.get(class + 1)).unwrap_or(&self.timings[0]);
         let pause = timing.late(4.0).min(self.settings.max_retry_after / 2);
         pause + self.rng.u64(0..=pause)
@@ -46,7 +46,7 @@
             s.out.remove(entry);
             s.lost.insert((entry.1, entry.2));
         }
-        let gate = &mut self.gates[usize::from(s.member.origin)];
+        let gate = &mut self.gates[usize::from(s.member.is_origin)];
         gate.out = gate.out.saturating_sub(lost.len());
         lost.into_iter().map(|(_, id, _)| id).collect()
     }
@@ -57,31 +57,31 @@
         let Some(s) = self.servers.get_mut(&to).filter(|_| self.open[&id].tries[attempt].out) else { return };
         if s.close(id, attempt).is_some() {
             s.lost.insert((id, attempt));
-            let gate = &mut self.gates[usize::from(s.member.origin)];
+            let gate = &mut self.gates[usize::from(s.member.is_origin)];
             gate.out = gate.out.saturating_sub(1);
         }
     }
 
     fn learn(&mut self, end: &AttemptEnd, to: ServerId) {
-        let (class, aim) = self.open.get(&end.id).map_or((0, 0), |r| (r.class, r.aim));
+        let (class, aim) = self.open.get(&end.attempt.request).map_or((0, 0), |r| (r.class, r.aim));
         let tau = self.tau();
         let Some(s) = self.servers.get_mut(&to) else { return };
-        let overdue = s.close(end.id, end.attempt).is_some_and(|due| due <= self.now);
+        let overdue = s.close(end.attempt.request, end.attempt.number).is_some_and(|due| due <= self.now);
         let (outcome, elapsed) = (end.outcome, end.elapsed);
-        let lost = s.lost.remove(&(end.id, end.attempt));
+        let lost = s.lost.remove(&(end.attempt.request, end.attempt.number));
         let passed = s.answered > self.now.saturating_sub(elapsed) + aim / 4;
         if lost && matches!(outcome, Outcome::TimedOut | Outcome::Canceled) {
             return; // it told what it had to when it was written off
         }
         // Guards against: reads that wait while most caches idle. One attempt each overruns none of them,
         // unless hundreds of nodes have one there: the more nodes, the smaller each one's part.
-        let part = (FEW_NODES / self.settings.nodes as f64).min(1.0);
-        let least = if s.member.origin { 1.0 } else { (self.caches as f64 * part).max(1.0) };
-        let gate = &mut self.gates[usize::from(s.member.origin)];
+        let part = (FEW_NODES / self.settings.node_count as f64).min(1.0);
+        let least = if s.member.is_origin { 1.0 } else { (self.caches as f64 * part).max(1.0) };
+        let gate = &mut self.gates[usize::from(s.member.is_origin)];
         gate.out = gate.out.saturating_sub(usize::from(!lost));
         let zone = self.zones.entry(s.member.zone).or_default();
-        zone.failed = if outcome == Outcome::ConnectError { zone.failed + 1 } else { 0 };
-        if matches!(outcome, Outcome::Ok | Outcome::Miss) {
+        zone.failed = if outcome == Outcome::ConnectFailed { zone.failed + 1 } else { 0 };
+        if matches!(outcome, Outcome::Success | Outcome::CacheMiss) {
             zone.answered_in(elapsed);
         }
         // A queue shows in the time before it spoils the aim; a miss, or a fetch, is but one leg of its read.
@@ -90,10 +90,10 @@
         // nearest zone's: the way there, a slow link, a zone of slow machines. It hurts where one zone
         // queues for so long that no quick answer of it is remembered: gates shut later then, at times over
         // the aim.
-        let legs = if outcome == Outcome::Miss { 3 } else { 1 + u64::from(s.member.origin) };
+        let legs = if outcome == Outcome::CacheMiss { 3 } else { 1 + u64::from(s.member.is_origin) };
         let way = detour(&self.zones, s.member.zone);
         let in_time = aim.min(aim / legs + way);
-        if matches!(outcome, Outcome::Ok | Outcome::Miss) && elapsed <= aim.min(aim / 3 + way) {
+        if matches!(outcome, Outcome::Success | Outcome::CacheMiss) && elapsed <= aim.min(aim / 3 + way) {
             s.answered = s.answered.max(self.now.saturating_sub(elapsed)); // at once: there is no queue
         }
         let crowded = end.utilization > Some(FULL) || elapsed > in_time;
@@ -101,50 +101,52 @@
             Outcome::TimedOut if passed => Some(false), // lost, or it would have been answered first
             // Guards against: a crowd that waits for less than an answer takes, as a sign that there is room.
             Outcome::TimedOut | Outcome::Canceled => Some(true).filter(|_| crowded),
-            Outcome::Ok | Outcome::Miss => Some(crowded),
-            Outcome::Failed | Outcome::QueueFull | Outcome::ConnectError | Outcome::Reset => Some(true),
-            Outcome::Ignored => return,
+            Outcome::Success | Outcome::CacheMiss => Some(crowded),
+            Outcome::ServerError | Outcome::Rejected | Outcome::ConnectFailed | Outcome::ConnectionReset => {
+                Some(true)
+            }
+            Outcome::NotSent => return,
         };
         if let Some(bad) = bad {
             Self::adapt(gate, least, self.now, bad, tau);
         }
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Success {
             gate.timing.observe(elapsed);
         }
         // A full table shows in connects that fail: then our idle connections leave room for others'.
         s.idle_part = match outcome {
-            Outcome::ConnectError => {
-                (s.idle_part / 2.0).max((IDLE_NODES / self.settings.nodes as f64).min(1.0))
+            Outcome::ConnectFailed => {
+                (s.idle_part / 2.0).max((IDLE_NODES / self.settings.node_count as f64).min(1.0))
             }
-            Outcome::Ok | Outcome::Miss => (s.idle_part * LONGER).min(1.0),
+            Outcome::Success | Outcome::CacheMiss => (s.idle_part * LONGER).min(1.0),
             _ => s.idle_part,
         };
-        if s.member.origin {
+        if s.member.is_origin {
             return;
         }
         // One request of unusual cost does not brand a cache: a sample counts up to 6 times usual.
         let sample = (elapsed as f64 / self.timings[class].mean.max(1.0)).min(2.0 * SLOW);
-        if outcome == Outcome::Ok && end.hit != Some(false) {
-            self.kinds.entry(s.member.kind).or_insert_with(Pace::new).observe(sample);
+        if outcome == Outcome::Success && end.cache_hit != Some(false) {
+            self.kinds.entry(s.member.machine_type).or_insert_with(Pace::new).observe(sample);
         }
         match outcome {
-            Outcome::Ok | Outcome::Miss | Outcome::Failed | Outcome::QueueFull => {
+            Outcome::Success | Outcome::CacheMiss | Outcome::ServerError | Outcome::Rejected => {
                 s.heard = Some(self.now);
                 s.silent = 0;
             }
-            Outcome::ConnectError | Outcome::Reset | Outcome::TimedOut => s.silent += 1,
+            Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::TimedOut => s.silent += 1,
             // A cancelled attempt tells something only if it was overdue.
-            Outcome::Canceled | Outcome::Ignored => s.silent += u32::from(overdue),
+            Outcome::Canceled | Outcome::NotSent => s.silent += u32::from(overdue),
         }
         let slowness = match outcome {
             // A miss waits for the origin, which is not the cache's fault.
-            Outcome::Ok if end.hit != Some(false) => sample,
+            Outcome::Success if end.cache_hit != Some(false) => sample,
             Outcome::Canceled | Outcome::TimedOut => sample.max(s.slowness),
-            Outcome::QueueFull => 2.0 * SLOW,
+            Outcome::Rejected => 2.0 * SLOW,
             _ => s.slowness,
         };
         s.slowness += (slowness - s.slowness) * if s.slowness > SLOW { 0.5 } else { 0.15 };
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Success {
             self.timings[class].observe(elapsed);
         }
     }
@@ -157,7 +159,7 @@
         }
         if let Some(s) = self.servers.get_mut(&server) {
             (s.banned, s.idle_since) = (true, None);
-            out.push(Action::Disconnect(server));
+            out.push(Action::CloseIdleConnections(server));
         }
         self.take_stock();
     }
@@ -165,7 +167,7 @@
     /// Back in use, and cold: whoever took it out may have restarted it, and the list tells that late.
     pub(super) fn enable(&mut self, server: ServerId, since: Micros) {
         self.banned.remove(&server);
-        self.returned.retain(|_, t| self.now.saturating_sub(*t) < self.settings.cold);
+        self.returned.retain(|_, t| self.now.saturating_sub(*t) < self.settings.slow_start_duration);
         self.returned.insert(server, since.min(self.now));
         let cold_since = self.servers.get(&server).and_then(|s| self.cold_since(&s.member));
         if let Some(s) = self.servers.get_mut(&server) {
@@ -176,15 +178,15 @@
     }
 
     /// Since when a server is cold: its start as the list tells it, or its return. Nothing once it is warm.
-    pub(super) fn cold_since(&self, member: &Member) -> Option<Micros> {
-        let since = member.started.max(self.returned.get(&member.id).copied())?;
-        (self.now.saturating_sub(since) < self.settings.cold).then_some(since)
+    pub(super) fn cold_since(&self, member: &Endpoint) -> Option<Micros> {
+        let since = member.started_at.max(self.returned.get(&member.id).copied())?;
+        (self.now.saturating_sub(since) < self.settings.slow_start_duration).then_some(since)
     }
 
     /// How many caches the list holds, and how many of them get nothing now, by hand or by choice.
     pub fn stock(&self) -> (usize, usize) {
-        let caches = || self.servers.values().filter(|s| !s.member.origin);
-        let listed = || caches().filter(|s| s.member.state != MemberState::Removed);
+        let caches = || self.servers.values().filter(|s| !s.member.is_origin);
+        let listed = || caches().filter(|s| s.member.state != EndpointState::Removed);
         let avoided = |s: &&Server| s.banned || self.suspect(s) || self.cut_off(s);
         (listed().count(), listed().filter(avoided).count())
     }
--- a/crates/balancer/src/balancer/hedge.rs
+++ b/crates/balancer/src/balancer/hedge.rs
@@ -12,7 +12,7 @@
         let Some(to) = r.tries.iter().find(|t| t.out).map(|t| t.server) else { return };
         self.write_off(to);
         let (r, first) = (&self.open[&id], self.servers.get(&to));
-        let copied = |s: &&Server| !s.member.origin && self.may_copy(r) && r.outstanding() == 1;
+        let copied = |s: &&Server| !s.member.is_origin && self.may_copy(r) && r.outstanding() == 1;
         let Some(first) = first.filter(copied) else { return };
         let well = |s: &&Server| !r.tried(s.member.id) && !self.suspect(s) && !self.cold(s);
         let shut = self.copies < 1.0 || self.gates.iter().any(|g| g.full() || g.strain > STRAINED / 2.0);
@@ -26,7 +26,7 @@
             self.copies -= 1.0;
         } else if further.is_some_and(|to| self.send(id, to, out)) {
             self.retries -= 1.0;
-        } else if self.open[&id].deadline > self.now + self.settings.quantum {
+        } else if self.open[&id].deadline > self.now + self.settings.timer_granularity {
             let (r, usual) = (&self.open[&id], self.timings[self.open[&id].class].late(4.0));
             let spoilt = r.tries.iter().map(|t| t.sent.saturating_add(r.aim)).find(|&t| t > self.now);
             self.wake(id, spoilt.map_or(usual, |t| usual.min(t - self.now)), out);
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -4,28 +4,31 @@
 //! and starts no thread: the embedder carries the actions out and tells it the time.
 //!
 //! ```
-//! use stonefold_balancer::{Action, Balancer, Event, ListScope, Member, Request, RequestId, ServerId, Settings};
+//! use stonefold_balancer::{Action, Balancer, Event, EndpointUpdate, Endpoint, Request, RequestId, ServerId, Settings};
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0);
 //! let mut actions = Vec::new();
 //!
 //! // The list of servers comes first.
-//! let members = (1..=4).map(|id| Member::up(ServerId(id))).collect();
-//! balancer.on_event(0, Event::Members { scope: ListScope::Full, members }, &mut actions);
+//! let members = (1..=4).map(|id| Endpoint::up(ServerId(id))).collect();
+//! balancer.on_event(0, Event::Endpoints { update: EndpointUpdate::Full, endpoints: members }, &mut actions);
 //!
 //! // A read of one key, with a second to answer it, is sent to one cache of that key's set.
-//! let read = Request { key: Some("calendar:12".into()), budget: 1_000_000, ..Request::new(RequestId(1)) };
+//! let read = Request { key: Some("calendar:12".into()), timeout: 1_000_000, ..Request::new(RequestId(1)) };
 //! balancer.on_event(10, Event::Request(read), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: RequestId(1), .. })));
+//! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
 //! ```
 #![warn(missing_docs)]
 
 mod api;
 mod balancer;
-pub mod setup;
+pub mod settings_document;
 mod state;
 
-pub use api::*;
+pub use api::{
+    Action, AttemptEnd, AttemptId, CacheMode, DeduplicationScope, Endpoint, EndpointState, EndpointUpdate,
+    Event, Idempotency, Micros, Outcome, Request, RequestClass, RequestId, ServerId, Settings, TimerToken,
+};
 pub use balancer::Balancer;
 
 /// The README's example, compiled and run as a test.
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -162,7 +162,7 @@
 }
 
 pub(crate) struct Server {
-    pub member: Member,
+    pub member: Endpoint,
     /// Taken out of use by hand.
     pub banned: bool,
     /// When it last started cold, as far as we know.
@@ -189,7 +189,7 @@
 }
 
 impl Server {
-    pub fn new(member: Member, now: Micros) -> Self {
+    pub fn new(member: Endpoint, now: Micros) -> Self {
         Server {
             allotment: Allotment::new(member.id.0.into()),
             member,
@@ -221,24 +221,24 @@
     pub fn restart(&mut self, cold_since: Option<Micros>, now: Micros, sender: &Sender, settings: &Settings) {
         (self.cold_since, self.slowness, self.silent) = (cold_since, 1.0, 0);
         if let Some(start) = cold_since {
-            self.allotment.begin(sender, start, now, &settings.ramp());
+            self.allotment.begin(sender, start, now, &settings.slow_start());
         }
     }
     /// The part of its capacity that it has for certain, by what the settings state.
     pub fn warmth(&self, settings: &Settings, now: Micros) -> f64 {
-        self.cold_since.map_or(1.0, |start| settings.ramp().warmth(now.saturating_sub(start)))
+        self.cold_since.map_or(1.0, |start| settings.slow_start().warmth(now.saturating_sub(start)))
     }
     /// The origin, in service.
     pub fn is_origin(&self) -> bool {
-        self.in_service() && self.member.origin
+        self.in_service() && self.member.is_origin
     }
     /// In service, and not the origin.
     pub fn is_cache(&self) -> bool {
-        self.in_service() && !self.member.origin
+        self.in_service() && !self.member.is_origin
     }
     /// Up, and not taken out by hand.
     pub fn in_service(&self) -> bool {
-        self.member.state == MemberState::Up && !self.banned
+        self.member.state == EndpointState::Up && !self.banned
     }
 }
 
@@ -271,7 +271,7 @@
     pub deadline: Micros,
     pub arrived: Micros,
     pub write: bool,
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Most attempts, and whether two may be out at once.
     pub most: usize,
     pub copies: bool,
@@ -288,15 +288,15 @@
 }
 
 impl Open {
-    pub fn new(request: &Request, key: u64, effect: Effect, now: Micros) -> Self {
+    pub fn new(request: &Request, key: u64, effect: Idempotency, now: Micros) -> Self {
         Open {
             class: 0,
             aim: 0,
             worth: 1.0,
             key,
-            deadline: now.saturating_add(request.budget),
+            deadline: now.saturating_add(request.timeout),
             arrived: now,
-            write: request.write,
+            write: request.is_write,
             effect,
             most: 0,
             copies: false,
@@ -322,12 +322,12 @@
     ///
     /// An eighth of the window is kept back for what differs between our clock's reading and the server's.
     pub fn repeat_until(&self) -> Option<Micros> {
-        let Effect::Keyed { window, .. } = self.effect else { return None };
+        let Idempotency::Keyed { window, .. } = self.effect else { return None };
         let ran = self.tries.iter().filter(|t| t.out || t.may_have_run);
         ran.map(|t| t.sent.saturating_add(window - window / 8)).min()
     }
     /// Only safe reads are copied.
     pub fn repeatable(&self) -> bool {
-        !self.write && self.effect == Effect::Safe
+        !self.write && self.effect == Idempotency::Idempotent
     }
 }
--- a/crates/balancer/tests/allotment.rs
+++ b/crates/balancer/tests/allotment.rs
@@ -20,8 +20,9 @@
 
 /// An aim so long that what is borne in any case doesn't matter here: it follows from the aim.
 fn fleet_settings(nodes: usize) -> Settings {
-    let patient = Class { aim: 30 * SECOND, ..settings(Mode::Through).classes[0].clone() };
-    Settings { nodes, classes: vec![patient], ..settings(Mode::Through) }
+    let patient =
+        RequestClass { latency_objective: 30 * SECOND, ..settings(CacheMode::Through).classes[0].clone() };
+    Settings { node_count: nodes, classes: vec![patient], ..settings(CacheMode::Through) }
 }
 
 fn node(settings: Settings, seed: u64, now: Micros) -> Node {
@@ -31,7 +32,7 @@
 /// A read of a key of its own that has time enough.
 fn patient_read(node: &mut Node, id: u32) -> Vec<Action> {
     let key = Some(format!("k{id}"));
-    let read = Request { class: Some(0), key, budget: 60 * SECOND, ..Request::new(RequestId(id)) };
+    let read = Request { class: Some(0), key, timeout: 60 * SECOND, ..Request::new(RequestId(id)) };
     node.tell(Event::Request(read))
 }
 
@@ -50,11 +51,11 @@
     }
 
     fn list(&mut self, started: Option<Micros>) {
-        let members: Vec<Member> =
-            (0..CACHES).map(|id| Member { started, ..Member::up(ServerId(id)) }).collect();
+        let members: Vec<Endpoint> =
+            (0..CACHES).map(|id| Endpoint { started_at: started, ..Endpoint::up(ServerId(id)) }).collect();
         for node in &mut self.nodes {
             node.now = self.now;
-            node.list(ListScope::Full, members.clone());
+            node.list(EndpointUpdate::Full, members.clone());
         }
     }
 
@@ -69,8 +70,8 @@
     fn restart_node(&mut self, index: usize) {
         let settings = Settings { node_index: Some(index), ..fleet_settings(self.nodes.len()) };
         self.nodes[index] = node(settings, self.now + index as u64, self.now);
-        let member = |id| Member { started: Some(self.started), ..Member::up(ServerId(id)) };
-        self.nodes[index].list(ListScope::Full, (0..CACHES).map(member).collect());
+        let member = |id| Endpoint { started_at: Some(self.started), ..Endpoint::up(ServerId(id)) };
+        self.nodes[index].list(EndpointUpdate::Full, (0..CACHES).map(member).collect());
     }
 
     /// So many reads arrive at a node at once; then they are served.
@@ -86,20 +87,20 @@
             }
         }
         node.now += 10_000;
-        out.into_iter().for_each(|id| drop(node.end(id, 0, Outcome::Ok, 10_000)));
+        out.into_iter().for_each(|id| drop(node.end(id, 0, Outcome::Success, 10_000)));
     }
 
     /// What a cache stands in the span that ends now: the budget, and with what is left to chance.
     fn stands(&self) -> (f64, f64) {
         let settings = fleet_settings(self.nodes.len());
         let capacity = (self.nodes.len() as u64 * USUAL) as f64 / f64::from(CACHES);
-        let budget = settings.ramp().budget(capacity, self.now - self.started);
+        let budget = settings.slow_start().budget(capacity, self.now - self.started);
         (budget, budget + 2.0 * budget.sqrt() + 2.0)
     }
 
     /// What each cache was sent in the span that ends now.
     fn within(&self) -> Vec<usize> {
-        let fall = fleet_settings(1).fall;
+        let fall = fleet_settings(1).overload_window;
         let lately = |sent: &Vec<Micros>| sent.iter().filter(|&&at| self.now - at < fall).count();
         self.sent.iter().map(lately).collect()
     }
@@ -189,7 +190,7 @@
         for attempt in 0.. {
             let Some(_) = to else { break };
             sends.push(fleet.now);
-            to = sent(&fleet.end(id, attempt, Outcome::QueueFull, 0));
+            to = sent(&fleet.end(id, attempt, Outcome::Rejected, 0));
         }
         fleet.now += 5_000;
     }
@@ -202,7 +203,7 @@
     for id in 0..400 {
         patient_read(&mut node, id);
         node.now += 100_000; // ten a second
-        node.end(id, 0, Outcome::Ok, 100_000);
+        node.end(id, 0, Outcome::Success, 100_000);
     }
     node.tell(Event::Disable(ServerId(1)));
     node.now += SECOND;
@@ -215,7 +216,7 @@
     assert!(sends.len() > 4, "it is let in");
     for &end in &sends {
         let within = sends.iter().filter(|&&at| at <= end && end - at < SECOND).count() as f64;
-        let budget = settings(Mode::Through).ramp().budget(10.0, end - since);
+        let budget = settings(CacheMode::Through).slow_start().budget(10.0, end - since);
         assert!(within <= budget + 2.0 * budget.sqrt() + 2.0, "{within} in a second, {budget} is the budget");
     }
 }
@@ -227,10 +228,10 @@
     let mut nodes = [0, 1].map(|index| node(of(index), 0, 0));
     let started = 60 * SECOND;
     for node in &mut nodes {
-        let member = |started| vec![Member { started, ..Member::up(ServerId(1)) }];
-        node.list(ListScope::Full, member(None));
+        let member = |started| vec![Endpoint { started_at: started, ..Endpoint::up(ServerId(1)) }];
+        node.list(EndpointUpdate::Full, member(None));
         node.now = started;
-        node.list(ListScope::Delta, member(Some(started)));
+        node.list(EndpointUpdate::Delta, member(Some(started)));
     }
     let asks = |node: &mut Node, at: Micros| {
         node.now = started + at;
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -6,22 +6,30 @@
 pub const SECOND: Micros = 1_000_000;
 
 /// Two classes as a site might state them: 0 is safe, 1 keyed over all servers.
-pub fn settings(mode: Mode) -> Settings {
+pub fn settings(mode: CacheMode) -> Settings {
     Settings {
         classes: vec![
-            Class { aim: 300_000, worth: 3.0, effect: Effect::Safe },
-            Class {
-                aim: 800_000,
-                worth: 9.0,
-                effect: Effect::Keyed { scope: Scope::All, window: 2 * SECOND },
+            RequestClass {
+                latency_objective: 300_000,
+                priority_weight: 3.0,
+                idempotency: Idempotency::Idempotent,
+            },
+            RequestClass {
+                latency_objective: 800_000,
+                priority_weight: 9.0,
+                idempotency: Idempotency::Keyed { scope: DeduplicationScope::All, window: 2 * SECOND },
+            },
+            RequestClass {
+                latency_objective: 800_000,
+                priority_weight: 1.0,
+                idempotency: Idempotency::NonIdempotent,
             },
-            Class { aim: 800_000, worth: 1.0, effect: Effect::Unsafe },
         ],
-        mode,
+        cache_mode: mode,
         max_attempts: 5,
-        cold: 20 * SECOND,
-        cold_from: 0.2,
-        quantum: 5_000,
+        slow_start_duration: 20 * SECOND,
+        initial_capacity: 0.2,
+        timer_granularity: 5_000,
         ..Settings::default()
     }
 }
@@ -34,13 +42,13 @@
 
 impl Node {
     pub fn new(settings: Settings, caches: u32) -> Self {
-        let aside = settings.mode == Mode::Aside;
+        let aside = settings.cache_mode == CacheMode::Aside;
         let mut node = Node { balancer: Balancer::new(settings, 1, 0), now: 0 };
-        let mut members: Vec<Member> = (1..=caches).map(|id| Member::up(ServerId(id))).collect();
+        let mut members: Vec<Endpoint> = (1..=caches).map(|id| Endpoint::up(ServerId(id))).collect();
         if aside {
-            members.push(Member { origin: true, ..Member::up(ServerId(99)) });
+            members.push(Endpoint { is_origin: true, ..Endpoint::up(ServerId(99)) });
         }
-        node.tell(Event::Members { scope: ListScope::Full, members });
+        node.tell(Event::Endpoints { update: EndpointUpdate::Full, endpoints: members });
         node
     }
 
@@ -50,8 +58,8 @@
         actions
     }
 
-    pub fn list(&mut self, scope: ListScope, members: Vec<Member>) -> Vec<Action> {
-        self.tell(Event::Members { scope, members })
+    pub fn list(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
+        self.tell(Event::Endpoints { update, endpoints })
     }
 
     pub fn read(&mut self, id: u32, key: &str) -> Vec<Action> {
@@ -62,23 +70,23 @@
         self.tell(Event::Request(Request {
             class: Some(class),
             key: Some(key.into()),
-            budget: SECOND,
-            write,
+            timeout: SECOND,
+            is_write: write,
             ..Request::new(RequestId(id))
         }))
     }
 
     pub fn end(&mut self, id: u32, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
-        let settled = outcome == Outcome::Ok;
-        let end = AttemptEnd::new(RequestId(id), attempt, outcome);
-        self.tell(Event::Outcome(AttemptEnd { elapsed, settled, ..end }))
+        let settled = outcome == Outcome::Success;
+        let end = AttemptEnd::new(AttemptId::new(RequestId(id), attempt), outcome);
+        self.tell(Event::AttemptEnded(AttemptEnd { elapsed, settled, ..end }))
     }
 
     /// Serves one read of `key` in `elapsed`; tells by which server.
     pub fn serve(&mut self, id: u32, key: &str, elapsed: Micros) -> ServerId {
         let to = sent(&self.read(id, key)).expect("a read is sent");
         self.now += elapsed;
-        self.end(id, 0, Outcome::Ok, elapsed);
+        self.end(id, 0, Outcome::Success, elapsed);
         to
     }
 
@@ -111,12 +119,12 @@
 }
 
 pub fn answered(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
 }
 
 pub fn cancels(actions: &[Action]) -> Vec<usize> {
     let attempt = |a: &Action| match a {
-        Action::Cancel { attempt, .. } => Some(*attempt),
+        Action::Cancel(attempt) => Some(attempt.number),
         _ => None,
     };
     actions.iter().filter_map(attempt).collect()
--- a/crates/balancer/tests/property.rs
+++ b/crates/balancer/tests/property.rs
@@ -15,7 +15,7 @@
 }
 
 struct Asked {
-    effect: Effect,
+    idempotency: Idempotency,
     write: bool,
     deadline: Micros,
     answered: bool,
@@ -39,7 +39,7 @@
     count: u64,
     asked: HashMap<RequestId, Asked>,
     /// What the module was told of each server, and when it last came up.
-    listed: BTreeMap<ServerId, Member>,
+    listed: BTreeMap<ServerId, Endpoint>,
     banned: BTreeSet<ServerId>,
     answers: usize,
     repeats: usize,
@@ -49,29 +49,31 @@
 impl World {
     fn new(seed: u64) -> World {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let scope = [Scope::All, Scope::Zone, Scope::Cell][rng.usize(..3)];
-        let class = |effect| Class { aim: 300_000, worth: 1.0, effect };
+        let scope =
+            [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell][rng.usize(..3)];
+        let class =
+            |idempotency| RequestClass { latency_objective: 300_000, priority_weight: 1.0, idempotency };
         let settings = Settings {
             classes: vec![
-                class(Effect::Safe),
-                class(Effect::Keyed { scope, window: rng.u64(50_000..2 * SECOND) }),
-                class(Effect::Unsafe),
+                class(Idempotency::Idempotent),
+                class(Idempotency::Keyed { scope, window: rng.u64(50_000..2 * SECOND) }),
+                class(Idempotency::NonIdempotent),
             ],
-            tenant_shares: vec![0.5, 0.5],
-            over_share_worth: 0.1,
-            mode: if rng.bool() { Mode::Aside } else { Mode::Through },
-            must_subscribe: rng.bool(),
-            cancel: rng.bool(),
-            second_copies: rng.bool(),
+            tenant_quotas: vec![0.5, 0.5],
+            over_quota_weight: 0.1,
+            cache_mode: if rng.bool() { CacheMode::Aside } else { CacheMode::Through },
+            watch_required: rng.bool(),
+            cancellation: rng.bool(),
+            hedging: rng.bool(),
             max_attempts: rng.usize(1..7),
             max_retry_after: if rng.bool() { SECOND } else { 0 },
-            cold: 10 * SECOND,
-            cold_from: 0.2,
-            quantum: 5_000,
-            nodes: rng.usize(1..500),
-            keepalive: rng.u64(0..20 * SECOND),
+            slow_start_duration: 10 * SECOND,
+            initial_capacity: 0.2,
+            timer_granularity: 5_000,
+            node_count: rng.usize(1..500),
+            idle_timeout: rng.u64(0..20 * SECOND),
             zone: Some(0),
-            cross_zone_price: [0.0, 0.05, f64::NAN, -1.0, f64::INFINITY][rng.usize(..5)],
+            cross_zone_cost: [0.0, 0.05, f64::NAN, -1.0, f64::INFINITY][rng.usize(..5)],
             ..Settings::default()
         };
         let now = rng.u64(0..1 << 50);
@@ -89,7 +91,7 @@
             repeats: 0,
             timers: 0,
         };
-        world.list(ListScope::Full);
+        world.list(EndpointUpdate::Full);
         world
     }
 
@@ -108,9 +110,9 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout, .. } => self.sent(id, server, timeout),
-            Action::Cancel { id, attempt } => {
-                assert!(self.settings.cancel, "cancels are forbidden");
+            Action::Send { request: id, server, timeout, .. } => self.sent(id, server, timeout),
+            Action::Cancel(AttemptId { request: id, number: attempt }) => {
+                assert!(self.settings.cancellation, "cancels are forbidden");
                 assert!(attempt < self.asked[&id].attempts.len(), "no such attempt");
                 let late = self.rng.bool();
                 if !late {
@@ -120,12 +122,14 @@
                     }
                 }
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { request: id, retry_after } => {
                 assert!(retry_after <= self.settings.max_retry_after);
                 let asked = &self.asked[&id];
                 let proved = |a: &Attempt| a.end.is_some_and(|o| !o.may_have_run());
-                let harmless = match asked.effect {
-                    Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
+                let harmless = match asked.idempotency {
+                    Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
+                        true
+                    }
                     _ => asked.attempts.iter().all(proved),
                 };
                 assert!(harmless, "a refusal that promises too much");
@@ -137,8 +141,10 @@
                 assert!(self.timers < 100 * (self.asked.len() + 100), "a timer that is set again and again");
                 self.at(self.now + after, Due::Timer(token));
             }
-            Action::Subscribe => assert!(self.settings.must_subscribe),
-            Action::Disconnect(server) => assert!(self.listed.contains_key(&server), "a server of no list"),
+            Action::WatchEndpoints => assert!(self.settings.watch_required),
+            Action::CloseIdleConnections(server) => {
+                assert!(self.listed.contains_key(&server), "a server of no list")
+            }
         }
     }
 
@@ -155,24 +161,24 @@
         assert!(!asked.answered, "nothing goes out after the final answer");
         assert!(asked.attempts.len() < asked.most);
         let to = &self.listed[&server];
-        assert_eq!(to.state, MemberState::Up, "drains are kept at once");
+        assert_eq!(to.state, EndpointState::Up, "drains are kept at once");
         assert!(!self.banned.contains(&server), "bans are kept at once");
-        let aside = self.settings.mode == Mode::Aside;
-        assert!(!(aside && asked.write) || to.origin, "writes go to the origin");
+        let aside = self.settings.cache_mode == CacheMode::Aside;
+        assert!(!(aside && asked.write) || to.is_origin, "writes go to the origin");
         let out = asked.attempts.iter().filter(|a| a.end.is_none()).count();
-        let copies = asked.copies && !asked.write && asked.effect == Effect::Safe;
+        let copies = asked.copies && !asked.write && asked.idempotency == Idempotency::Idempotent;
         assert!(out == 0 || copies, "a copy that nobody allowed");
         for earlier in asked.attempts.iter().filter(|a| a.end.is_none_or(Outcome::may_have_run)) {
             let first = &self.listed[&earlier.server];
-            match asked.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("an unsafe request that may have run is sent again"),
-                Effect::Keyed { scope, window } => {
+            match asked.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("an unsafe request that may have run is sent again"),
+                Idempotency::Keyed { scope, window } => {
                     assert!(self.now <= earlier.sent + window, "outside its window");
                     match scope {
-                        Scope::All => {}
-                        Scope::Zone => assert_eq!(first.zone, to.zone),
-                        Scope::Cell => assert_eq!(first.cell, to.cell),
+                        DeduplicationScope::All => {}
+                        DeduplicationScope::Zone => assert_eq!(first.zone, to.zone),
+                        DeduplicationScope::Cell => assert_eq!(first.cell, to.cell),
                     }
                     self.repeats += 1;
                 }
@@ -183,64 +189,76 @@
         let left = asked.deadline - self.now;
         let limit = if timeout == 0 { left } else { timeout.min(left) };
         use Outcome::*;
-        let common = [Ok, Ok, Ok, Ok, Failed, QueueFull, ConnectError, Reset, Miss, TimedOut];
+        let common = [
+            Success,
+            Success,
+            Success,
+            Success,
+            ServerError,
+            Rejected,
+            ConnectFailed,
+            ConnectionReset,
+            CacheMiss,
+            TimedOut,
+        ];
         let outcome = common[self.rng.usize(..common.len())];
-        let outcome = if outcome == Miss && (to.origin || !aside) { Ok } else { outcome };
+        let outcome = if outcome == CacheMiss && (to.is_origin || !aside) { Success } else { outcome };
         let elapsed = self.rng.u64(1_000..400_000);
         let cut = outcome == TimedOut || elapsed >= limit;
         let (when, outcome) = if cut { (limit, TimedOut) } else { (elapsed, outcome) };
         self.at(self.now + when, Due::Outcome(id, attempt, outcome));
     }
 
-    fn list(&mut self, scope: ListScope) {
-        let mut members = Vec::new();
+    fn list(&mut self, update: EndpointUpdate) {
+        let mut endpoints = Vec::new();
         for id in (0..8).map(ServerId) {
             if self.rng.u8(..4) == 0 {
                 continue;
             }
             let state = match self.rng.u8(..8) {
-                0 => MemberState::Draining,
-                1 if scope == ListScope::Delta => MemberState::Removed,
-                _ => MemberState::Up,
+                0 => EndpointState::Draining,
+                1 if update == EndpointUpdate::Delta => EndpointState::Removed,
+                _ => EndpointState::Up,
             };
-            let started = (self.rng.u8(..4) == 0).then_some(self.now);
-            let origin = id == ServerId(0) && self.settings.mode == Mode::Aside;
+            let started_at = (self.rng.u8(..4) == 0).then_some(self.now);
+            let is_origin = id == ServerId(0) && self.settings.cache_mode == CacheMode::Aside;
             let cell = id.0 / 3;
-            members.push(Member {
+            endpoints.push(Endpoint {
                 state,
-                started,
-                origin,
+                started_at,
+                is_origin,
                 cell,
-                kind: id.0 % 3,
+                machine_type: id.0 % 3,
                 zone: id.0 % 2,
-                ..Member::up(id)
+                ..Endpoint::up(id)
             });
         }
-        match scope {
-            ListScope::Failed => members.clear(),
-            ListScope::Full => self.listed.values_mut().for_each(|m| m.state = MemberState::Removed),
-            ListScope::Delta => {}
+        match update {
+            EndpointUpdate::Failed => endpoints.clear(),
+            EndpointUpdate::Full => self.listed.values_mut().for_each(|m| m.state = EndpointState::Removed),
+            EndpointUpdate::Delta => {}
         }
-        self.listed.extend(members.iter().map(|m| (m.id, m.clone())));
-        self.tell(Event::Members { scope, members });
+        self.listed.extend(endpoints.iter().map(|m| (m.id, m.clone())));
+        self.tell(Event::Endpoints { update, endpoints });
     }
 
     fn ask(&mut self, id: RequestId) {
         let class = Some(self.rng.usize(..4)).filter(|&c| c < 3);
         let write = self.rng.u8(..5) == 0;
-        let budget = if self.rng.u8(..20) == 0 { 0 } else { self.rng.u64(10_000..SECOND) };
-        let effect = match class {
-            Some(class) => self.settings.classes[class].effect,
-            None if write => Effect::Unsafe,
-            None => Effect::Safe,
+        let timeout = if self.rng.u8(..20) == 0 { 0 } else { self.rng.u64(10_000..SECOND) };
+        let idempotency = match class {
+            Some(class) => self.settings.classes[class].idempotency,
+            None if write => Idempotency::NonIdempotent,
+            None => Idempotency::Idempotent,
         };
-        let deadline = self.now + budget;
-        let (most, copies) = (self.settings.max_attempts, self.settings.second_copies);
+        let deadline = self.now + timeout;
+        let (most, copies) = (self.settings.max_attempts, self.settings.hedging);
         let attempts = Vec::new();
-        self.asked.insert(id, Asked { effect, write, deadline, answered: false, attempts, most, copies });
+        self.asked
+            .insert(id, Asked { idempotency, write, deadline, answered: false, attempts, most, copies });
         let key = (self.rng.u8(..8) != 0).then(|| format!("k{}", self.rng.u8(..20)));
         let tenant = Some(self.rng.usize(..3));
-        self.tell(Event::Request(Request { id, class, tenant, key, budget, write }));
+        self.tell(Event::Request(Request { id, class, tenant, key, timeout, is_write: write }));
     }
 
     fn finish_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
@@ -251,15 +269,23 @@
         }
         a.end = Some(outcome);
         let elapsed = self.now - a.sent;
-        if outcome == Outcome::Ok && !asked.answered {
+        if outcome == Outcome::Success && !asked.answered {
             asked.answered = true;
             self.answers += 1;
         }
         let settled = asked.answered;
-        let hit = [None, Some(true), Some(false)][self.rng.usize(..3)];
+        let cache_hit = [None, Some(true), Some(false)][self.rng.usize(..3)];
         let utilization = [None, Some(0.5), Some(0.99)][self.rng.usize(..3)];
-        let end = AttemptEnd { id, attempt, outcome, elapsed, settled, hit, utilization, begun: true };
-        self.tell(Event::Outcome(end));
+        let end = AttemptEnd {
+            attempt: AttemptId::new(id, attempt),
+            outcome,
+            elapsed,
+            settled,
+            cache_hit,
+            utilization,
+            bytes_sent: true,
+        };
+        self.tell(Event::AttemptEnded(end));
     }
 
     /// Every request must be answered by its end, and within the grace at the latest.
@@ -268,9 +294,9 @@
             let pause = 5_000 * self.rng.u64(0..6);
             self.step(pause);
             match self.rng.u8(..60) {
-                0 => self.list(ListScope::Delta),
-                1 => self.list(ListScope::Full),
-                2 => self.list(ListScope::Failed),
+                0 => self.list(EndpointUpdate::Delta),
+                1 => self.list(EndpointUpdate::Full),
+                2 => self.list(EndpointUpdate::Failed),
                 3 => {
                     let stray = TimerToken(self.rng.u64(..));
                     self.tell(Event::Timer(stray));
@@ -279,7 +305,7 @@
                     let id = RequestId(self.rng.u32(..n));
                     if self.asked[&id].answered || self.now < self.asked[&id].deadline {
                         self.asked.get_mut(&id).unwrap().answered = true;
-                        self.tell(Event::ClientGone(id));
+                        self.tell(Event::ClientDisconnected(id));
                     }
                 }
                 5 => {
@@ -289,7 +315,7 @@
                 }
                 7 => {
                     self.settings.max_attempts = self.rng.usize(1..7);
-                    self.settings.second_copies = self.rng.bool();
+                    self.settings.hedging = self.rng.bool();
                     self.settings.classes.rotate_left(1);
                     self.tell(Event::Settings(Box::new(self.settings.clone())));
                 }
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -9,8 +9,8 @@
 /// A node with `caches` spread in turn over `zones`.
 fn zoned(settings: Settings, caches: u32, zones: u32) -> Node {
     let mut node = Node::new(settings, 0);
-    let member = |id| Member { zone: id % zones, ..Member::up(ServerId(id)) };
-    node.list(ListScope::Full, (0..caches).map(member).collect());
+    let member = |id| Endpoint { zone: id % zones, ..Endpoint::up(ServerId(id)) };
+    node.list(EndpointUpdate::Full, (0..caches).map(member).collect());
     node
 }
 
@@ -27,7 +27,7 @@
         for attempt in 0.. {
             let Some(to) = next else { break };
             asked.push(to.0);
-            let outcome = if fails(to.0) { Outcome::ConnectError } else { Outcome::Ok };
+            let outcome = if fails(to.0) { Outcome::ConnectFailed } else { Outcome::Success };
             node.now += if fails(to.0) { pause } else { 20_000 };
             next = sent(&node.end(id, attempt, outcome, 20_000));
         }
@@ -37,7 +37,7 @@
 
 fn closes(actions: &[Action]) -> Vec<ServerId> {
     let of = |a: &Action| match a {
-        Action::Disconnect(server) => Some(*server),
+        Action::CloseIdleConnections(server) => Some(*server),
         _ => None,
     };
     actions.iter().filter_map(of).collect()
@@ -57,14 +57,17 @@
 
 /// After how long the connection of a served read is closed, where so many connects have failed before.
 fn idles(nodes: usize, failed: u32) -> Micros {
-    let mut node = Node::new(Settings { nodes, keepalive: 40 * SECOND, ..settings(Mode::Through) }, 1);
+    let mut node = Node::new(
+        Settings { node_count: nodes, idle_timeout: 40 * SECOND, ..settings(CacheMode::Through) },
+        1,
+    );
     let mut due = BTreeSet::new();
     for id in 100..100 + failed {
         node.now += 20 * SECOND; // tried again though it is suspect
         let mut to = sent(&node.read(id, "k"));
         for attempt in 0.. {
             let Some(_) = to.take() else { break };
-            let end = node.end(id, attempt, Outcome::ConnectError, 1_000);
+            let end = node.end(id, attempt, Outcome::ConnectFailed, 1_000);
             due.extend(looks(node.now, &end));
             to = sent(&end);
         }
@@ -73,7 +76,7 @@
     let to = sent(&node.read(1, "k")).unwrap();
     node.now += 20_000;
     let served = node.now;
-    due.extend(looks(served, &node.end(1, 0, Outcome::Ok, 20_000)));
+    due.extend(looks(served, &node.end(1, 0, Outcome::Success, 20_000)));
     while let Some(at) = due.pop_first() {
         node.now = node.now.max(at);
         let actions = node.timer(IDLE);
@@ -101,11 +104,11 @@
 
 #[test]
 fn one_timer_is_out_for_all_idle_connections() {
-    let mut node = Node::new(settings(Mode::Through), 20);
+    let mut node = Node::new(settings(CacheMode::Through), 20);
     let ends = (0..200).map(|id| {
         node.read(id, &format!("k{id}"));
         node.now += 10_000;
-        node.end(id, 0, Outcome::Ok, 10_000)
+        node.end(id, 0, Outcome::Success, 10_000)
     });
     let timers = ends.filter(|end| timer(end).is_some()).count();
     assert_eq!(timers, 1);
@@ -113,10 +116,10 @@
 
 #[test]
 fn a_connection_in_use_is_not_closed() {
-    let mut node = Node::new(Settings { nodes: 400, ..settings(Mode::Through) }, 1);
+    let mut node = Node::new(Settings { node_count: 400, ..settings(CacheMode::Through) }, 1);
     node.read(1, "k");
     node.now += 20_000;
-    let (after, token) = timer(&node.end(1, 0, Outcome::Ok, 20_000)).unwrap();
+    let (after, token) = timer(&node.end(1, 0, Outcome::Success, 20_000)).unwrap();
     node.now += after / 2;
     node.read(2, "k");
     node.now += after;
@@ -125,16 +128,16 @@
 
 /// The part of 600 keys that goes first to caches 1 to 5, of kind 1, which take `slow` times as long.
 fn share_of_slow_kind(slow: Micros) -> f64 {
-    let mut node = Node::new(settings(Mode::Through), 0);
+    let mut node = Node::new(settings(CacheMode::Through), 0);
     let kind = |id| if id <= 5 { 1 } else { 2 };
-    let member = |id| Member { kind: kind(id), ..Member::up(ServerId(id)) };
-    node.list(ListScope::Full, (1..=10).map(member).collect());
+    let member = |id| Endpoint { machine_type: kind(id), ..Endpoint::up(ServerId(id)) };
+    node.list(EndpointUpdate::Full, (1..=10).map(member).collect());
     let mut at_slow = 0;
     for n in 0..800 {
         let to = sent(&node.read(n, &format!("k{n}"))).unwrap();
         let elapsed = if to.0 <= 5 { 20_000 * slow } else { 20_000 };
         node.now += elapsed;
-        node.end(n, 0, Outcome::Ok, elapsed);
+        node.end(n, 0, Outcome::Success, elapsed);
         at_slow += usize::from(n >= 200 && to.0 <= 5);
     }
     at_slow as f64 / 600.0
@@ -155,13 +158,16 @@
     // then struck by all of them at once.
     let mut first_asked = Vec::new();
     for seed in 0..40 {
-        let mut node = Node { balancer: Balancer::new(settings(Mode::Through), seed, 0), now: 0 };
-        node.list(ListScope::Full, vec![Member::up(ServerId(1))]);
+        let mut node = Node { balancer: Balancer::new(settings(CacheMode::Through), seed, 0), now: 0 };
+        node.list(EndpointUpdate::Full, vec![Endpoint::up(ServerId(1))]);
         for id in 0..40 {
             node.serve(id, "k", 10_000);
             node.now += SECOND;
         }
-        node.list(ListScope::Delta, vec![Member { started: Some(node.now), ..Member::up(ServerId(1)) }]);
+        node.list(
+            EndpointUpdate::Delta,
+            vec![Endpoint { started_at: Some(node.now), ..Endpoint::up(ServerId(1)) }],
+        );
         let first = (1000..1010).position(|id| {
             node.now += SECOND / 4;
             sent(&node.read(id, "k")).is_some()
@@ -177,7 +183,7 @@
 fn where_crossing_zones_has_a_price_own_caches_come_first_but_all_stay_candidates() {
     // Guards against: three of four attempts crossing zones, which is paid for and fails when a zone is cut off.
     let own = |price| {
-        let s = Settings { zone: Some(1), cross_zone_price: price, ..settings(Mode::Through) };
+        let s = Settings { zone: Some(1), cross_zone_cost: price, ..settings(CacheMode::Through) };
         let mut node = zoned(s, 12, 4);
         (0..400).filter(|&id| node.serve(id, &format!("k{id}"), 10_000).0 % 4 == 1).count()
     };
@@ -190,17 +196,17 @@
     // Guards against: an origin that hundreds of nodes overrun, each with a fetch or two, so that writes fail.
     let (mut fetched, mut written) = (0, 0);
     for seed in 0..40 {
-        let mut node = Node { balancer: Balancer::new(settings(Mode::Aside), seed, 0), now: 0 };
-        let origin = Member { origin: true, ..Member::up(ServerId(99)) };
-        node.list(ListScope::Full, vec![Member::up(ServerId(1)), origin]);
+        let mut node = Node { balancer: Balancer::new(settings(CacheMode::Aside), seed, 0), now: 0 };
+        let origin = Endpoint { is_origin: true, ..Endpoint::up(ServerId(99)) };
+        node.list(EndpointUpdate::Full, vec![Endpoint::up(ServerId(1)), origin]);
         for id in 0..5 {
             node.read(id, &format!("k{id}"));
-            node.end(id, 0, Outcome::Miss, 5_000);
+            node.end(id, 0, Outcome::CacheMiss, 5_000);
             node.now += SECOND;
             node.end(id, 1, Outcome::TimedOut, SECOND);
         }
         node.read(100, "k100");
-        let missed = node.end(100, 0, Outcome::Miss, 5_000);
+        let missed = node.end(100, 0, Outcome::CacheMiss, 5_000);
         if sent(&missed) == Some(ServerId(99)) {
             fetched += 1;
         } else {
@@ -216,7 +222,7 @@
 fn a_zone_that_is_cut_off_is_left_to_one_trial_at_a_time() {
     // Guards against: candidates tried one by one in a zone that is cut off (rakna's big-1): each cache looks
     // innocent to a node that meets it once in half a minute.
-    let mut node = zoned(settings(Mode::Through), 20, 2);
+    let mut node = zoned(settings(CacheMode::Through), 20, 2);
     node.warm_up();
     let cut = |to: u32| to % 2 == 1;
     let tried = attempts(&mut node, 1000..1060, 1_000, cut).into_iter().filter(|&to| cut(to)).count();
@@ -231,7 +237,7 @@
 
 #[test]
 fn dead_caches_do_not_cut_off_their_zone() {
-    let mut node = zoned(settings(Mode::Through), 20, 2);
+    let mut node = zoned(settings(CacheMode::Through), 20, 2);
     node.warm_up();
     let dead = |to: u32| to == 1 || to == 3;
     let asked = attempts(&mut node, 1001..1101, 20_000, dead);
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use stonefold_balancer::MemberState;
+use stonefold_balancer::EndpointState;
 use stonefold_config as tree;
 use stonefold_config::{Count, Millis, Positive};
 use stonefold_emulator::Clock;
@@ -136,9 +136,9 @@
         let has = |server: usize| -> Standing {
             let (state, started_ms) = acted.listed(&Site::id(server))?;
             let state = match state {
-                MemberState::Up => State::Serving,
-                MemberState::Draining => State::Draining,
-                MemberState::Removed => State::Deleted,
+                EndpointState::Up => State::Serving,
+                EndpointState::Draining => State::Draining,
+                EndpointState::Removed => State::Deleted,
             };
             Some((state, started_ms as Micros))
         };
--- a/crates/lab/src/measure/servers.rs
+++ b/crates/lab/src/measure/servers.rs
@@ -1,8 +1,8 @@
 //! A balancer before so many servers, without anything round it.
 
 use stonefold_balancer::{
-    Action, AttemptEnd, Balancer, Event, ListScope, Member, Micros, Outcome, Request, RequestId, ServerId,
-    Settings,
+    Action, AttemptEnd, AttemptId, Balancer, Endpoint, EndpointUpdate, Event, Micros, Outcome, Request,
+    RequestId, ServerId, Settings,
 };
 
 /// Zones of the size that the plan is made for, and nodes.
@@ -26,12 +26,16 @@
 impl Decider {
     /// A balancer that knows of so many servers.
     pub fn new(servers: usize, seed: u64) -> Decider {
-        let settings = Settings { nodes: NODES, ..Settings::default() };
+        let settings = Settings { node_count: NODES, ..Settings::default() };
         let (now, mut actions) = (1, Vec::new());
         let mut balancer = Balancer::new(settings, seed, now);
-        let member = |id| Member { zone: id % ZONES, cell: id / 4, ..Member::up(ServerId(id)) };
+        let member = |id| Endpoint { zone: id % ZONES, cell: id / 4, ..Endpoint::up(ServerId(id)) };
         let members = (1..=servers as u32).map(member).collect();
-        balancer.on_event(now, Event::Members { scope: ListScope::Full, members }, &mut actions);
+        balancer.on_event(
+            now,
+            Event::Endpoints { update: EndpointUpdate::Full, endpoints: members },
+            &mut actions,
+        );
         actions.clear();
         Decider { balancer, actions, now, last: 0 }
     }
@@ -41,7 +45,7 @@
         self.now += GAP;
         self.last += 1;
         let key = Some(format!("record:{}", self.last % KEYS));
-        Request { key, budget: BUDGET, ..Request::new(RequestId(self.last)) }
+        Request { key, timeout: BUDGET, ..Request::new(RequestId(self.last)) }
     }
 
     /// Decides; tells whether it was sent somewhere.
@@ -57,9 +61,9 @@
         self.actions.clear();
         let end = AttemptEnd {
             elapsed: ANSWER,
-            hit: Some(true),
-            ..AttemptEnd::new(RequestId(self.last), 0, Outcome::Ok)
+            cache_hit: Some(true),
+            ..AttemptEnd::new(AttemptId::new(RequestId(self.last), 0), Outcome::Success)
         };
-        self.balancer.on_event(self.now, Event::Outcome(end), &mut self.actions);
+        self.balancer.on_event(self.now, Event::AttemptEnded(end), &mut self.actions);
     }
 }
--- a/crates/node/src/clients/command.rs
+++ b/crates/node/src/clients/command.rs
@@ -9,7 +9,7 @@
 use stonefold_proto::resp::Malformed;
 
 use crate::relay::{LARGEST, VALUE_LIMIT};
-use crate::request::Command;
+use crate::request::ClientRequest;
 
 /// Key, id and facts together are no longer than this.
 const ARGUMENTS: usize = 2 << 10;
@@ -17,7 +17,7 @@
 const LONGEST: Micros = 3_600_000_000;
 
 /// Reads a command's words.
-pub fn parse_command(parts: &[Bytes]) -> Result<Command, CommandError> {
+pub fn parse_command(parts: &[Bytes]) -> Result<ClientRequest, CommandError> {
     let Some((name, rest)) = parts.split_first() else { return Err(CommandError::Unknown) };
     let (key, id, facts, value) = match rest {
         [key, id, facts] if name.eq_ignore_ascii_case(b"CACHE.GET") => (key, id, facts, None),
@@ -40,10 +40,10 @@
     }
     // Copied, so that they don't hold on to the whole of what was read with them.
     let (key, [id, facts]) = (key.to_owned(), [id, facts].map(|text| Bytes::copy_from_slice(text)));
-    let mut command = Command { key, id, facts, value, wait: 0 };
-    let wait = command.fact("d").and_then(|d| d.parse::<f64>().ok());
+    let mut command = ClientRequest { key, id, metadata: facts, value, timeout: 0 };
+    let wait = command.metadata_value("d").and_then(|d| d.parse::<f64>().ok());
     let ms = wait.filter(|ms| ms.is_finite() && *ms >= 0.0).ok_or(CommandError::Wait)?;
-    command.wait = ((ms * 1000.0) as Micros).min(LONGEST);
+    command.timeout = ((ms * 1000.0) as Micros).min(LONGEST);
     Ok(command)
 }
 
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -27,7 +27,7 @@
 use session::Session;
 
 use crate::bounds::Bounds;
-use crate::message::{Message, Terms};
+use crate::message::{Message, SharedSettings};
 use crate::metrics::Metrics;
 use crate::relay::Budget;
 use crate::stall::StallMonitor;
@@ -85,7 +85,7 @@
 struct Clients {
     to: UnboundedSender<Message>,
     bounds: Bounds,
-    terms: watch::Receiver<Terms>,
+    terms: watch::Receiver<SharedSettings>,
     /// Connections on which nothing is owed.
     idle: Arc<IdleConnections>,
     /// Told when a session has ended.
@@ -106,7 +106,7 @@
 pub struct Wiring {
     pub to: UnboundedSender<Message>,
     pub bounds: Bounds,
-    pub terms: watch::Receiver<Terms>,
+    pub terms: watch::Receiver<SharedSettings>,
     pub metrics: Arc<Metrics>,
     pub budget: Budget,
     pub stalls: StallMonitor,
--- a/crates/node/src/clients/owed.rs
+++ b/crates/node/src/clients/owed.rs
@@ -14,16 +14,18 @@
 use crate::invariants::{ANSWER_SLACK, Invariant, Violations};
 use crate::metrics::InFlight;
 use crate::relay::{Room, Stream};
-use crate::request::Answer;
+use crate::request::Response;
 
 /// What goes out at once, or the value that comes by and by.
-pub fn outgoing(answer: Answer) -> Result<BytesFrame, Stream> {
+pub fn outgoing(answer: Response) -> Result<BytesFrame, Stream> {
     Ok(match answer {
-        Answer::Stream(stream) => return Err(stream),
-        Answer::Served(value) => BytesFrame::BulkString(value),
-        Answer::Busy(0) => BytesFrame::Error("BUSY".into()),
-        Answer::Busy(wait) => BytesFrame::Error(format!("BUSY {}", wait.div_ceil(1000)).into()),
-        Answer::Failed => BytesFrame::Error("ERR failed".into()),
+        Response::Stream(stream) => return Err(stream),
+        Response::Value(value) => BytesFrame::BulkString(value),
+        Response::Rejected { retry_after: 0 } => BytesFrame::Error("BUSY".into()),
+        Response::Rejected { retry_after: wait } => {
+            BytesFrame::Error(format!("BUSY {}", wait.div_ceil(1000)).into())
+        }
+        Response::Failed => BytesFrame::Error("ERR failed".into()),
     })
 }
 
@@ -92,7 +94,7 @@
     pub id: RequestId,
     /// Until when its client waits, and its id as the client gave it.
     pub due: Due,
-    pub answer: oneshot::Receiver<Answer>,
+    pub answer: oneshot::Receiver<Response>,
     pub _open_id: OpenId,
     pub _held: Held,
     /// The room of a value that is not small: it is held until it is no longer of use.
@@ -105,7 +107,7 @@
     Ready(BytesFrame),
     Waiting(Pending),
     /// The refusal of a request that was never begun.
-    Refused(oneshot::Receiver<Answer>),
+    Refused(oneshot::Receiver<Response>),
     /// A value that has begun to come.
     Coming(Stream, Pending),
 }
@@ -128,8 +130,8 @@
 /// The next answer in order. Cancelled between, it loses nothing.
 pub async fn next(owed: &mut VecDeque<Owed>) -> Outgoing {
     let answer = match owed.front_mut() {
-        Some(Owed::Waiting(pending)) => Some((&mut pending.answer).await.unwrap_or(Answer::Failed)),
-        Some(Owed::Refused(answer)) => Some(answer.await.unwrap_or(Answer::Failed)),
+        Some(Owed::Waiting(pending)) => Some((&mut pending.answer).await.unwrap_or(Response::Failed)),
+        Some(Owed::Refused(answer)) => Some(answer.await.unwrap_or(Response::Failed)),
         Some(Owed::Ready(_) | Owed::Coming(..)) => None,
         None => std::future::pending().await,
     };
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -116,7 +116,7 @@
         self.note_ending(&ended);
         for owed in self.owed.drain(..) {
             if let Owed::Waiting(pending) = owed {
-                let _ = self.shared.to.send(Message::Gone(pending.id));
+                let _ = self.shared.to.send(Message::ClientDisconnected(pending.id));
             }
         }
         if left {
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -15,10 +15,10 @@
 use crate::clients::command::{CommandError, arguments, parse_command};
 use crate::clients::owed::{Due, Held, OpenId, Owed, Pending};
 use crate::invariants::Invariant;
-use crate::message::{Arrival, Message, Surplus};
+use crate::message::{ExcessRequest, IncomingRequest, Message};
 use crate::metrics::InFlight;
 use crate::relay::LARGEST;
-use crate::request::Command;
+use crate::request::ClientRequest;
 
 impl Session {
     /// The longest command that is read: no longer than there is room for it.
@@ -80,10 +80,13 @@
         owed.unwrap_or_else(|error| Owed::Ready(BytesFrame::Error(format!("ERR {error}").into())))
     }
 
-    pub(super) fn request(&mut self, command: Command, length: usize) -> Result<Owed, CommandError> {
+    pub(super) fn request(&mut self, command: ClientRequest, length: usize) -> Result<Owed, CommandError> {
         // Guards against: requests that name a class which the settings lack, sent on to servers that turn
         // them away. One that names none is served.
-        if command.fact("c").is_some_and(|class| !self.shared.terms.borrow().classes.contains(class)) {
+        if command
+            .metadata_value("c")
+            .is_some_and(|class| !self.shared.terms.borrow().class_names.contains(class))
+        {
             return Err(CommandError::Class);
         }
         if self.open >= PIPELINED {
@@ -99,16 +102,18 @@
         if self.shared.stalls.earliest_arrival(self.read_at) < self.read_at {
             self.shared.metrics.read_after_stall.add_one();
         }
-        trace!(event = "taken", request = %String::from_utf8_lossy(&command.id), wait_us = command.wait,
+        trace!(event = "taken", request = %String::from_utf8_lossy(&command.id), wait_us = command.timeout,
             came_us_ago = self.came_at.elapsed().as_micros() as u64, "a request is taken");
         if self.shared.closing.silent.is_cancelled() {
             self.shared.metrics.violations.note(Invariant::NoLateStart, &command.id);
         }
-        let due = Due { at: self.came_at + Duration::from_micros(command.wait), request: command.id.clone() };
+        let due =
+            Due { at: self.came_at + Duration::from_micros(command.timeout), request: command.id.clone() };
         let client = self.presence.clone();
-        let arrival = Arrival { id, command, at: self.came_at, answer: sender, client };
+        let arrival =
+            IncomingRequest { id, request: command, received_at: self.came_at, response: sender, client };
         // A driver that is gone drops the sender, and the request ends as failed.
-        let _ = self.shared.to.send(Message::Arrived(arrival));
+        let _ = self.shared.to.send(Message::RequestReceived(arrival));
         self.open += 1;
         self.asked = true;
         Ok(Owed::Waiting(Pending {
@@ -124,11 +129,11 @@
 
     /// Refuses a request that was never begun, so that its client may try again. How long it is to wait first is
     /// the driver's to say.
-    pub(super) fn refuse(&mut self, command: &Command) -> Owed {
+    pub(super) fn refuse(&mut self, command: &ClientRequest) -> Owed {
         let (sender, answer) = oneshot::channel();
-        let class = command.fact("c").map(str::to_owned);
+        let class = command.metadata_value("c").map(str::to_owned);
         // A driver that is gone drops the sender, and the request ends as failed.
-        let _ = self.shared.to.send(Message::Surplus(Surplus { class, answer: sender }));
+        let _ = self.shared.to.send(Message::ExcessRequest(ExcessRequest { class, response: sender }));
         self.asked = true;
         Owed::Refused(answer)
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -10,7 +10,7 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use stonefold_balancer::setup::{Setup, SetupError, Stated};
+use stonefold_balancer::settings_document::{ResolvedSettings, SettingsDocument, SettingsError};
 use stonefold_proto::list::List;
 
 use crate::bounds::Bounds;
@@ -45,7 +45,7 @@
     /// This process's part of the memory.
     pub memory: usize,
     pub known: List,
-    pub setup: Setup,
+    pub setup: ResolvedSettings,
     pub file: Followed,
     /// When the process started, as far as is known: the time to ready counts from here.
     pub started: Instant,
@@ -69,7 +69,7 @@
     #[error("bad seed {0:?}: 16 hex digits at most")]
     Seed(String),
     #[error("bad settings: {0}")]
-    Settings(SetupError),
+    Settings(SettingsError),
     #[error("a limit of {0} sockets is too low: {wanted} wanted for each process", wanted = 2 * RESERVED)]
     Sockets(usize),
     /// A document of another source.
@@ -93,7 +93,7 @@
     limits: Limits,
     #[serde(default)]
     known: List,
-    settings: Stated,
+    settings: SettingsDocument,
 }
 
 #[derive(Deserialize, Default)]
@@ -168,7 +168,7 @@
     let (path, value) = read_json(path.to_owned())?;
     let (file, _) = File::checked(path, value)?;
     u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed))?;
-    Setup::try_from(file.settings).map(drop).map_err(ConfigError::Settings)
+    ResolvedSettings::try_from(file.settings).map(drop).map_err(ConfigError::Settings)
 }
 
 impl Momentary for ConfigError {
@@ -200,7 +200,7 @@
 /// What a new file changes while the node runs.
 pub struct Reload {
     pub discovery: SocketAddr,
-    pub settings: Stated,
+    pub settings: SettingsDocument,
 }
 
 /// A document that was read and is not yet in force.
@@ -256,7 +256,7 @@
             sockets,
             memory: (file.limits.memory_mb.unwrap_or(MEMORY_MB) << 20) / processes,
             known: file.known,
-            setup: Setup::try_from(file.settings).map_err(ConfigError::Settings)?,
+            setup: ResolvedSettings::try_from(file.settings).map_err(ConfigError::Settings)?,
             file: Followed { source, value },
             started,
             shared: None,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -23,7 +23,7 @@
 use stonefold_net::Socket;
 use stonefold_proto::list::List;
 
-use crate::message::{Message, Terms};
+use crate::message::{Message, SharedSettings};
 
 use pace::{End, Pace};
 
@@ -34,7 +34,7 @@
 pub struct Watch {
     /// Where lists are asked for: told when the module asks for the first time.
     asked: Arc<Notify>,
-    terms: watch::Receiver<Terms>,
+    terms: watch::Receiver<SharedSettings>,
     after: u64,
     to: UnboundedSender<Message>,
     connection: Option<Client>,
@@ -93,11 +93,11 @@
     pub fn new(
         asked: Arc<Notify>,
         after: Option<u64>,
-        terms: watch::Receiver<Terms>,
+        terms: watch::Receiver<SharedSettings>,
         seed: u64,
         to: UnboundedSender<Message>,
     ) -> Self {
-        let (whole, after, held) = (after.is_none(), after.unwrap_or(0), terms.borrow().following.subscribe);
+        let (whole, after, held) = (after.is_none(), after.unwrap_or(0), terms.borrow().discovery.watch);
         // Where it is asked, a watch alone is opened on a list that is known: it tells at once what is new.
         let pace = Pace::new(whole || !held);
         let (rng, complained) = (fastrand::Rng::with_seed(seed), false);
@@ -132,7 +132,7 @@
         tokio::select! {
             () = self.asked.notified() => {}
             // Lists are pushed from now on, and nobody asks any more.
-            Ok(_) = self.terms.wait_for(|terms| !terms.following.subscribe) => {}
+            Ok(_) = self.terms.wait_for(|terms| !terms.discovery.watch) => {}
         }
     }
 
@@ -142,7 +142,7 @@
         if self.whole {
             self.pace.ask_at_once();
         }
-        let following = self.terms.borrow().following;
+        let following = self.terms.borrow().discovery;
         let call = self.pace.next(following, &mut self.rng);
         if !call.pause.is_zero() {
             sleep(call.pause).await; // even a sleep of nothing takes a turn of the clock
@@ -169,12 +169,12 @@
                     );
                     self.complained = true;
                 }
-                Message::List(list)
+                Message::EndpointList(list)
             }
             Err(error) => {
                 let failed = self.pace.failed();
                 warn!(event = "discovery_failed", at = %at, %error, failed, "the list stays as it was");
-                Message::ListFailed
+                Message::EndpointListFailed
             }
         }
     }
--- a/crates/node/src/discovery/pace.rs
+++ b/crates/node/src/discovery/pace.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use crate::message::Following;
+use crate::message::DiscoverySettings;
 
 /// What discovery has counts as told so long after it could be reached.
 const TOLD: Duration = Duration::from_secs(6);
@@ -115,7 +115,7 @@
     }
 
     /// The next call. The same state and the same random numbers give the same call.
-    pub fn next(&self, following: Following, rng: &mut fastrand::Rng) -> Call {
+    pub fn next(&self, following: DiscoverySettings, rng: &mut fastrand::Rng) -> Call {
         let pause = self.longest_pause(following).mul_f64(rng.f64());
         if self.at_once {
             return Call { pause, wait: Duration::ZERO, limit: LIMIT };
@@ -125,11 +125,11 @@
     }
 
     /// Nothing after an answer. Doubles with each failure, and leaves of the spacing what the failed call has not used up.
-    fn longest_pause(&self, following: Following) -> Duration {
+    fn longest_pause(&self, following: DiscoverySettings) -> Duration {
         // After an answer the next watch is opened at once. Guards against: a queue of watches put off till later, in which
         // stand those that go on, and whose news count as told meanwhile.
         let Some(doubled) = self.failed.checked_sub(1) else { return Duration::ZERO };
-        let shares = (following.nodes / NODES_A_PAUSE).clamp(1, LONGEST_PAUSES) as u32;
+        let shares = (following.node_count / NODES_A_PAUSE).clamp(1, LONGEST_PAUSES) as u32;
         let first = if self.missed { MISSED } else { PAUSE * shares };
         let most = first.saturating_mul(1 << doubled.min(8));
         most.min(SPACING.saturating_sub(self.spent))
@@ -141,9 +141,9 @@
     /// new reaches them late. Where it is asked, it has to bear that each node asks as often as the settings state:
     /// a watch waits for longer than that. It waits for a random time, so that nodes whose watches fall silent
     /// together don't all come back at once.
-    fn longest_wait(&self, following: Following, roll: f64) -> Duration {
-        if following.subscribe {
-            let least = following.ask_in.clamp(WAIT / 2, LONGEST_WAIT / 2);
+    fn longest_wait(&self, following: DiscoverySettings, roll: f64) -> Duration {
+        if following.watch {
+            let least = following.max_poll_interval.clamp(WAIT / 2, LONGEST_WAIT / 2);
             return least + least.mul_f64(roll);
         }
         self.wait
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::*;
-use crate::message::Following;
+use crate::message::DiscoverySettings;
 
 mod fleet;
 mod plan;
@@ -19,7 +19,7 @@
 struct Stage {
     listener: TcpListener,
     asked: Arc<Notify>,
-    terms: watch::Sender<Terms>,
+    terms: watch::Sender<SharedSettings>,
     heard: UnboundedReceiver<Message>,
     address: watch::Sender<SocketAddr>,
     _watch: AbortOnDropHandle<()>,
@@ -44,9 +44,16 @@
     }
 
     fn set(subscribe: bool, nodes: usize, seed: u64, at: SocketAddr, listener: TcpListener) -> Stage {
-        let following = Following { subscribe, ask_in: Duration::from_secs(10), nodes };
-        let (terms, told) =
-            watch::channel(Terms { classes: HashSet::new(), longest: Duration::ZERO, following });
+        let following = DiscoverySettings {
+            watch: subscribe,
+            max_poll_interval: Duration::from_secs(10),
+            node_count: nodes,
+        };
+        let (terms, told) = watch::channel(SharedSettings {
+            class_names: HashSet::new(),
+            max_deadline: Duration::ZERO,
+            discovery: following,
+        });
         let (asked, (to, heard)) = (Arc::<Notify>::default(), unbounded_channel());
         let (address, addresses) = watch::channel(at);
         let watching = Watch::new(asked.clone(), Some(41), told, seed, to).run(addresses);
@@ -135,7 +142,7 @@
     let mut stage = Stage::at(true, at, listener);
     let start = Instant::now();
     let heard = timeout(BOUND, stage.heard.recv()).await.expect("a failed call");
-    assert!(matches!(heard, Some(Message::ListFailed)));
+    assert!(matches!(heard, Some(Message::EndpointListFailed)));
     assert!(start.elapsed() <= pace::CONNECT + Duration::from_secs(1), "{:?}", start.elapsed());
 }
 
@@ -143,7 +150,7 @@
 async fn a_node_that_waits_for_the_module_calls_when_lists_are_pushed_from_now_on() {
     let stage = Stage::unasked().await;
     assert!(timeout(BOUND, stage.listener.accept()).await.is_err(), "nobody has asked");
-    stage.terms.send_modify(|terms| terms.following.subscribe = false);
+    stage.terms.send_modify(|terms| terms.discovery.watch = false);
     stage.call().await;
     drop(stage.asked); // never told
 }
@@ -153,7 +160,7 @@
     let mut stage = Stage::new(true).await;
     let (mut stream, _) = stage.call().await;
     stream.write_all(BUSY.as_bytes()).await.unwrap();
-    assert!(matches!(stage.heard.recv().await, Some(Message::ListFailed)));
+    assert!(matches!(stage.heard.recv().await, Some(Message::EndpointListFailed)));
     stage.call().await;
     drop(stage.asked); // told once, at the start
 }
--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -9,7 +9,7 @@
 use stonefold_model::{Discovery, Listed, State};
 
 use crate::discovery::pace::{self, Call, End, Pace};
-use crate::message::Following;
+use crate::message::DiscoverySettings;
 
 /// Microseconds.
 type At = u64;
@@ -91,7 +91,7 @@
 }
 
 struct Fleet {
-    following: Following,
+    following: DiscoverySettings,
     discovery: Discovery,
     /// Calls of others in a second, in trouble.
     others: f64,
@@ -107,7 +107,7 @@
 }
 
 impl Fleet {
-    fn new(following: Following, capacity: f64, day: Day, seed: u64) -> Fleet {
+    fn new(following: DiscoverySettings, capacity: f64, day: Day, seed: u64) -> Fleet {
         let kind = DiscoveryKind {
             notices_after: serde_json::from_value("0s".into()).expect("a time"),
             calls_per_s: serde_json::from_value(capacity.into()).expect("a rate"),
@@ -115,7 +115,7 @@
         };
         let mut rng = fastrand::Rng::with_seed(seed);
         let node = |n: usize| Node {
-            pace: Pace::new(!following.subscribe),
+            pace: Pace::new(!following.watch),
             rng: fastrand::Rng::with_seed(seed ^ (n as u64 + 1) << 20),
             call: Call { pause: Duration::ZERO, wait: Duration::ZERO, limit: Duration::ZERO },
             count: 0,
@@ -128,7 +128,7 @@
             following,
             discovery: Discovery::new(&kind, seed, 0..12),
             others: 3.0 * capacity,
-            nodes: (0..following.nodes).map(node).collect(),
+            nodes: (0..following.node_count).map(node).collect(),
             events: BinaryHeap::new(),
             sequence: 0,
             now: 0,
@@ -137,7 +137,7 @@
             changes: Vec::new(),
             figures: Figures::default(),
         };
-        for node in 0..following.nodes {
+        for node in 0..following.node_count {
             let starts = if day == Day::Start { FROM } else { rng.u64(0..FROM / 2) };
             fleet.at(starts, Event::Begin(node));
         }
@@ -289,7 +289,7 @@
             node.stands = Stands::Lost;
             // Where lists are asked for a watch may wait for long, and what it misses counts 2 s after its wait.
             let over = node.began + node.call.wait.as_micros() as At + 2 * SECOND;
-            node.excused = if self.following.subscribe { over } else { 0 };
+            node.excused = if self.following.watch { over } else { 0 };
         }
     }
 
@@ -303,7 +303,8 @@
 }
 
 fn play(asked: bool, nodes: usize, each: f64, day: Day, seed: u64) -> Figures {
-    let following = Following { subscribe: asked, ask_in: Duration::from_secs(10), nodes };
+    let following =
+        DiscoverySettings { watch: asked, max_poll_interval: Duration::from_secs(10), node_count: nodes };
     let mut fleet = Fleet::new(following, each * nodes as f64, day, seed);
     for n in 0..nodes {
         let node = &mut fleet.nodes[n];
--- a/crates/node/src/discovery/tests/plan.rs
+++ b/crates/node/src/discovery/tests/plan.rs
@@ -3,20 +3,20 @@
 use std::time::Duration;
 
 use crate::discovery::pace::{Call, End, Pace};
-use crate::message::Following;
+use crate::message::DiscoverySettings;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn pushed(nodes: usize) -> Following {
-    Following { subscribe: false, ask_in: 10 * SECOND, nodes }
+fn pushed(nodes: usize) -> DiscoverySettings {
+    DiscoverySettings { watch: false, max_poll_interval: 10 * SECOND, node_count: nodes }
 }
 
-fn next(pace: &Pace, following: Following, seed: u64) -> Call {
+fn next(pace: &Pace, following: DiscoverySettings, seed: u64) -> Call {
     pace.next(following, &mut fastrand::Rng::with_seed(seed))
 }
 
 /// A plan after so many calls that were refused at once.
-fn refused(times: u32, following: Following) -> Pace {
+fn refused(times: u32, following: DiscoverySettings) -> Pace {
     let mut pace = Pace::new(false);
     (0..times).for_each(|_| pace.ended(next(&pace, following, 0), End::Refused, Duration::ZERO));
     pace
@@ -46,7 +46,11 @@
 #[test]
 fn where_lists_are_asked_for_a_watch_waits_for_longer_than_the_time_for_asking_and_each_for_its_own() {
     for (ask_in, least) in [(0, 1_000), (3_000, 3_000), (10_000, 10_000), (60_000, 10_000)] {
-        let asking = Following { subscribe: true, ask_in: Duration::from_millis(ask_in), nodes: 6 };
+        let asking = DiscoverySettings {
+            watch: true,
+            max_poll_interval: Duration::from_millis(ask_in),
+            node_count: 6,
+        };
         let wait = |seed| next(&Pace::new(false), asking, seed).wait.as_millis();
         let mut waits: Vec<u128> = (0..100).map(wait).collect();
         waits.sort();
@@ -74,7 +78,7 @@
 /// Put off for up to 3 s after an answer, the watches of 300 nodes stood in a queue with those that go on.
 #[test]
 fn a_watch_is_opened_at_once_after_an_answer_however_often_the_calls_before_it_were_turned_away() {
-    for following in [pushed(300), Following { subscribe: true, ..pushed(300) }] {
+    for following in [pushed(300), DiscoverySettings { watch: true, ..pushed(300) }] {
         for (times, took) in [(0, SECOND), (1, Duration::from_millis(5)), (4, 2 * SECOND)] {
             let mut pace = refused(times, following);
             let call = next(&pace, following, 7);
@@ -87,7 +91,7 @@
 
 #[test]
 fn where_discovery_has_moved_or_was_silent_nothing_is_waited_for_after_the_answer() {
-    let asking = Following { subscribe: true, ..pushed(300) };
+    let asking = DiscoverySettings { watch: true, ..pushed(300) };
     let (mut moved, mut silent) = (Pace::new(false), Pace::new(false));
     moved.moved();
     silent.ended(next(&silent, asking, 1), End::Silent, 11 * SECOND);
@@ -106,10 +110,10 @@
 fn a_failed_call_and_the_next_one_take_less_than_six_seconds_together() {
     for seed in 0..2_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let following = Following {
-            subscribe: rng.bool(),
-            ask_in: 10 * SECOND,
-            nodes: [4, 30, 300, 900][rng.usize(..4)],
+        let following = DiscoverySettings {
+            watch: rng.bool(),
+            max_poll_interval: 10 * SECOND,
+            node_count: [4, 30, 300, 900][rng.usize(..4)],
         };
         let mut pace = Pace::new(rng.bool());
         for _ in 0..20 {
--- a/crates/node/src/discovery/tests/told.rs
+++ b/crates/node/src/discovery/tests/told.rs
@@ -34,7 +34,7 @@
         if wait.is_zero() {
             stream.write_all(NOTHING.as_bytes()).await.unwrap();
             wait = read_call(&mut stream).await;
-            assert!(matches!(self.heard.recv().await, Some(Message::List(_))));
+            assert!(matches!(self.heard.recv().await, Some(Message::EndpointList(_))));
         }
         (stream, wait)
     }
@@ -44,7 +44,7 @@
         let told = async {
             loop {
                 match self.heard.recv().await.expect("the watch goes on") {
-                    Message::List(list) if list.version == 42 => return,
+                    Message::EndpointList(list) if list.version == 42 => return,
                     _ => {}
                 }
             }
@@ -133,7 +133,7 @@
         let before = TcpStream::connect(at).await.unwrap(); // fills the backlog
         let mut stage = Stage::seeded(case.0, case.1, case.2, at, listener);
         for _ in 0..4 {
-            assert!(matches!(stage.heard.recv().await, Some(Message::ListFailed)));
+            assert!(matches!(stage.heard.recv().await, Some(Message::EndpointListFailed)));
         }
         // Room for one connection at a time from now on; the connect that is out has been dropped by then.
         sleep(Duration::from_millis(10)).await;
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use stonefold_balancer::{AttemptEnd, Event, Micros, Outcome, RequestId, ServerId};
+use stonefold_balancer::{AttemptEnd, AttemptId, Event, Micros, Outcome, RequestId, ServerId};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 use tracing::trace;
@@ -11,9 +11,9 @@
 use super::open_request::{Open, Running};
 use super::{Driver, Due};
 use crate::invariants::Invariant;
-use crate::message::{Ended, Message};
+use crate::message::{FinishedAttempt, Message};
 use crate::relay::{Pass, Stream};
-use crate::request::Answer;
+use crate::request::Response;
 use crate::upstream::attempt;
 use crate::upstream::connection::Connection;
 use crate::upstream::directory::Target;
@@ -37,13 +37,13 @@
         if repeats {
             self.metrics.violations.note(Invariant::NoUnsafeRepeat, &open.command.id);
             open.attempts.push(None);
-            return self.report_end(id, attempt, Outcome::Ignored, Duration::ZERO, None);
+            return self.report_end(id, attempt, Outcome::NotSent, Duration::ZERO, None);
         }
         if open.client.has_ended() {
             // Word of it waits in the inbox, behind what made the module send.
             open.attempts.push(None);
             self.gone(id);
-            return self.report_end(id, attempt, Outcome::Ignored, Duration::ZERO, None);
+            return self.report_end(id, attempt, Outcome::NotSent, Duration::ZERO, None);
         }
         let place = self.directory.check_out(server, now, conditions).filter(|(_, pooled)| {
             let held = self.running + self.directory.idle();
@@ -55,7 +55,7 @@
         });
         let Some((target, pooled)) = place else {
             open.attempts.push(None);
-            return self.report_end(id, attempt, Outcome::Ignored, Duration::ZERO, None);
+            return self.report_end(id, attempt, Outcome::NotSent, Duration::ZERO, None);
         };
         let timer = self.timers.insert_at(Due::Attempt(id, attempt), due);
         trace!(event = "sent", request = %open.name(), attempt, at = %target.addr,
@@ -82,13 +82,21 @@
         let metrics = self.metrics.clone();
         let begun = self.to_self.clone();
         // A driver that is gone drops the stream, and the attempt ends.
-        let begin = move |stream| _ = begun.send(Message::Begun(id, attempt, stream));
+        let begin = move |stream| {
+            _ = begun.send(Message::ResponseStarted { attempt: AttemptId::new(id, attempt), stream })
+        };
         let pass = Pass { budget: self.budget.clone(), begin: Box::new(begin) };
         let work = async move {
             let addr = target.addr;
             let (reply, connection) =
                 attempt::run(target, pooled, &command, deadline, connect_timeout, &metrics, pass).await;
-            let _ = to.send(Message::Ended(Ended { id, attempt, reply, server, addr, connection }));
+            let _ = to.send(Message::AttemptFinished(FinishedAttempt {
+                attempt: AttemptId { request: id, number: attempt },
+                reply,
+                server,
+                addr,
+                connection,
+            }));
         };
         tokio::spawn(work).abort_handle()
     }
@@ -119,11 +127,17 @@
         let Some(open) = self.open.get(&id).filter(|open| open.answer.is_none()) else { return };
         let unwritten = |&n: &usize| open.attempts[n].is_some() && !open.starts[n].is_set();
         let unwritten: Vec<usize> = (0..open.attempts.len()).filter(unwritten).collect();
-        unwritten.into_iter().for_each(|attempt| self.give_up(id, attempt, Outcome::Ignored));
+        unwritten.into_iter().for_each(|attempt| self.give_up(id, attempt, Outcome::NotSent));
     }
 
-    pub(super) fn ended(&mut self, ended: Ended) {
-        let Ended { id, attempt, reply, server, addr, connection } = ended;
+    pub(super) fn ended(&mut self, ended: FinishedAttempt) {
+        let FinishedAttempt {
+            attempt: AttemptId { request: id, number: attempt },
+            reply,
+            server,
+            addr,
+            connection,
+        } = ended;
         let running = self.close(id, attempt);
         if let Some(connection) = connection {
             self.directory.check_in(server, addr, connection, Instant::now());
@@ -133,8 +147,8 @@
             self.timers.try_remove(&timer);
         }
         match running.coming {
-            Some(_) => self.count_end(id, reply.outcome == Outcome::Ok),
-            None if reply.outcome == Outcome::Ok => self.answer(id, Answer::Served(reply.value)),
+            Some(_) => self.count_end(id, reply.outcome == Outcome::Success),
+            None if reply.outcome == Outcome::Success => self.answer(id, Response::Value(reply.value)),
             None => {}
         }
         // How long a long value takes tells of its length and its client, not of the server.
@@ -153,8 +167,8 @@
         }
         running.coming = Some(running.sent.elapsed());
         open.answered_at = Some(Instant::now());
-        let _ = sender.send(Answer::Stream(stream)); // the client may have left
-        self.events.push_back(Event::FirstByte { id, attempt });
+        let _ = sender.send(Response::Stream(stream)); // the client may have left
+        self.events.push_back(Event::ResponseStarted(AttemptId::new(id, attempt)));
         self.stop_unwritten(id);
     }
 
@@ -187,8 +201,14 @@
             trace!(event = "attempt_ended", request = %open.name(), attempt, ?outcome, elapsed_us = elapsed,
                 "an attempt has ended");
         }
-        let end = AttemptEnd { elapsed, settled, hit, begun, ..AttemptEnd::new(id, attempt, outcome) };
-        self.events.push_back(Event::Outcome(end));
+        let end = AttemptEnd {
+            elapsed,
+            settled,
+            cache_hit: hit,
+            bytes_sent: begun,
+            ..AttemptEnd::new(AttemptId::new(id, attempt), outcome)
+        };
+        self.events.push_back(Event::AttemptEnded(end));
         self.remove_if_done(id);
     }
 }
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -10,8 +10,10 @@
 use std::sync::atomic::AtomicUsize;
 use std::time::Duration;
 
-use stonefold_balancer::setup::{Setup, micros};
-use stonefold_balancer::{Action, Balancer, Event, ListScope, Micros, Outcome, RequestId, TimerToken};
+use stonefold_balancer::settings_document::{ResolvedSettings, micros_from_millis};
+use stonefold_balancer::{
+    Action, AttemptId, Balancer, EndpointUpdate, Event, Micros, Outcome, RequestId, TimerToken,
+};
 use stonefold_proto::list::List;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver, UnboundedSender};
@@ -22,11 +24,11 @@
 use open_request::{Clock, Open};
 
 use crate::config::Config;
-use crate::message::{Control, Message, Terms};
+use crate::message::{Control, Message, SharedSettings};
 use crate::metrics::Metrics;
 use crate::orders::Orders;
 use crate::relay::Budget;
-use crate::request::Answer;
+use crate::request::Response;
 use crate::shared::Ledger;
 use crate::stall::StallMonitor;
 use crate::upstream::directory::Directory;
@@ -73,7 +75,7 @@
     balancer: Balancer,
     metrics: Arc<Metrics>,
     stalls: StallMonitor,
-    setup: Setup,
+    setup: ResolvedSettings,
     clock: Clock,
     /// The time that this turn goes by, read before anything else in it.
     ///
@@ -107,7 +109,7 @@
     pub fn new(config: Config, connections: usize, wiring: Wiring, orders: Orders) -> Self {
         let Wiring { stalls, budget, metrics, held, subscribe, to_self, inbox, control } = wiring;
         let (clock, now, settings) = (Clock::new(), Instant::now(), config.setup.settings.clone());
-        let directory = Directory::new(Duration::from_micros(settings.keepalive), metrics.clone());
+        let directory = Directory::new(Duration::from_micros(settings.idle_timeout), metrics.clone());
         let mut driver = Driver {
             balancer: Balancer::new(settings, config.seed, clock.at(now)),
             metrics,
@@ -190,13 +192,13 @@
 
     fn on_control(&mut self, control: Control) {
         match control {
-            Control::Stopping(at) => {
-                self.events.push_back(Event::Stopping(self.clock.at(at)));
+            Control::Shutdown(at) => {
+                self.events.push_back(Event::Shutdown { deadline: self.clock.at(at) });
             }
             // Who asked may have left.
-            Control::Known(name, answer) => _ = answer.send(self.directory.knows(&name)),
+            Control::IsKnownServer { name, reply: answer } => _ = answer.send(self.directory.knows(&name)),
             Control::Reload(stated, answer) => {
-                let terms = self.setup.followed_by(*stated).map(|setup| self.apply_settings(setup));
+                let terms = self.setup.updated_with(*stated).map(|setup| self.apply_settings(setup));
                 self.decide();
                 let _ = answer.send(terms);
             }
@@ -209,12 +211,12 @@
     }
 
     /// Goes by new settings. Requests that are open keep the rules they arrived under.
-    fn apply_settings(&mut self, setup: Setup) -> Terms {
+    fn apply_settings(&mut self, setup: ResolvedSettings) -> SharedSettings {
         self.setup = setup;
         let settings = &self.setup.settings;
-        self.directory.set_keepalive(Duration::from_micros(settings.keepalive));
+        self.directory.set_keepalive(Duration::from_micros(settings.idle_timeout));
         self.events.push_back(Event::Settings(Box::new(settings.clone())));
-        Terms::of(&self.setup)
+        SharedSettings::from(&self.setup)
     }
 
     /// Brings into force what differs from the orders so far. Those given while the process runs count from when they
@@ -230,7 +232,7 @@
             let event = match order.out {
                 true => Event::Disable(server),
                 false => {
-                    let since = told.unwrap_or(micros(order.since_ms as f64));
+                    let since = told.unwrap_or(micros_from_millis(order.since_ms as f64));
                     Event::Enable { server, since }
                 }
             };
@@ -246,19 +248,21 @@
 
     fn on_message(&mut self, message: Message) {
         match message {
-            Message::Arrived(arrival) => self.arrived(arrival),
-            Message::Surplus(surplus) => self.refuse(surplus),
-            Message::Gone(id) => self.gone(id),
-            Message::Begun(id, attempt, stream) => self.begun(id, attempt, stream),
-            Message::Ended(ended) => self.ended(ended),
-            Message::List(list) => {
+            Message::RequestReceived(arrival) => self.arrived(arrival),
+            Message::ExcessRequest(surplus) => self.refuse(surplus),
+            Message::ClientDisconnected(id) => self.gone(id),
+            Message::ResponseStarted { attempt: AttemptId { request: id, number: attempt }, stream } => {
+                self.begun(id, attempt, stream)
+            }
+            Message::AttemptFinished(ended) => self.ended(ended),
+            Message::EndpointList(list) => {
                 if self.ledger.as_mut().is_none_or(|ledger| ledger.enter(&list)) {
                     self.list(list);
                 }
                 self.answered = true;
             }
             // The watch comes again by itself; the list stays as it was.
-            Message::ListFailed => self.metrics.list_failures.add_one(),
+            Message::EndpointListFailed => self.metrics.list_failures.add_one(),
         }
     }
 
@@ -290,19 +294,21 @@
 
     fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout, repeat_until } => {
+            Action::Send { request: id, server, timeout, send_before: repeat_until } => {
                 let repeat_until = repeat_until.map(|until| self.clock.instant(until));
                 self.send(id, server, Duration::from_micros(timeout), repeat_until);
             }
-            Action::Cancel { id, attempt } => self.give_up(id, attempt, Outcome::Canceled),
-            Action::Refuse { id, retry_after } => self.end(id, Answer::Busy(retry_after)),
-            Action::Fail(id) => self.end(id, Answer::Failed),
+            Action::Cancel(AttemptId { request: id, number: attempt }) => {
+                self.give_up(id, attempt, Outcome::Canceled)
+            }
+            Action::Reject { request: id, retry_after } => self.end(id, Response::Rejected { retry_after }),
+            Action::Fail(id) => self.end(id, Response::Failed),
             Action::SetTimer { after, token } => {
                 let after = Duration::from_micros(after).min(LONGEST_TIMER);
                 self.timers.insert_at(Due::Module(token), self.now + after);
             }
-            Action::Subscribe => self.subscribe.notify_one(),
-            Action::Disconnect(server) => self.directory.disconnect(server),
+            Action::WatchEndpoints => self.subscribe.notify_one(),
+            Action::CloseIdleConnections(server) => self.directory.disconnect(server),
         }
     }
 
@@ -319,10 +325,10 @@
     }
 
     fn list(&mut self, list: List) {
-        let scope = if list.full { ListScope::Full } else { ListScope::Delta };
+        let scope = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
         let now = self.clock.at(self.now);
         let dated = if self.answered { ListDate::Later(now) } else { ListDate::First(now) };
         let members = self.directory.apply(list, dated, &mut self.setup);
-        self.events.push_back(Event::Members { scope, members });
+        self.events.push_back(Event::Endpoints { update: scope, endpoints: members });
     }
 }
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use stonefold_balancer::{Effect, Micros};
+use stonefold_balancer::{Idempotency, Micros};
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
@@ -13,22 +13,22 @@
 
 use crate::metrics::Outcomes;
 use crate::presence::Presence;
-use crate::request::{Answer, Command};
+use crate::request::{ClientRequest, Response};
 use crate::upstream::send_permit::SendStart;
 
 /// A request that is owed an answer or has an attempt out.
 pub struct Open {
-    pub command: Arc<Command>,
-    /// Until when its client waits, less [`ANSWER_RESERVE`](crate::request::ANSWER_RESERVE).
+    pub command: Arc<ClientRequest>,
+    /// Until when its client waits, less [`RESPONSE_RESERVE`](crate::request::RESPONSE_RESERVE).
     pub deadline: Instant,
     /// Taken by the final answer.
-    pub answer: Option<oneshot::Sender<Answer>>,
+    pub answer: Option<oneshot::Sender<Response>>,
     /// By their numbers; nothing once an attempt has ended.
     pub attempts: Vec<Option<Running>>,
     /// Of each of them, whether and when its first byte went out.
     pub starts: Vec<SendStart>,
     /// Whether it may be sent again after it may have run.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Whether an attempt has ended that may have run.
     pub may_have_run: bool,
     /// When its final answer was given.
@@ -48,7 +48,7 @@
     /// repeated.
     pub fn must_not_repeat(&self) -> bool {
         let out = |(running, start): (&Option<Running>, &SendStart)| running.is_some() && start.is_set();
-        self.effect == Effect::Unsafe
+        self.effect == Idempotency::NonIdempotent
             && (self.may_have_run || self.attempts.iter().zip(&self.starts).any(out))
     }
 
@@ -60,13 +60,13 @@
     }
 
     /// What is said of a request that was not served.
-    pub fn note_end(&self, answer: &Answer) {
+    pub fn note_end(&self, answer: &Response) {
         let (event, retry_after_us) = match answer {
-            Answer::Served(_) | Answer::Stream(_) => return,
-            Answer::Busy(wait) => ("refused", *wait),
-            Answer::Failed => ("failed", 0),
+            Response::Value(_) | Response::Stream(_) => return,
+            Response::Rejected { retry_after: wait } => ("refused", *wait),
+            Response::Failed => ("failed", 0),
         };
-        debug!(event, class = self.command.fact("c"), tenant = self.command.fact("t"),
+        debug!(event, class = self.command.metadata_value("c"), tenant = self.command.metadata_value("t"),
             request = %self.name(), attempts = self.attempts.len(), retry_after_us,
             "a request is not served");
     }
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -9,30 +9,30 @@
 
 use super::Driver;
 use super::open_request::Open;
-use crate::message::{Arrival, Surplus};
-use crate::request::{ANSWER_RESERVE, Answer};
+use crate::message::{ExcessRequest, IncomingRequest};
+use crate::request::{RESPONSE_RESERVE, Response};
 
 impl Driver {
-    pub(super) fn arrived(&mut self, arrival: Arrival) {
-        let Arrival { id, command, at, answer, client } = arrival;
+    pub(super) fn arrived(&mut self, arrival: IncomingRequest) {
+        let IncomingRequest { id, request: command, received_at: at, response: answer, client } = arrival;
         if client.has_ended() {
             return; // its answer would go nowhere
         }
-        let spent = self.now.saturating_duration_since(at) + ANSWER_RESERVE;
+        let spent = self.now.saturating_duration_since(at) + RESPONSE_RESERVE;
         let request = Request {
             id,
-            class: command.fact("c").and_then(|name| self.setup.class(name)),
-            tenant: command.fact("t").and_then(|name| self.setup.tenant(name)),
+            class: command.metadata_value("c").and_then(|name| self.setup.class(name)),
+            tenant: command.metadata_value("t").and_then(|name| self.setup.tenant(name)),
             key: Some(command.key.clone()),
-            budget: command.wait.saturating_sub(spent.as_micros() as Micros),
-            write: command.value.is_some(),
+            timeout: command.timeout.saturating_sub(spent.as_micros() as Micros),
+            is_write: command.value.is_some(),
         };
-        let class = command.fact("c").filter(|_| request.class.is_some());
+        let class = command.metadata_value("c").filter(|_| request.class.is_some());
         let outcomes = class.map(|class| self.metrics.class(class));
-        let deadline = self.now + Duration::from_micros(request.budget);
+        let deadline = self.now + Duration::from_micros(request.timeout);
         let (command, answer) = (Arc::new(command), Some(answer));
         let (attempts, starts) = Default::default();
-        let effect = self.setup.settings.effect(request.class, request.write);
+        let effect = self.setup.settings.idempotency(request.class, request.is_write);
         let open = Open {
             command,
             deadline,
@@ -50,15 +50,15 @@
     }
 
     /// Refuses a request that is beyond what its connection may have open.
-    pub(super) fn refuse(&mut self, surplus: Surplus) {
+    pub(super) fn refuse(&mut self, surplus: ExcessRequest) {
         let class = surplus.class.as_deref();
         let index = class.and_then(|name| self.setup.class(name));
         if let Some(name) = class.filter(|_| index.is_some()) {
             self.metrics.class(name).refused.add_one();
         }
-        let pause = self.balancer.retry_pause(index);
+        let pause = self.balancer.retry_after(index);
         debug!(event = "refused", class, retry_after_us = pause, "a connection has too many requests open");
-        let _ = surplus.answer.send(Answer::Busy(pause)); // the client may have left
+        let _ = surplus.response.send(Response::Rejected { retry_after: pause }); // the client may have left
     }
 
     pub(super) fn gone(&mut self, id: RequestId) {
@@ -69,28 +69,28 @@
                 let late = open.starts.iter().filter(|start| start.after(ended_at)).count();
                 self.metrics.note_client_end(ended_at.elapsed(), late);
             }
-            self.events.push_back(Event::ClientGone(id));
+            self.events.push_back(Event::ClientDisconnected(id));
             self.stop_unwritten(id);
             self.remove_if_done(id);
         }
     }
 
     /// The final answer, after which the request may be done with.
-    pub(super) fn end(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn end(&mut self, id: RequestId, answer: Response) {
         self.answer(id, answer);
         self.stop_unwritten(id);
         self.remove_if_done(id);
     }
 
     /// The final answer; a second one goes nowhere.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: Response) {
         let Some(open) = self.open.get_mut(&id) else { return };
         if let Some(sender) = open.answer.take() {
             if let Some(outcomes) = &open.outcomes {
                 let figure = match &answer {
-                    Answer::Served(_) | Answer::Stream(_) => &outcomes.served,
-                    Answer::Busy(_) => &outcomes.refused,
-                    Answer::Failed => &outcomes.failed,
+                    Response::Value(_) | Response::Stream(_) => &outcomes.served,
+                    Response::Rejected { retry_after: _ } => &outcomes.refused,
+                    Response::Failed => &outcomes.failed,
                 };
                 figure.add_one();
             }
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 
-use stonefold_balancer::MemberState;
+use stonefold_balancer::EndpointState;
 use stonefold_observe::Dropped;
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::config::Config;
 use crate::driver::{Driver, Wiring};
-use crate::message::{Message, Terms};
+use crate::message::{Message, SharedSettings};
 use crate::metrics::Metrics;
 use crate::order_store::{self, OrderStore};
 use crate::orders::{OrderFile, Orders};
@@ -27,7 +27,7 @@
 
 impl Acted<'_> {
     /// How a server was last listed, and since when it runs in ms of Unix time; nothing if it is not listed.
-    pub fn listed(&self, name: &str) -> Option<(MemberState, f64)> {
+    pub fn listed(&self, name: &str) -> Option<(EndpointState, f64)> {
         self.driver.directory().listed(name)
     }
 
@@ -45,7 +45,7 @@
     let subscribe = Arc::new(Notify::new());
     let known = (!config.known.servers.is_empty()).then_some(config.known.version);
     let (_address, address) = watch::channel(config.discovery);
-    let (_terms, terms) = watch::channel(Terms::of(&config.setup));
+    let (_terms, terms) = watch::channel(SharedSettings::from(&config.setup));
     let watching = discovery::Watch::new(subscribe.clone(), known, terms, config.seed, to_driver);
     let (control, directions) = mpsc::channel(CONTROLS);
     let store = Arc::new(OrderStore::File(OrderFile::of_node()));
@@ -75,7 +75,7 @@
         tokio::select! {
             biased;
             Some(message) = heard.recv() => {
-                let version = if let Message::List(list) = &message { Some(list.version) } else { None };
+                let version = if let Message::EndpointList(list) = &message { Some(list.version) } else { None };
                 driver.take(message);
                 if let Some(version) = version {
                     acted(Acted { version, driver: &driver });
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -40,7 +40,7 @@
 use config::Config;
 use driver::{Driver, Wiring};
 use membership::Membership;
-use message::{Control, Terms};
+use message::{Control, SharedSettings};
 use metrics::Metrics;
 use operator_handler::OperatorHandler;
 use order_store::OrderStore;
@@ -70,11 +70,11 @@
     let (new_address, address) = watch::channel(config.discovery);
     let to_servers = Arc::new(AtomicUsize::new(0));
     let (bounds, servers_limit) = (config.client_bounds(to_servers.clone()), config.server_connections());
-    let (new_terms, terms) = watch::channel(Terms::of(&config.setup));
+    let (new_terms, terms) = watch::channel(SharedSettings::from(&config.setup));
     let watching =
         discovery::Watch::new(subscribe.clone(), known, terms.clone(), config.seed, sender.clone());
     let metrics = Arc::new(Metrics::new(log));
-    terms.borrow().classes.iter().for_each(|class| _ = metrics.class(class));
+    terms.borrow().class_names.iter().for_each(|class| _ = metrics.class(class));
     let (control, directions) = mpsc::channel(CONTROLS);
     let in_file = || OrderStore::File(OrderFile::of_node());
     let store = Arc::new(shared.clone().map_or_else(in_file, OrderStore::Shared));
@@ -137,9 +137,9 @@
     }
     info!(event = "stopping", "what was taken is answered, new connections are taken for a moment");
     let stopped = stalls.earliest_arrival(Instant::now()); // the word may have come in a stall
-    let plan = Plan::new(terms.borrow().longest, handover::is_passed());
+    let plan = Plan::new(terms.borrow().max_deadline, handover::is_passed());
     // A driver that is gone takes nothing.
-    let _ = control.send(Control::Stopping(stopped + plan.answers)).await;
+    let _ = control.send(Control::Shutdown(stopped + plan.answers)).await;
     serving.store(false, Ordering::Relaxed);
     if let Some(membership) = membership {
         membership.leave().await;
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,11 +1,11 @@
-//! What the parts of the node tell the driver.
+//! Messages to the driver, which alone owns the open requests and the decisions.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use stonefold_balancer::setup::{Setup, SetupError, Stated};
-use stonefold_balancer::{RequestId, ServerId};
+use stonefold_balancer::settings_document::{ResolvedSettings, SettingsDocument, SettingsError};
+use stonefold_balancer::{AttemptId, RequestId, ServerId};
 use stonefold_proto::list::List;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -13,97 +13,105 @@
 use crate::orders::Orders;
 use crate::presence::Presence;
 use crate::relay::Stream;
-use crate::request::{Answer, Command};
+use crate::request::{ClientRequest, Response};
 use crate::upstream::connection::Connection;
 use crate::upstream::reply::Reply;
 
-/// What the driver is told.
+/// What the other parts of the node notify the driver of.
 ///
 /// The channel has no bound of its own: sessions and attempts, of which there are only so many, each
 /// have few messages under way.
 pub enum Message {
-    Arrived(Arrival),
-    Surplus(Surplus),
-    Gone(RequestId),
-    /// The value of an attempt has begun to come.
-    Begun(RequestId, usize, Stream),
-    Ended(Ended),
-    List(List),
-    /// A call for the list failed.
-    ListFailed,
+    /// A client sent a request.
+    RequestReceived(IncomingRequest),
+    /// A client sent a request beyond what its connection may have open.
+    ExcessRequest(ExcessRequest),
+    /// The client of a request disconnected.
+    ClientDisconnected(RequestId),
+    /// The value of an attempt has begun to arrive and is forwarded while it does.
+    ResponseStarted { attempt: AttemptId, stream: Stream },
+    /// An attempt ran to its end.
+    AttemptFinished(FinishedAttempt),
+    /// An endpoint list, complete or changed entries only.
+    EndpointList(List),
+    /// A poll or watch of the endpoint list failed.
+    EndpointListFailed,
 }
 
-/// What the settings mean for the parts round the driver.
+/// Control messages, which the driver takes before all others, however many of those wait.
+pub enum Control {
+    /// Graceful shutdown: the process ends at this time, and every request must have its response by then.
+    Shutdown(Instant),
+    /// Asks whether there is a server of this name.
+    IsKnownServer { name: String, reply: oneshot::Sender<bool> },
+    /// New settings; the reply is what they mean for the other parts of the node.
+    Reload(Box<SettingsDocument>, oneshot::Sender<Result<SharedSettings, SettingsError>>),
+    /// The operators' orders for servers, as they are now. The sender is notified once they are in force.
+    Orders(Orders, Option<oneshot::Sender<()>>),
+}
+
+/// What the settings mean for the parts of the node around the driver.
 #[derive(Clone)]
-pub struct Terms {
+pub struct SharedSettings {
     /// Classes that clients may name.
-    pub classes: HashSet<String>,
-    /// The longest that a client of any class waits.
-    pub longest: Duration,
-    /// How the list of servers is followed.
-    pub following: Following,
+    pub class_names: HashSet<String>,
+    /// The longest deadline of any class, counted from the request.
+    pub max_deadline: Duration,
+    /// How the endpoint list is followed.
+    pub discovery: DiscoverySettings,
 }
 
-/// How the list of servers is followed.
+/// How the endpoint list is followed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Following {
-    /// Whether a fleet shares one discovery that is asked; else it pushes lists.
-    pub subscribe: bool,
-    /// Without a subscription the list is asked for at least this often.
-    pub ask_in: Duration,
-    pub nodes: usize,
+pub struct DiscoverySettings {
+    /// Whether a fleet shares one discovery service that has to be watched; else an agent pushes lists.
+    pub watch: bool,
+    /// Without a watch the list is polled at least this often.
+    pub max_poll_interval: Duration,
+    /// Nodes that share the discovery service, this one included.
+    pub node_count: usize,
 }
 
-impl Terms {
-    pub fn of(setup: &Setup) -> Terms {
-        let settings = &setup.settings;
-        Terms {
-            classes: setup.class_names().clone(),
-            longest: Duration::from_micros(setup.longest_deadline),
-            following: Following {
-                subscribe: settings.must_subscribe,
-                ask_in: Duration::from_micros(settings.must_ask_in),
-                nodes: settings.nodes,
+impl From<&ResolvedSettings> for SharedSettings {
+    fn from(resolved: &ResolvedSettings) -> SharedSettings {
+        let settings = &resolved.settings;
+        SharedSettings {
+            class_names: resolved.class_names().clone(),
+            max_deadline: Duration::from_micros(resolved.max_deadline),
+            discovery: DiscoverySettings {
+                watch: settings.watch_required,
+                max_poll_interval: Duration::from_micros(settings.max_poll_interval),
+                node_count: settings.node_count,
             },
         }
     }
 }
 
-/// What the driver is told before all else, whatever waits in its inbox.
-pub enum Control {
-    /// The process ends at this time: what comes from now on has to be answered by then.
-    Stopping(Instant),
-    /// Whether there is a server of this name.
-    Known(String, oneshot::Sender<bool>),
-    /// New settings; the answer tells what follows from them for the other parts.
-    Reload(Box<Stated>, oneshot::Sender<Result<Terms, SetupError>>),
-    /// The orders for servers, as they are now. The sender is told once they are in force.
-    Orders(Orders, Option<oneshot::Sender<()>>),
-}
-
-/// A client's request.
-pub struct Arrival {
+/// A client's request as it reaches the driver.
+pub struct IncomingRequest {
     pub id: RequestId,
-    pub command: Command,
+    pub request: ClientRequest,
     /// When its last byte was read.
-    pub at: Instant,
-    pub answer: oneshot::Sender<Answer>,
+    pub received_at: Instant,
+    /// Takes the response.
+    pub response: oneshot::Sender<Response>,
     pub client: Presence,
 }
 
-/// A request beyond what one connection may have open. It is refused at once and never begun.
-pub struct Surplus {
+/// A request beyond what one connection may have open. It is rejected at once and never forwarded.
+pub struct ExcessRequest {
     /// The class that it names.
     pub class: Option<String>,
-    pub answer: oneshot::Sender<Answer>,
+    /// Takes the response.
+    pub response: oneshot::Sender<Response>,
 }
 
 /// An attempt that has run to its end.
-pub struct Ended {
-    pub id: RequestId,
-    pub attempt: usize,
+pub struct FinishedAttempt {
+    pub attempt: AttemptId,
     pub reply: Reply,
     pub server: ServerId,
     pub addr: SocketAddr,
+    /// The connection, if it can be used again.
     pub connection: Option<Connection>,
 }
--- a/crates/node/src/operator_handler.rs
+++ b/crates/node/src/operator_handler.rs
@@ -42,7 +42,8 @@
 impl OperatorHandler {
     /// Takes a server out of use or puts it back. Once this returns, the order is kept and in force.
     async fn order(&self, id: String, out: bool) -> Result<(), OrderError> {
-        let known = self.ask_driver(|answer| Control::Known(id.clone(), answer)).await?;
+        let known =
+            self.ask_driver(|answer| Control::IsKnownServer { name: id.clone(), reply: answer }).await?;
         if !known {
             return Err(OrderError::Unknown(id));
         }
--- a/crates/node/src/order_store.rs
+++ b/crates/node/src/order_store.rs
@@ -94,7 +94,7 @@
             if let OrderStore::Shared(shared) = &*store
                 && let Some(list) = shared.newer_list()
             {
-                let _ = to.send(Message::List(list)); // nobody to tell at the end
+                let _ = to.send(Message::EndpointList(list)); // nobody to tell at the end
             }
             match store.load() {
                 Ok(orders) => {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -10,7 +10,7 @@
 use tracing::{Instrument, error, info, info_span};
 
 use crate::config::{ConfigError, Followed};
-use crate::message::{Control, Terms};
+use crate::message::{Control, SharedSettings};
 use crate::metrics::Metrics;
 use crate::momentary::until_done;
 use crate::shared::Shared;
@@ -24,7 +24,7 @@
     pub control: mpsc::Sender<Control>,
     pub metrics: Arc<Metrics>,
     pub new_address: watch::Sender<SocketAddr>,
-    pub new_terms: watch::Sender<Terms>,
+    pub new_terms: watch::Sender<SharedSettings>,
     pub shared: Option<Arc<dyn Shared>>,
 }
 
@@ -32,7 +32,7 @@
     /// Goes on until the process ends.
     pub async fn run(mut self, mut reload: Signal) {
         // When dropped classes are no longer taken, and what holds then.
-        let mut settled: Option<(Instant, Terms)> = None;
+        let mut settled: Option<(Instant, SharedSettings)> = None;
         let (shared, mut seen) = (self.shared.clone(), 0);
         loop {
             let at = settled.as_ref().map(|(at, _)| *at);
@@ -59,7 +59,7 @@
         }
     }
 
-    async fn reload(&mut self) -> Option<Terms> {
+    async fn reload(&mut self) -> Option<SharedSettings> {
         let taken = self.take().instrument(info_span!("reload")).await;
         let refused = |error: &ConfigError| {
             self.metrics.reloads_refused.add_one();
@@ -69,22 +69,22 @@
     }
 
     /// Brings the file as it is now into force. An error leaves all as it was.
-    async fn take(&mut self) -> Result<Terms, ConfigError> {
+    async fn take(&mut self) -> Result<SharedSettings, ConfigError> {
         let (new, file) = until_done(|| self.file.read()).await?;
         let (sender, answer) = oneshot::channel();
         let told = self.control.send(Control::Reload(Box::new(new.settings), sender)).await;
         told.map_err(|_| ConfigError::Ending)?;
         let terms = answer.await.map_err(|_| ConfigError::Ending)?.map_err(ConfigError::Settings)?;
         self.file.follow(file);
-        terms.classes.iter().for_each(|class| _ = self.metrics.class(class));
+        terms.class_names.iter().for_each(|class| _ = self.metrics.class(class));
         self.new_terms.send_modify(|now| {
-            now.classes.extend(terms.classes.iter().cloned());
-            now.longest = now.longest.max(terms.longest);
-            now.following = terms.following;
+            now.class_names.extend(terms.class_names.iter().cloned());
+            now.max_deadline = now.max_deadline.max(terms.max_deadline);
+            now.discovery = terms.discovery;
         });
         let at = new.discovery;
         self.new_address.send_if_modified(|now| std::mem::replace(now, at) != at);
-        info!(event = "reloaded", discovery = %at, classes = terms.classes.len(), "new configuration in force");
+        info!(event = "reloaded", discovery = %at, classes = terms.class_names.len(), "new configuration in force");
         self.metrics.reloads.add_one();
         Ok(terms)
     }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request and its answer, whatever protocol they came by and go out on.
+//! A client's request and its response, independent of the protocol they are read from and written to.
 
 use std::str;
 use std::time::Duration;
@@ -9,49 +9,54 @@
 
 use crate::relay::Stream;
 
-/// Kept back from a client's time, for the way of the answer and the grain of timers.
-pub const ANSWER_RESERVE: Duration = Duration::from_millis(5);
+/// Part of a client's time that is reserved for the way of the response and the granularity of timers.
+pub const RESPONSE_RESERVE: Duration = Duration::from_millis(5);
+
+/// The metadata field that states the time left, in whole milliseconds.
+const TIME_LEFT_FIELD: &str = "d=";
 
 /// A client's request.
 #[derive(Debug)]
-pub struct Command {
+pub struct ClientRequest {
     pub key: String,
+    /// The id that the client gave it, forwarded as it is.
     pub id: Bytes,
-    /// Names and values.
-    pub facts: Bytes,
-    /// What a write stores.
+    /// Names and values, as `name=value` parts separated by commas.
+    pub metadata: Bytes,
+    /// What a write stores; nothing for a read.
     pub value: Option<Bytes>,
     /// How long the client will wait.
-    pub wait: Micros,
+    pub timeout: Micros,
 }
 
-impl Command {
-    /// A value by its name.
-    pub fn fact(&self, name: &str) -> Option<&str> {
-        resp::fact(str::from_utf8(&self.facts).ok()?, name)
+impl ClientRequest {
+    /// A metadata value by its name.
+    pub fn metadata_value(&self, name: &str) -> Option<&str> {
+        resp::fact(str::from_utf8(&self.metadata).ok()?, name)
     }
 
-    /// The names and values as they came, except that `d` states the time left, in whole milliseconds.
+    /// The metadata as received, except that `d` states the time left, in whole milliseconds.
     ///
-    /// Called right before an attempt is written. Guards against a server that works on for a client whose time was
-    /// spent on earlier attempts, or on opening the connection.
-    pub fn facts_with_wait(&self, left: Duration) -> Vec<u8> {
-        let wait = format!("d={}", left.as_millis());
-        let facts = self.facts.split(|&b| b == b',').map(|fact| match fact.starts_with(b"d=") {
-            true => wait.as_bytes(),
-            false => fact,
+    /// To be called right before an attempt is written: time spent on earlier attempts, or on connecting, is gone,
+    /// and a server that is told more works on for a client that has given up.
+    pub fn metadata_with_time_left(&self, left: Duration) -> Vec<u8> {
+        let time_left = format!("{TIME_LEFT_FIELD}{}", left.as_millis());
+        let fields = self.metadata.split(|&byte| byte == b',').map(|field| {
+            if field.starts_with(TIME_LEFT_FIELD.as_bytes()) { time_left.as_bytes() } else { field }
         });
-        facts.collect::<Vec<_>>().join(&b","[..])
+        fields.collect::<Vec<_>>().join(&b","[..])
     }
 }
 
-/// The final answer to a request.
-pub enum Answer {
-    Served(Bytes),
-    /// Served, in so far as the rest comes.
+/// The final response to a request.
+pub enum Response {
+    /// The value.
+    Value(Bytes),
+    /// The value as it arrives from the server.
     Stream(Stream),
-    /// Refused; the client should stay away so long, if that is not 0.
-    Busy(Micros),
+    /// Rejected without effect; the client should wait this long before a retry, if it is not 0.
+    Rejected { retry_after: Micros },
+    /// Failed, with no promise about the effect.
     Failed,
 }
 
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -11,7 +11,7 @@
 use super::reply::Reply;
 use crate::metrics::Metrics;
 use crate::relay::Pass;
-use crate::request::Command;
+use crate::request::ClientRequest;
 
 #[cfg(test)]
 mod tests;
@@ -21,7 +21,7 @@
 pub async fn run(
     target: Target,
     pooled: Option<Connection>,
-    command: &Command,
+    command: &ClientRequest,
     deadline: Instant,
     connect_timeout: Duration,
     metrics: &Metrics,
@@ -32,8 +32,8 @@
         None => match timeout(connect_timeout, Connection::open(target.addr, target.origin)).await {
             Ok(Ok(connection)) => connection,
             // The machine is short of something: no fault of the server's.
-            Ok(Err(error)) if meaning(&error).is_local() => return (Reply::of(Outcome::Ignored), None),
-            Ok(Err(_)) | Err(_) => return (Reply::of(Outcome::ConnectError), None),
+            Ok(Err(error)) if meaning(&error).is_local() => return (Reply::of(Outcome::NotSent), None),
+            Ok(Err(_)) | Err(_) => return (Reply::of(Outcome::ConnectFailed), None),
         },
     };
     match connection {
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -17,9 +17,9 @@
 const STALL: Duration = Duration::from_millis(60);
 const WAIT: Duration = Duration::from_secs(5);
 
-fn command() -> Command {
+fn command() -> ClientRequest {
     let (id, facts) = ("id".into(), "c=read,d=5000".into());
-    Command { key: "k".into(), id, facts, value: None, wait: 5_000_000 }
+    ClientRequest { key: "k".into(), id, metadata: facts, value: None, timeout: 5_000_000 }
 }
 
 /// A client's connection whose end is noted as a session notes it.
@@ -60,7 +60,7 @@
         run(target, Some(pooled), &command(), deadline, WAIT, &metrics, pass).await.0.outcome
     });
     let outcome = timeout(WAIT, attempt).await.expect("it waits for an answer to what it has written");
-    assert_eq!(outcome.unwrap(), Outcome::Ignored);
+    assert_eq!(outcome.unwrap(), Outcome::NotSent);
     let mut written = Vec::new();
     served.read_to_end(&mut written).unwrap();
     assert_eq!(written, b"");
--- a/crates/node/src/upstream/caches.rs
+++ b/crates/node/src/upstream/caches.rs
@@ -15,7 +15,7 @@
 use super::send_permit::SendPermit;
 use crate::metrics::Metrics;
 use crate::relay::{Left, Pass, STUCK, VALUE_LIMIT, WHOLE, way};
-use crate::request::Command;
+use crate::request::ClientRequest;
 
 /// A value that is passed on whole, and what stands round it.
 const LARGEST: usize = WHOLE + TAIL;
@@ -43,7 +43,7 @@
     /// Sends one request, which states the time left until its deadline, and waits for its answer.
     pub async fn ask(
         mut self,
-        command: &Command,
+        command: &ClientRequest,
         deadline: Instant,
         permit: SendPermit,
         metrics: &Metrics,
@@ -51,7 +51,7 @@
     ) -> (Reply, Option<Self>) {
         permit.stall_over().await;
         let Some(stated) = permit.start(deadline) else {
-            return (Reply::of(Outcome::Ignored), None);
+            return (Reply::of(Outcome::NotSent), None);
         };
         // Broken before the last byte was written: it never ran. After that it may have.
         let write = async {
@@ -63,7 +63,7 @@
             Ok::<_, io::Error>(())
         };
         if write.await.is_err() {
-            return (Reply::of(Outcome::ConnectError), None);
+            return (Reply::of(Outcome::ConnectFailed), None);
         }
         metrics.calls.add_one();
         metrics.deadline_excess.record(stated.excess(Instant::now()));
@@ -79,13 +79,13 @@
                 Ok(Some(frame)) => {
                     let reply = reply(frame);
                     let usable = reply.is_ok() && buffer.is_empty();
-                    return (reply.unwrap_or(Reply::of(Outcome::Failed)), usable.then_some(self));
+                    return (reply.unwrap_or(Reply::of(Outcome::ServerError)), usable.then_some(self));
                 }
                 Ok(None) => {}
-                Err(Malformed) => return (Reply::of(Outcome::Failed), None),
+                Err(Malformed) => return (Reply::of(Outcome::ServerError), None),
             }
             match self.0.read_buf(&mut buffer).await {
-                Ok(0) | Err(_) => return (Reply::of(Outcome::Reset), None),
+                Ok(0) | Err(_) => return (Reply::of(Outcome::ConnectionReset), None),
                 Ok(_) => {}
             }
         }
@@ -110,7 +110,7 @@
                     () = sink.left() => return Err(Outcome::Canceled),
                 },
             };
-            let chunk = chunk.ok_or(Outcome::Reset)?;
+            let chunk = chunk.ok_or(Outcome::ConnectionReset)?;
             left -= chunk.bytes.len();
             if let Some((begin, stream)) = begin.take() {
                 begin(stream);
@@ -131,14 +131,16 @@
         // As an array whose value is empty, it is read like any other answer.
         let mut buffer = BytesMut::from(&b"*3\r\n$0\r\n"[..]);
         loop {
-            match next_frame(&mut buffer, TAIL).map_err(|Malformed| Outcome::Failed)? {
-                Some(frame) if buffer.is_empty() => return reply(frame).map_err(|Malformed| Outcome::Failed),
-                Some(_) => return Err(Outcome::Failed),
+            match next_frame(&mut buffer, TAIL).map_err(|Malformed| Outcome::ServerError)? {
+                Some(frame) if buffer.is_empty() => {
+                    return reply(frame).map_err(|Malformed| Outcome::ServerError);
+                }
+                Some(_) => return Err(Outcome::ServerError),
                 None => {}
             }
             match timeout(STUCK, self.0.read_buf(&mut buffer)).await {
                 Ok(Ok(read)) if read > 0 => {}
-                _ => return Err(Outcome::Reset),
+                _ => return Err(Outcome::ConnectionReset),
             }
         }
     }
@@ -175,23 +177,23 @@
             };
             match value {
                 BytesFrame::BulkString(value) if value.len() <= WHOLE => {
-                    Ok(Reply { outcome: Outcome::Ok, value, hit })
+                    Ok(Reply { outcome: Outcome::Success, value, hit })
                 }
-                BytesFrame::Null => Ok(Reply { hit, ..Reply::of(Outcome::Miss) }),
+                BytesFrame::Null => Ok(Reply { hit, ..Reply::of(Outcome::CacheMiss) }),
                 _ => Err(Malformed),
             }
         }
         BytesFrame::Error(text) => match text.split(' ').next() {
-            Some("BUSY") => Ok(Reply::of(Outcome::QueueFull)),
-            _ => Ok(Reply::of(Outcome::Failed)),
+            Some("BUSY") => Ok(Reply::of(Outcome::Rejected)),
+            _ => Ok(Reply::of(Outcome::ServerError)),
         },
         _ => Err(Malformed),
     }
 }
 
 /// The command up to its value: as it came, but for how long the node will wait.
-fn head(command: &Command, left: Duration) -> Bytes {
-    let facts = command.facts_with_wait(left);
+fn head(command: &ClientRequest, left: Duration) -> Bytes {
+    let facts = command.metadata_with_time_left(left);
     let name = if command.value.is_some() { "CACHE.SET" } else { "CACHE.GET" };
     let words = [name.as_bytes(), command.key.as_bytes(), &command.id[..], &facts[..]];
     let mut text = BytesMut::from(if command.value.is_some() { "*5\r\n" } else { "*4\r\n" });
--- a/crates/node/src/upstream/directory.rs
+++ b/crates/node/src/upstream/directory.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stonefold_balancer::setup::Setup;
-use stonefold_balancer::{Member, MemberState, Micros, ServerId};
+use stonefold_balancer::settings_document::ResolvedSettings;
+use stonefold_balancer::{Endpoint, EndpointState, Micros, ServerId};
 use stonefold_proto::list::{Entry, List, State};
 use tokio::time::Instant;
 use tracing::{info, trace};
@@ -40,10 +40,10 @@
     up: bool,
     serving: ServingFlag,
     /// As it was last listed, for what is said of changes.
-    state: MemberState,
+    state: EndpointState,
     started_ms: f64,
     /// As the module has it.
-    member: Member,
+    member: Endpoint,
     /// Whether its start is as the first list had it, by a wall clock that may be ahead.
     start_is_unsure: bool,
     /// Connections between requests, the most recently used last.
@@ -83,7 +83,7 @@
     }
 
     /// Takes over a list, as it is dated; tells the module's view of its entries.
-    pub fn apply(&mut self, mut list: List, dated: ListDate, setup: &mut Setup) -> Vec<Member> {
+    pub fn apply(&mut self, mut list: List, dated: ListDate, setup: &mut ResolvedSettings) -> Vec<Endpoint> {
         // In order of their names: ids that collide come out alike at every node.
         list.servers.sort_by(|a, b| a.id.cmp(&b.id));
         if list.full {
@@ -101,7 +101,7 @@
         let starts = Starts::new(&list.servers, dated);
         let latest = list.servers.iter().filter(|entry| self.is_new_start(entry));
         let latest = latest.map(|entry| entry.started_ms).fold(0.0, f64::max);
-        let mut members: Vec<Member> =
+        let mut members: Vec<Endpoint> =
             list.servers.into_iter().map(|entry| self.enter(entry, &starts, setup)).collect();
         for corrected in self.corrected(starts.ahead(latest)) {
             match members.iter_mut().find(|member| member.id == corrected.id) {
@@ -118,13 +118,13 @@
     }
 
     /// The servers whose starts are later than the first list made them seem, by a clock that was so far ahead.
-    fn corrected(&mut self, ahead: Option<Micros>) -> Vec<Member> {
+    fn corrected(&mut self, ahead: Option<Micros>) -> Vec<Endpoint> {
         let Some(ahead) = ahead else { return Vec::new() };
         let mut corrected = Vec::new();
         for server in self.servers.values_mut().filter(|server| server.start_is_unsure) {
             server.start_is_unsure = false;
-            if let Some(started) = server.member.started {
-                server.member.started = Some(started.saturating_add(ahead));
+            if let Some(started) = server.member.started_at {
+                server.member.started_at = Some(started.saturating_add(ahead));
                 corrected.push(server.member.clone());
             }
         }
@@ -132,28 +132,28 @@
         corrected
     }
 
-    fn enter(&mut self, entry: Entry, starts: &Starts, setup: &mut Setup) -> Member {
+    fn enter(&mut self, entry: Entry, starts: &Starts, setup: &mut ResolvedSettings) -> Endpoint {
         let id = self.id_of(&entry.id);
         let origin = setup.is_origin(&entry.kind);
         let state = match entry.state {
-            State::Serving => MemberState::Up,
-            State::Draining => MemberState::Draining,
-            State::Deleted => MemberState::Removed,
+            State::Serving => EndpointState::Up,
+            State::Draining => EndpointState::Draining,
+            State::Deleted => EndpointState::Removed,
         };
         let (new, new_start) = (!self.servers.contains_key(&id), self.is_new_start(&entry));
         let started = match self.servers.get(&id).filter(|_| !new_start) {
-            Some(server) => server.member.started,
+            Some(server) => server.member.started_at,
             None => starts.of(entry.started_ms),
         };
-        let member = Member {
+        let member = Endpoint {
             id,
             state,
             zone: setup.zone(Cow::Owned(entry.zone.clone())),
             cell: entry.cell,
-            kind: setup.kind(Cow::Owned(entry.kind.clone())),
+            machine_type: setup.machine_type(Cow::Owned(entry.kind.clone())),
             weight: entry.weight.unwrap_or(1.0),
-            started,
-            origin,
+            started_at: started,
+            is_origin: origin,
         };
         let server = self.servers.entry(id).or_insert_with(|| Server {
             name: entry.id,
@@ -182,9 +182,9 @@
                 kind = entry.kind, state = ?entry.state, started_ms = entry.started_ms, "a server has changed");
         }
         (server.state, server.started_ms) = (state, entry.started_ms);
-        server.up = state == MemberState::Up;
+        server.up = state == EndpointState::Up;
         server.stand(self.banned.contains_key(&id));
-        if state == MemberState::Removed
+        if state == EndpointState::Removed
             && let Some(server) = self.servers.remove(&id)
         {
             note_gone(&mut self.gone, &server.name, self.banned.contains_key(&id));
@@ -202,7 +202,7 @@
     }
 
     /// How a server of this name was last listed, and since when it runs in ms of Unix time; nothing if it is not.
-    pub fn listed(&self, name: &str) -> Option<(MemberState, f64)> {
+    pub fn listed(&self, name: &str) -> Option<(EndpointState, f64)> {
         let server = self.servers.get(&self.id_of(name)).filter(|server| server.name == name)?;
         Some((server.state, server.started_ms))
     }
--- a/crates/node/src/upstream/origin.rs
+++ b/crates/node/src/upstream/origin.rs
@@ -22,7 +22,7 @@
 use super::send_permit::SendPermit;
 use crate::metrics::Metrics;
 use crate::relay::{self, CHUNK, Left, Pass, STUCK, VALUE_LIMIT, WHOLE, way};
-use crate::request::Command;
+use crate::request::ClientRequest;
 
 /// What a key may not show in a path.
 const ESCAPED: &AsciiSet = &CONTROLS
@@ -73,7 +73,7 @@
     /// Sends one request, which states the time left until its deadline, and waits for its answer.
     pub async fn ask(
         mut self,
-        command: &Command,
+        command: &ClientRequest,
         deadline: Instant,
         addr: SocketAddr,
         permit: SendPermit,
@@ -81,14 +81,14 @@
         pass: Pass,
     ) -> (Reply, Option<Self>) {
         if self.sender.ready().await.is_err() {
-            return (Reply::of(Outcome::ConnectError), None);
+            return (Reply::of(Outcome::ConnectFailed), None);
         }
         permit.stall_over().await;
         let Some(stated) = permit.start(deadline) else {
-            return (Reply::of(Outcome::Ignored), None);
+            return (Reply::of(Outcome::NotSent), None);
         };
         let Some(request) = request(command, stated.left(), addr) else {
-            return (Reply::of(Outcome::Ignored), Some(self));
+            return (Reply::of(Outcome::NotSent), Some(self));
         };
         // The whole request is at hand, and the connection writes it as soon as it has its turn.
         metrics.calls.add_one();
@@ -96,8 +96,8 @@
         match answer {
             // A request that is handed back was never begun.
             Err(mut error) => match error.take_message() {
-                Some(_) => (Reply::of(Outcome::ConnectError), None),
-                None => (Reply::of(Outcome::Reset), None),
+                Some(_) => (Reply::of(Outcome::ConnectFailed), None),
+                None => (Reply::of(Outcome::ConnectionReset), None),
             },
             Ok(answer) => {
                 if let Some(last_byte) = self.last_write.at() {
@@ -124,14 +124,14 @@
 /// whole, for which room is reserved once.
 async fn collect(mut body: Incoming, is_value: bool, pass: Pass) -> Result<Collected, Outcome> {
     let (mut whole, mut room) = (BytesMut::new(), None);
-    while let Some(frame) = timeout(STUCK, body.frame()).await.map_err(|_| Outcome::Reset)? {
-        let Ok(bytes) = frame.map_err(|_| Outcome::Reset)?.into_data() else { continue };
+    while let Some(frame) = timeout(STUCK, body.frame()).await.map_err(|_| Outcome::ConnectionReset)? {
+        let Ok(bytes) = frame.map_err(|_| Outcome::ConnectionReset)?.into_data() else { continue };
         let length = whole.len() + bytes.len();
         if length > VALUE_LIMIT || length > WHOLE && !is_value {
-            return Err(Outcome::Failed);
+            return Err(Outcome::ServerError);
         }
         if length > WHOLE && room.is_none() {
-            room = Some(pass.budget.room(VALUE_LIMIT).await.map_err(|_| Outcome::Reset)?);
+            room = Some(pass.budget.room(VALUE_LIMIT).await.map_err(|_| Outcome::ConnectionReset)?);
             whole.reserve(VALUE_LIMIT - whole.len());
         }
         whole.extend_from_slice(&bytes);
@@ -155,29 +155,31 @@
             frame = timeout(STUCK, body.frame()) => frame,
             () = sink.left() => return Err(Outcome::Canceled),
         };
-        let frame = frame.ok().flatten().and_then(Result::ok).ok_or(Outcome::Reset)?;
+        let frame = frame.ok().flatten().and_then(Result::ok).ok_or(Outcome::ConnectionReset)?;
         let Ok(mut bytes) = frame.into_data() else { continue };
-        left = left.checked_sub(bytes.len()).ok_or(Outcome::Failed)?;
+        left = left.checked_sub(bytes.len()).ok_or(Outcome::ServerError)?;
         while !bytes.is_empty() {
-            let chunk =
-                budget.hold(bytes.split_to(bytes.len().min(CHUNK))).await.map_err(|_| Outcome::Reset)?;
+            let chunk = budget
+                .hold(bytes.split_to(bytes.len().min(CHUNK)))
+                .await
+                .map_err(|_| Outcome::ConnectionReset)?;
             if let Some((begin, stream)) = begin.take() {
                 begin(stream);
             }
             sink.give(chunk).await.map_err(|Left| Outcome::Canceled)?;
         }
     }
-    Ok(Reply::of(Outcome::Ok))
+    Ok(Reply::of(Outcome::Success))
 }
 
-fn request(command: &Command, left: Duration, addr: SocketAddr) -> Option<Request<Full<Bytes>>> {
+fn request(command: &ClientRequest, left: Duration, addr: SocketAddr) -> Option<Request<Full<Bytes>>> {
     let method = if command.value.is_some() { Method::PUT } else { Method::GET };
     Request::builder()
         .method(method)
         .uri(format!("/{}", percent_encode(command.key.as_bytes(), ESCAPED)))
         .header(HOST, addr.to_string())
         .header("X-Correlation-Id", &command.id[..])
-        .header("X-Facts", command.facts_with_wait(left))
+        .header("X-Facts", command.metadata_with_time_left(left))
         .body(Full::new(command.value.clone().unwrap_or_default()))
         .ok()
 }
@@ -194,13 +196,13 @@
     }
     let body = match collect(answer.into_body(), status == StatusCode::OK, pass).await? {
         Collected::Short(body) => body,
-        Collected::Long => return Ok(Reply::of(Outcome::Ok)),
+        Collected::Long => return Ok(Reply::of(Outcome::Success)),
     };
     Ok(match status {
-        StatusCode::OK => Reply { value: body, ..Reply::of(Outcome::Ok) },
+        StatusCode::OK => Reply { value: body, ..Reply::of(Outcome::Success) },
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
-            Reply::of(Outcome::QueueFull)
+            Reply::of(Outcome::Rejected)
         }
-        _ => Reply::of(Outcome::Failed),
+        _ => Reply::of(Outcome::ServerError),
     })
 }
--- a/crates/node/src/upstream/reply.rs
+++ b/crates/node/src/upstream/reply.rs
@@ -6,7 +6,7 @@
 /// How an attempt ended.
 pub struct Reply {
     pub outcome: Outcome,
-    /// What to serve, after `Outcome::Ok`.
+    /// What to serve, after `Outcome::Success`.
     pub value: Bytes,
     pub hit: Option<bool>,
 }
--- a/crates/node/src/upstream/send_permit.rs
+++ b/crates/node/src/upstream/send_permit.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use crate::presence::Presence;
-use crate::request::ANSWER_RESERVE;
+use crate::request::RESPONSE_RESERVE;
 use crate::stall::StallMonitor;
 
 /// The shortest time that an attempt can state: servers read it in whole milliseconds.
@@ -64,7 +64,7 @@
     /// By how much the stated time exceeds the client's, for a request whose last byte is written at `last_byte`:
     /// the server counts the stated time from then on.
     pub fn excess(&self, last_byte: Instant) -> Duration {
-        last_byte.saturating_duration_since(self.at).saturating_sub(ANSWER_RESERVE)
+        last_byte.saturating_duration_since(self.at).saturating_sub(RESPONSE_RESERVE)
     }
 }
 
@@ -100,7 +100,7 @@
         self.conditions.stalls.over().await;
     }
 
-    /// Starts the attempt, or returns `None` if nothing may be sent. The deadline lies [`ANSWER_RESERVE`] before the
+    /// Starts the attempt, or returns `None` if nothing may be sent. The deadline lies [`RESPONSE_RESERVE`] before the
     /// client's. There must be no await between this call and the first write.
     ///
     /// Guards against a request that is sent to a server which began to drain while the connection was being
--- a/crates/node/src/upstream/send_permit/tests.rs
+++ b/crates/node/src/upstream/send_permit/tests.rs
@@ -44,8 +44,8 @@
     let started = Instant::now();
     let stated = permit.start(started + Duration::from_secs(1)).unwrap();
     assert_eq!(stated.excess(started), Duration::ZERO);
-    assert_eq!(stated.excess(started + ANSWER_RESERVE), Duration::ZERO);
-    let last_byte = started + ANSWER_RESERVE + Duration::from_millis(400);
+    assert_eq!(stated.excess(started + RESPONSE_RESERVE), Duration::ZERO);
+    let last_byte = started + RESPONSE_RESERVE + Duration::from_millis(400);
     assert_eq!(stated.excess(last_byte), Duration::from_millis(400));
 }
 
--- a/crates/node/src/upstream/starts.rs
+++ b/crates/node/src/upstream/starts.rs
@@ -9,7 +9,7 @@
 //!   is ahead. Should the news have been late indeed, servers of the first list are taken for colder than they are.
 
 use stonefold_balancer::Micros;
-use stonefold_balancer::setup::micros;
+use stonefold_balancer::settings_document::micros_from_millis;
 use stonefold_proto::list::Entry;
 
 /// When a list came, and what its starts may be compared with.
@@ -37,7 +37,7 @@
     pub fn new(entries: &[Entry], dated: ListDate) -> Starts {
         let latest = entries.iter().map(|entry| entry.started_ms).fold(0.0, f64::max);
         let behind = match dated {
-            ListDate::First(now) => micros(latest).saturating_sub(now),
+            ListDate::First(now) => micros_from_millis(latest).saturating_sub(now),
             ListDate::Later(_) => 0,
         };
         Starts { dated, behind }
@@ -53,7 +53,7 @@
     pub fn ahead(&self, started_ms: f64) -> Option<Micros> {
         match self.dated {
             ListDate::Later(now) if started_ms > 0.0 => {
-                Some(now.saturating_sub(micros(started_ms))).filter(|&ahead| ahead > NEWS)
+                Some(now.saturating_sub(micros_from_millis(started_ms))).filter(|&ahead| ahead > NEWS)
             }
             _ => None,
         }
@@ -65,7 +65,7 @@
             return None;
         }
         Some(match self.dated {
-            ListDate::First(_) => micros(started_ms).saturating_sub(self.behind),
+            ListDate::First(_) => micros_from_millis(started_ms).saturating_sub(self.behind),
             ListDate::Later(now) => now,
         })
     }
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -10,8 +10,11 @@
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 
-use stonefold_balancer::setup::{Setup, Stated, micros};
-use stonefold_balancer::*;
+use stonefold_balancer::settings_document::{ResolvedSettings, SettingsDocument, micros_from_millis};
+use stonefold_balancer::{
+    Action, AttemptEnd, AttemptId, Balancer, Endpoint, EndpointState, EndpointUpdate, Event, Micros, Outcome,
+    Request, RequestId, ServerId, TimerToken,
+};
 
 /// Why the wire could not be followed, and where.
 #[derive(Debug, thiserror::Error)]
@@ -61,7 +64,7 @@
     #[serde(rename = "I")]
     instance: u64,
     nonce64: u64,
-    setup: Stated,
+    setup: SettingsDocument,
 }
 
 #[derive(Deserialize)]
@@ -236,43 +239,44 @@
 /// One balancer and the names its settings gave to indices.
 struct Node {
     balancer: Balancer,
-    setup: Setup,
+    setup: ResolvedSettings,
 }
 
 impl Node {
     fn new(configure: Configure, now: Micros) -> Result<Node, String> {
-        let setup = Setup::try_from(configure.setup).map_err(|error| format!("CONFIGURE: {error}"))?;
+        let setup =
+            ResolvedSettings::try_from(configure.setup).map_err(|error| format!("CONFIGURE: {error}"))?;
         Ok(Node { balancer: Balancer::new(setup.settings.clone(), configure.nonce64, now), setup })
     }
 
     fn members(&mut self, endpoints: Endpoints) -> Result<Event, String> {
-        let scope = match &*endpoints.scope {
-            "delta" => ListScope::Delta,
-            "full" | "cached" => ListScope::Full,
-            "failed" => ListScope::Failed,
+        let update = match &*endpoints.scope {
+            "delta" => EndpointUpdate::Delta,
+            "full" | "cached" => EndpointUpdate::Full,
+            "failed" => EndpointUpdate::Failed,
             other => return Err(format!("ENDPOINTS: unknown scope {other:?}")),
         };
         let mut members = Vec::with_capacity(endpoints.members.len());
         for entry in endpoints.members {
             let state = match &*entry.lifecycle {
-                "up" => MemberState::Up,
-                "draining" => MemberState::Draining,
-                "removed" => MemberState::Removed,
+                "up" => EndpointState::Up,
+                "draining" => EndpointState::Draining,
+                "removed" => EndpointState::Removed,
                 other => return Err(format!("ENDPOINTS: unknown lifecycle {other:?}")),
             };
-            let origin = self.setup.is_origin(&entry.kind);
-            members.push(Member {
+            let is_origin = self.setup.is_origin(&entry.kind);
+            members.push(Endpoint {
                 id: ServerId(entry.server),
                 state,
                 zone: self.setup.zone(entry.area),
                 cell: entry.group,
-                kind: self.setup.kind(entry.kind),
+                machine_type: self.setup.machine_type(entry.kind),
                 weight: entry.weight.unwrap_or(1.0),
-                started: entry.start_time.filter(|&t| t > 0.0).map(micros),
-                origin,
+                started_at: entry.start_time.filter(|&t| t > 0.0).map(micros_from_millis),
+                is_origin,
             });
         }
-        Ok(Event::Members { scope, members })
+        Ok(Event::Endpoints { update, endpoints: members })
     }
 
     fn request(&self, request: NewRequest) -> Event {
@@ -285,52 +289,53 @@
             class: self.setup.class(&request.lane),
             tenant,
             key: request.name_key,
-            budget: micros(request.budget),
-            write: request.write.unwrap_or(false),
+            timeout: micros_from_millis(request.budget),
+            is_write: request.write.unwrap_or(false),
         })
     }
 }
 
 fn finished(event: Finished) -> Result<Event, String> {
     let outcome = match &*event.code {
-        "Ok" => Outcome::Ok,
-        "Failed" => Outcome::Failed,
-        "QueueFull" => Outcome::QueueFull,
+        "Ok" => Outcome::Success,
+        "Failed" => Outcome::ServerError,
+        "QueueFull" => Outcome::Rejected,
         "TimedOut" => Outcome::TimedOut,
-        "ConnectError" => Outcome::ConnectError,
-        "ResetByPeer" => Outcome::Reset,
+        "ConnectError" => Outcome::ConnectFailed,
+        "ResetByPeer" => Outcome::ConnectionReset,
         "Canceled" => Outcome::Canceled,
-        "Ignored" => Outcome::Ignored,
-        "Miss" => Outcome::Miss,
+        "Ignored" => Outcome::NotSent,
+        "Miss" => Outcome::CacheMiss,
         other => return Err(format!("FINISHED: unknown code {other:?}")),
     };
-    Ok(Event::Outcome(AttemptEnd {
-        id: RequestId(event.rid),
-        attempt: event.leg,
+    Ok(Event::AttemptEnded(AttemptEnd {
+        attempt: AttemptId::new(RequestId(event.rid), event.leg),
         outcome,
-        elapsed: micros(event.duration),
+        elapsed: micros_from_millis(event.duration),
         settled: event.settled.unwrap_or(false),
-        hit: event.detail.filter(|&d| d > 0).map(|d| d == 1),
+        cache_hit: event.detail.filter(|&d| d > 0).map(|d| d == 1),
         utilization: event.pressure.and_then(|p| p.utilization),
-        begun: true, // the wire does not tell
+        bytes_sent: true, // the wire does not tell
     }))
 }
 
 fn reply(instance: u64, action: Action) -> Reply {
     match action {
-        Action::Send { id, server, timeout, .. } => {
+        Action::Send { request: id, server, timeout, .. } => {
             Reply::Place { instance, rid: id.0, server: server.0, within: millis(timeout) }
         }
-        Action::Cancel { id, attempt } => Reply::AbortAttempt { instance, rid: id.0, leg: attempt },
-        Action::Refuse { id, retry_after } => {
+        Action::Cancel(AttemptId { request, number }) => {
+            Reply::AbortAttempt { instance, rid: request.0, leg: number }
+        }
+        Action::Reject { request: id, retry_after } => {
             Reply::Reject { instance, rid: id.0, stay_away: millis(retry_after) }
         }
         Action::Fail(id) => Reply::EndFailed { instance, rid: id.0 },
         Action::SetTimer { after, token } => {
             Reply::NotifyMe { instance, after: millis(after), token: token.0.to_string() }
         }
-        Action::Subscribe => Reply::Subscribe { instance, active: true },
-        Action::Disconnect(server) => Reply::LetGo { instance, server: server.0 },
+        Action::WatchEndpoints => Reply::Subscribe { instance, active: true },
+        Action::CloseIdleConnections(server) => Reply::LetGo { instance, server: server.0 },
     }
 }
 
@@ -373,7 +378,7 @@
         };
         let now = match (&message, batch) {
             (Message::Round(round), None) => {
-                batch = Some((micros(round.at_time), round.number));
+                batch = Some((micros_from_millis(round.at_time), round.number));
                 continue;
             }
             (Message::Round(_), Some(_)) => return Err(fail("ROUND within a batch".into())),
@@ -420,9 +425,11 @@
                 let node = nodes.get(&instance).ok_or_else(|| fail(no_instance(instance)))?;
                 (instance, node.request(r))
             }
-            Message::FirstByte(f) => (f.instance, Event::FirstByte { id: RequestId(f.rid), attempt: f.leg }),
+            Message::FirstByte(f) => {
+                (f.instance, Event::ResponseStarted(AttemptId::new(RequestId(f.rid), f.leg)))
+            }
             Message::Finished(f) => (f.instance, finished(f).map_err(fail)?),
-            Message::ClientGone(g) => (g.instance, Event::ClientGone(RequestId(g.rid))),
+            Message::ClientGone(g) => (g.instance, Event::ClientDisconnected(RequestId(g.rid))),
             Message::Timer(t) => match t.token.parse() {
                 Ok(token) => (t.instance, Event::Timer(TimerToken(token))),
                 Err(_) => continue, // no timer of ours
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -14,7 +14,7 @@
 fn configured(instances: &[u32]) -> String {
     let mut text = String::from("{\"ROUND\":{\"AtTime\":5.0,\"n\":1}}\n");
     for i in instances {
-        text += &format!("{{\"CONFIGURE\":{{\"I\":{i},\"Nonce64\":1,\"Setup\":{SETUP}}}}}\n");
+        text += &format!("{{\"CONFIGURE\":{{\"I\":{i},\"Nonce64\":1,\"ResolvedSettings\":{SETUP}}}}}\n");
         text += &format!(
             "{{\"ENDPOINTS\":{{\"I\":{i},\"Scope\":\"cached\",\"Members\":[{{\"Lifecycle\":\"up\",\"Server\":8}}]}}}}\n"
         );
@@ -131,11 +131,11 @@
 
 #[test]
 fn the_nodes_index_among_its_siblings_is_read() {
-    use stonefold_balancer::setup::{Setup, Stated};
+    use stonefold_balancer::settings_document::{ResolvedSettings, SettingsDocument};
     let index = |me: &str| {
         let text = SETUP.replace("\"FamilyInfo\"", &format!("{me}\"Siblings\":4,\"FamilyInfo\""));
-        let stated: Stated = serde_json::from_str(&text).unwrap();
-        Setup::try_from(stated).unwrap().settings.node_index
+        let stated: SettingsDocument = serde_json::from_str(&text).unwrap();
+        ResolvedSettings::try_from(stated).unwrap().settings.node_index
     };
     assert_eq!(index("\"Me\":3,"), Some(3));
     assert_eq!(index(""), None);
