--- /dev/null
+++ b/crates/store/tests/compatibility/snapshot.rs
@@ -0,0 +1,85 @@
+//! Snapshots of the state machine.
+
+use openraft::RaftSnapshotBuilder;
+use openraft::storage::RaftStateMachine;
+use stonefold_store::codec::seal;
+use stonefold_store::disk::{Disk, Identity};
+use stonefold_store::engine::Membership;
+use stonefold_store::machine::{Machine, open_snapshot};
+use stonefold_store::state::{Listed, Order, Refusal, Reply, Revision};
+use tokio::sync::watch;
+
+use super::{fixture, history};
+
+const FILE: &str = "snapshot";
+
+/// Applies the log's entries up to an index, and makes a snapshot of them; as it is sealed.
+pub async fn build(disk: Disk, upto: usize) -> Vec<u8> {
+    let mut machine = Machine::new(disk, watch::channel(0).0).unwrap();
+    machine.apply(history::entries().into_iter().take(upto)).await.unwrap();
+    let snapshot = machine.get_snapshot_builder().await.build_snapshot().await.unwrap();
+    snapshot.snapshot.into_inner()
+}
+
+async fn built() -> Vec<u8> {
+    let folder = tempfile::tempdir().unwrap();
+    build(Disk::create(folder.path(), Identity { cluster: 9, member: 1 }).unwrap(), 10).await
+}
+
+pub async fn write_fixture() {
+    fixture::write(FILE, &built().await);
+}
+
+#[tokio::test]
+async fn a_snapshot_is_written_as_before() {
+    let sealed = fixture::read(FILE);
+    assert_eq!(hex::encode(built().await), hex::encode(&sealed));
+    let opened = open_snapshot(&sealed).unwrap();
+    assert_eq!(hex::encode(seal("a snapshot", &opened).unwrap()), hex::encode(&sealed));
+}
+
+#[test]
+fn a_snapshot_is_read_as_before() {
+    let applied = open_snapshot(&fixture::read(FILE)).unwrap();
+    assert_eq!(applied.last, Some(history::log_id(10)));
+    let members = Membership::new(Some(history::log_id(7)), history::membership(&[1, 2]));
+    assert_eq!(applied.members, members);
+    let state = &applied.state;
+    let revision = |revision, text: &str| Revision {
+        revision,
+        text: text.into(),
+        author: "alice".into(),
+        at_ms: 1_700_000_000_001,
+    };
+    let revisions: Vec<Revision> = state.history("config").cloned().collect();
+    assert_eq!(revisions, [revision(2, "text 1"), revision(3, "text 2")]);
+    let text = r#"[{"id":"s-1"},{"id":"s-2"}]"#.to_owned();
+    assert_eq!(state.list(), Some(&Listed { version: 9, text, learned_by: 2 }));
+    let orders = [
+        ("s-1".to_owned(), Order { out: true, since_ms: 1_700_000_000_003 }),
+        ("s-2".to_owned(), Order { out: false, since_ms: 1_700_000_000_004 }),
+    ];
+    assert_eq!(*state.orders(), orders.into());
+    assert_eq!(state.started("s-1"), Some(1_700_000_000_002));
+    assert_eq!(*state.removed(), [3].into());
+    let changes = &applied.changes;
+    assert_eq!((changes.list(), changes.order("s-1"), changes.order("s-2")), (4, 5, 9));
+    assert_eq!((changes.purged(), changes.forgotten()), (1, 0));
+    assert_eq!(changes.purges_after(0).collect::<Vec<_>>(), ["key-1"]);
+}
+
+#[test]
+fn clients_last_proposals_are_read_as_before() {
+    let mut state = open_snapshot(&fixture::read(FILE)).unwrap().state;
+    let replies = [
+        (3, Reply::Done(3)),
+        (4, Reply::Done(9)),
+        (5, Reply::Refused(Refusal::Superseded { sequence: 1, last: 2 })),
+        (6, Reply::Done(6)),
+        (9, Reply::Done(9)),
+        (10, Reply::Refused(Refusal::Conflict { wanted: 2, found: 3 })),
+    ];
+    for (index, reply) in replies {
+        assert_eq!(state.apply(20, history::proposal(index)), reply, "entry {index}");
+    }
+}
--- /dev/null
+++ b/crates/store/tests/compatibility/subscriber.rs
@@ -0,0 +1,68 @@
+//! A subscriber's folder: the state that its node acted on.
+
+use std::fs;
+use std::path::Path;
+
+use stonefold_store::feed::frame::{Item, Key};
+use stonefold_store::feed::table::Table;
+use stonefold_store::kept::Kept;
+use stonefold_store::state::Order;
+
+use super::fixture;
+
+const FILE: &str = "subscriber";
+const CLUSTER: u128 = 9;
+/// The id that was drawn when the fixture was written.
+const SUBSCRIBER: u64 = 9_329_645_005_054_110_676;
+
+fn table() -> Table {
+    let mut table = Table::default();
+    let (name, text, author) = ("config".into(), "text 2".into(), "alice".into());
+    table.put(3, &Item::Document { name, text, author, at_ms: 1_700_000_000_001 });
+    table.put(4, &Item::List { version: 9, text: r#"[{"id":"s-1"}]"#.into() });
+    let order = Order { out: true, since_ms: 1_700_000_000_003 };
+    table.put(5, &Item::Order { server: "s-1".into(), order });
+    table
+}
+
+fn save(folder: &Path) {
+    let (mut kept, _) = Kept::open(folder, CLUSTER).unwrap();
+    kept.write(CLUSTER, 12, 7, table().items()).unwrap();
+}
+
+pub fn write_fixture() {
+    fastrand::seed(9);
+    let folder = tempfile::tempdir().unwrap();
+    save(folder.path());
+    fixture::write(FILE, &fs::read(folder.path().join(FILE)).unwrap());
+}
+
+#[test]
+fn a_subscribers_folder_is_read_and_written_as_before() {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join(FILE);
+    fs::write(&path, fixture::read(FILE)).unwrap();
+    let (kept, read) = Kept::open(folder.path(), CLUSTER).unwrap();
+    assert_eq!((kept.subscriber(), kept.acted()), (SUBSCRIBER, 12));
+    assert_eq!((read.revision(), read.list_version()), (7, 9));
+    assert_eq!(read.items(), table().items());
+    let document = Item::Document {
+        name: "config".into(),
+        text: "text 2".into(),
+        author: "alice".into(),
+        at_ms: 1_700_000_000_001,
+    };
+    assert_eq!(read.item(&Key::Document("config".into())), Some((3, document)));
+    let list = Item::List { version: 9, text: r#"[{"id":"s-1"}]"#.into() };
+    assert_eq!(read.item(&Key::List), Some((4, list)));
+    let order = Order { out: true, since_ms: 1_700_000_000_003 };
+    assert_eq!(read.item(&Key::Order("s-1".into())), Some((5, Item::Order { server: "s-1".into(), order })));
+    drop(kept);
+    fs::write(&path, fixture::read(FILE)).unwrap();
+    save(folder.path());
+    assert_eq!(hex::encode(fs::read(&path).unwrap()), hex::encode(fixture::read(FILE)));
+    let mut files: Vec<_> =
+        fs::read_dir(folder.path()).unwrap().map(|file| file.unwrap().file_name()).collect();
+    files.sort();
+    assert_eq!(files, ["lock", "subscriber"]);
+}
