--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -298,3 +298,6 @@
         Reach::OthersOnly => "others-only",
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/node/src/membership/tests.rs
@@ -0,0 +1,24 @@
+//! The members as operators see them.
+
+use super::*;
+
+#[test]
+fn a_member_is_one_line() {
+    let profile = Profile { name: "n2".into(), address: "[fd00::12]:7946".parse().unwrap(), instance: 5 };
+    let states = [State::Alive, State::Suspect, State::Failed, State::Left];
+    let reaches = [Reach::Unknown, Reach::Direct, Reach::OthersOnly, Reach::Direct];
+    let lines = states.into_iter().zip(reaches).map(|(state, reach)| {
+        let member =
+            Member { profile: profile.clone(), incarnation: 1_790_000_000_123, state, since: 500_000, reach };
+        line(&member, 12_840_000)
+    });
+    assert_eq!(
+        lines.collect::<Vec<_>>(),
+        [
+            "n2 alive incarnation=1790000000123 for_s=12.3 reach=untried at=[fd00::12]:7946\n",
+            "n2 suspect incarnation=1790000000123 for_s=12.3 reach=direct at=[fd00::12]:7946\n",
+            "n2 failed incarnation=1790000000123 for_s=12.3 reach=others-only at=[fd00::12]:7946\n",
+            "n2 left incarnation=1790000000123 for_s=12.3 reach=direct at=[fd00::12]:7946\n",
+        ]
+    );
+}
--- a/crates/node/src/metrics/tests.rs
+++ b/crates/node/src/metrics/tests.rs
@@ -88,3 +88,43 @@
     assert!(text.contains("svc_deadline_excess_seconds_sum 60.411\n"));
     assert!(text.contains("svc_deadline_excess_seconds_count 5\n"));
 }
+
+/// Figures with every row, each of another value where it can have one.
+fn filled() -> Metrics {
+    let metrics = Metrics::default();
+    let class = metrics.class("read");
+    (0..3).for_each(|_| class.served.add_one());
+    (0..2).for_each(|_| class.refused.add_one());
+    class.failed.add_one();
+    metrics.class("put");
+    metrics.note_client_end(Duration::from_millis(20), 7);
+    metrics.loop_lag.record(Duration::from_millis(3));
+    metrics.stalls.record(Duration::from_millis(300));
+    metrics.deadline_excess.record(Duration::from_millis(60));
+    metrics.calls.set(101);
+    metrics.read_after_stall.set(102);
+    metrics.closed_owing.by_client.set(103);
+    metrics.closed_owing.by_node.set(104);
+    metrics.unasked.set(105);
+    metrics.reused_soon.set(106);
+    metrics.listed.set(107);
+    metrics.avoided.set(108);
+    metrics.list_failures.set(109);
+    metrics.reloads.set(110);
+    metrics.reloads_refused.set(111);
+    metrics.violations.note(crate::invariants::Invariant::NoUnsafeRepeat, b"id");
+    metrics.ready(Duration::from_millis(1_500));
+    let membership = Arc::new(MembershipFigures::default());
+    membership.sent(61);
+    membership.received(63);
+    membership.received(64);
+    membership.refused(stonefold_membership::CodecError::Key);
+    membership.send_errors.add_one();
+    metrics.show_membership(membership);
+    metrics
+}
+
+#[test]
+fn the_text_is_as_recorded() {
+    assert_eq!(filled().text(), include_str!("../../tests/fixtures/stats.txt"));
+}
--- a/crates/node/src/orders/tests.rs
+++ b/crates/node/src/orders/tests.rs
@@ -52,3 +52,22 @@
     });
     assert_eq!(orders.unwrap().into_keys().collect::<Vec<_>>(), ["out"]);
 }
+
+/// A file that an earlier program has written.
+const RECORDED: &[u8] = include_bytes!("../../tests/fixtures/stonefold-orders.json");
+
+#[test]
+fn a_recorded_file_means_the_same_and_is_written_alike() {
+    let dir = tempfile::tempdir().unwrap();
+    let path = dir.path().join("stonefold-orders.json");
+    fs::write(&path, RECORDED).unwrap();
+    let store = store(&dir);
+    let orders = store.load().unwrap();
+    assert_eq!(orders.keys().collect::<Vec<_>>(), ["s-5be2a07c", "s-77"]);
+    let (disabled, enabled) = (orders["s-5be2a07c"], orders["s-77"]);
+    assert_eq!((disabled.out, disabled.since_ms), (true, 1_790_000_000_123));
+    assert_eq!((enabled.out, enabled.since_ms), (false, 4_102_444_800_000));
+    assert_eq!(store.change(|_| {}).unwrap(), orders);
+    assert_eq!(fs::read(&path).unwrap(), RECORDED);
+    assert!(dir.path().join("stonefold-orders.lock").exists());
+}
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -76,3 +76,6 @@
         true
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/node/src/shared/tests.rs
@@ -0,0 +1,63 @@
+//! The endpoint list as it is written for the other nodes.
+
+use std::sync::Mutex;
+
+use super::*;
+
+/// A list as an earlier program has written it.
+const RECORDED: &str = include_str!("../../tests/fixtures/learned-list.json");
+
+/// What was learned: the list's version, its text, and the servers' starts.
+type Learned = (u64, String, Vec<(String, u64)>);
+
+/// Remembers what it is given.
+#[derive(Default)]
+struct Recorder(Mutex<Vec<Learned>>);
+
+impl Shared for Recorder {
+    fn ready(&self) -> Later<'_, ()> {
+        Box::pin(async {})
+    }
+    fn orders(&self) -> Orders {
+        Orders::new()
+    }
+    fn changed(&self) -> bool {
+        false
+    }
+    fn order(&self, _: String, _: Order) -> Later<'_, Result<(), String>> {
+        Box::pin(async { Ok(()) })
+    }
+    fn newer_list(&self) -> Option<List> {
+        None
+    }
+    fn may_act(&self, _: u64) -> Result<(), u64> {
+        Ok(())
+    }
+    fn learned(&self, version: u64, text: String, started: Vec<(String, u64)>) {
+        self.0.lock().unwrap().push((version, text, started));
+    }
+    fn config_after(&self, _: u64) -> Later<'_, u64> {
+        Box::pin(std::future::pending())
+    }
+    fn config_taken(&self, _: u64) {}
+}
+
+#[test]
+fn a_recorded_list_means_the_same_and_is_written_alike() {
+    let list: List = serde_json::from_str(RECORDED).unwrap();
+    assert_eq!((list.version, list.full, list.skipped), (43, true, 0));
+    let [first, second] = &list.servers[..] else { panic!("two servers") };
+    assert_eq!((first.id.as_str(), first.addr), ("s-1", "10.0.0.1:6379".parse().unwrap()));
+    assert_eq!((first.zone.as_str(), first.kind.as_str(), first.cell), ("a", "large", 3));
+    assert_eq!(
+        (first.state, first.weight, first.started_ms),
+        (State::Serving, Some(1.5), 1_790_000_000_123.0)
+    );
+    assert_eq!((second.id.as_str(), second.addr), ("s-2", "[fd00::12]:6379".parse().unwrap()));
+    assert_eq!((second.zone.as_str(), second.kind.as_str(), second.cell), ("", "", 0));
+    assert_eq!((second.state, second.weight, second.started_ms), (State::Draining, None, 0.0));
+    let shared = Arc::new(Recorder::default());
+    assert!(Ledger::new(shared.clone()).enter(&list));
+    let written = std::mem::take(&mut *shared.0.lock().unwrap());
+    assert_eq!(written, [(43, RECORDED.trim_end().to_owned(), vec![("s-1".to_owned(), 1_790_000_000_123)])]);
+}
