--- a/crates/allotment/tests/fleet/mod.rs
+++ b/crates/allotment/tests/fleet/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use fastrand::Rng;
-use stonefold_allotment::{Allotment, Micros, Ramp, Sender};
+use stonefold_allotment::{Allotment, Micros, Sender, SlowStart};
 
 pub const SECOND: Micros = 1_000_000;
 
--- a/crates/balancer/tests/property.rs
+++ b/crates/balancer/tests/property.rs
@@ -143,7 +143,7 @@
             }
             Action::WatchEndpoints => assert!(self.settings.watch_required),
             Action::CloseIdleConnections(server) => {
-                assert!(self.listed.contains_key(&server), "a server of no list")
+                assert!(self.listed.contains_key(&server), "a server of no list");
             }
         }
     }
--- a/crates/store/tests/compatibility/disk.rs
+++ b/crates/store/tests/compatibility/disk.rs
@@ -76,7 +76,7 @@
     meta.chain(log).collect()
 }
 
-pub async fn write_fixture() {
+pub(crate) async fn write_fixture() {
     let folder = tempfile::tempdir().unwrap();
     create(folder.path()).await;
     fixture::write(PAGES_FILE, &pages(&fs::read(folder.path().join(DATABASE_FILE)).unwrap()));
--- a/crates/store/tests/compatibility/feed.rs
+++ b/crates/store/tests/compatibility/feed.rs
@@ -72,7 +72,7 @@
     ]
 }
 
-pub fn write_fixture() {
+pub(crate) fn write_fixture() {
     for (file, table) in encoded() {
         fixture::write_table(file, &table);
     }
--- a/crates/store/tests/compatibility/fixture.rs
+++ b/crates/store/tests/compatibility/fixture.rs
@@ -8,19 +8,19 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(file)
 }
 
-pub fn read(file: &str) -> Vec<u8> {
+pub(crate) fn read(file: &str) -> Vec<u8> {
     fs::read(path(file)).unwrap()
 }
 
-pub fn write(file: &str, bytes: &[u8]) {
+pub(crate) fn write(file: &str, bytes: &[u8]) {
     fs::create_dir_all(path("")).unwrap();
     fs::write(path(file), bytes).unwrap();
 }
 
 /// Named byte strings, in the order of their names.
-pub type Table = BTreeMap<String, Vec<u8>>;
+pub(crate) type Table = BTreeMap<String, Vec<u8>>;
 
-pub fn read_table(file: &str) -> Table {
+pub(crate) fn read_table(file: &str) -> Table {
     let text = String::from_utf8(read(file)).unwrap();
     let row = |line: &str| {
         let (name, bytes) = line.split_once(' ').unwrap();
@@ -29,13 +29,13 @@
     text.lines().map(row).collect()
 }
 
-pub fn write_table(file: &str, table: &Table) {
+pub(crate) fn write_table(file: &str, table: &Table) {
     let rows = table.iter().map(|(name, bytes)| format!("{name} {}\n", hex::encode(bytes)));
     write(file, rows.collect::<String>().as_bytes());
 }
 
 /// Asserts that the values are encoded as in the fixture, one for each of its rows.
-pub fn assert_same_bytes(file: &str, encoded: &Table) {
+pub(crate) fn assert_same_bytes(file: &str, encoded: &Table) {
     let table = read_table(file);
     assert_eq!(encoded.keys().collect::<Vec<_>>(), table.keys().collect::<Vec<_>>(), "{file}");
     for (name, bytes) in &table {
--- a/crates/store/tests/compatibility/history.rs
+++ b/crates/store/tests/compatibility/history.rs
@@ -11,11 +11,11 @@
 
 const FILE: &str = "log_entries.hex";
 
-pub fn log_id(index: u64) -> LogId {
+pub(crate) fn log_id(index: u64) -> LogId {
     LogId::new(CommittedLeaderId::new(3, 2), index)
 }
 
-pub fn membership(voters: &[u64]) -> openraft::Membership<u64, BasicNode> {
+pub(crate) fn membership(voters: &[u64]) -> openraft::Membership<u64, BasicNode> {
     let node = |&member: &u64| (member, BasicNode::new(format!("127.0.0.1:700{member}")));
     let nodes: BTreeMap<u64, BasicNode> = voters.iter().map(node).collect();
     let voters: BTreeSet<u64> = voters.iter().copied().collect();
@@ -46,7 +46,7 @@
 }
 
 /// Proposals by the index of their entry.
-pub fn proposal(index: u64) -> Proposal {
+pub(crate) fn proposal(index: u64) -> Proposal {
     let (client, sequence, change) = match index {
         2 => (1_000, 1, document("text 1", Some(0))),
         3 => (1_000, 2, document("text 2", Some(2))),
@@ -61,7 +61,7 @@
 }
 
 /// Entries 1 to 10 of a log.
-pub fn entries() -> Vec<Entry> {
+pub(crate) fn entries() -> Vec<Entry> {
     let payload = |index| match index {
         1 => EntryPayload::Membership(membership(&[1, 2, 3])),
         7 => EntryPayload::Membership(membership(&[1, 2])),
@@ -91,7 +91,7 @@
     all().map(|(name, entry)| (name, encode("a log entry", &entry).unwrap())).collect()
 }
 
-pub fn write_fixture() {
+pub(crate) fn write_fixture() {
     fixture::write_table(FILE, &encoded());
 }
 
--- a/crates/store/tests/compatibility/messages.rs
+++ b/crates/store/tests/compatibility/messages.rs
@@ -145,7 +145,7 @@
         .collect()
 }
 
-pub fn write_fixture() {
+pub(crate) fn write_fixture() {
     fixture::write_table(REQUESTS_FILE, &encoded(requests()));
     fixture::write_table(RESPONSES_FILE, &encoded(responses()));
 }
--- a/crates/store/tests/compatibility/snapshot.rs
+++ b/crates/store/tests/compatibility/snapshot.rs
@@ -14,7 +14,7 @@
 const FILE: &str = "snapshot";
 
 /// Applies the log's entries up to an index, and makes a snapshot of them; as it is sealed.
-pub async fn build(disk: Disk, upto: usize) -> Vec<u8> {
+pub(crate) async fn build(disk: Disk, upto: usize) -> Vec<u8> {
     let mut machine = Machine::new(disk, watch::channel(0).0).unwrap();
     machine.apply(history::entries().into_iter().take(upto)).await.unwrap();
     let snapshot = machine.get_snapshot_builder().await.build_snapshot().await.unwrap();
@@ -26,7 +26,7 @@
     build(Disk::create(folder.path(), Identity { cluster: 9, member: 1 }).unwrap(), 10).await
 }
 
-pub async fn write_fixture() {
+pub(crate) async fn write_fixture() {
     fixture::write(FILE, &built().await);
 }
 
--- a/crates/store/tests/compatibility/subscriber.rs
+++ b/crates/store/tests/compatibility/subscriber.rs
@@ -30,7 +30,7 @@
     kept.write(CLUSTER, 12, 7, table().items()).unwrap();
 }
 
-pub fn write_fixture() {
+pub(crate) fn write_fixture() {
     fastrand::seed(9);
     let folder = tempfile::tempdir().unwrap();
     save(folder.path());
--- a/crates/store/tests/compatibility/wire.rs
+++ b/crates/store/tests/compatibility/wire.rs
@@ -98,7 +98,7 @@
     table
 }
 
-pub async fn write_fixture() {
+pub(crate) async fn write_fixture() {
     fixture::write_table(FILE, &all().await);
 }
 
