--- a/crates/faults-preload/src/lib.rs
+++ b/crates/faults-preload/src/lib.rs
@@ -1,8 +1,8 @@
-//! System calls that fail inside a process under test, loaded into it by `LD_PRELOAD`. It takes the place of the C
-//! library's functions of these names, and calls on to them unless the [plan](stonefold_faults::FaultPlan) says
-//! otherwise. Without a plan in the environment it does nothing else.
+//! Injects faults into the system calls of a process under test, which loads it by `LD_PRELOAD`.
+//!
+//! Its functions replace those of the C library and call them, unless the [plan](stonefold_faults::FaultPlan) injects
+//! a fault. Without a plan in the environment they do nothing else.
 #![allow(unsafe_code)] // the functions are the C library's
-#![allow(missing_docs, unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
 
 mod plan;
 mod real;
@@ -17,17 +17,18 @@
 use plan::Plan;
 use real::real;
 
-/// The most bytes that a short call moves.
-const SHORT: usize = 7;
+/// The most bytes that a short read or write transfers.
+const MAX_SHORT_TRANSFER: usize = 7;
 
+/// Sets errno and returns what a failed call returns.
 fn fail(errno: c_int) -> c_int {
     // SAFETY: the C library gives each thread a valid place for its errno.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
 
-/// One of these errors.
-fn one_of(plan: &Plan, errors: &[c_int]) -> c_int {
+/// Fails with one of these errors, drawn at random.
+fn fail_with_one_of(plan: &Plan, errors: &[c_int]) -> c_int {
     fail(errors[plan.below(errors.len() as u64) as usize])
 }
 
@@ -35,7 +36,7 @@
 fn is_network(fd: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
-    // SAFETY: both pointers are to live variables of the size that is told; errno's place is valid.
+    // SAFETY: both pointers are to live variables of the stated size; errno's place is valid.
     unsafe {
         let errno = *libc::__errno_location();
         let option = (&raw mut domain).cast::<c_void>();
@@ -46,7 +47,7 @@
 }
 
 /// Whether a descriptor is a regular file or a folder. Leaves errno as it was.
-fn is_stored(fd: c_int) -> bool {
+fn is_file_or_folder(fd: c_int) -> bool {
     let mut stat = MaybeUninit::<libc::stat>::uninit();
     // SAFETY: the pointer is to a live variable of that type, which is read only if the call has filled it.
     unsafe {
@@ -57,56 +58,58 @@
     }
 }
 
-/// What a call that moves bytes does, as the plan has it.
-enum Turn {
-    Whole,
-    /// So many bytes at most.
+/// What the plan makes of a call that transfers bytes.
+enum Transfer {
+    /// The call is made as it is.
+    Unchanged,
+    /// The call transfers this many bytes at most.
     Short(usize),
+    /// The call fails; errno is set, and this is what it returns.
     Failed(c_int),
 }
 
-fn broken_path(plan: &Plan, fd: c_int) -> Turn {
-    // As with a real one, nothing more goes through it.
+/// Breaks a connection: as with a real broken path, nothing passes through it any more.
+fn break_connection(plan: &Plan, fd: c_int) -> Transfer {
     // SAFETY: shutdown takes any descriptor.
     unsafe { libc::shutdown(fd, libc::SHUT_RDWR) };
-    Turn::Failed(one_of(plan, &[libc::ETIMEDOUT, libc::EHOSTUNREACH]))
+    Transfer::Failed(fail_with_one_of(plan, &[libc::ETIMEDOUT, libc::EHOSTUNREACH]))
 }
 
-fn network_turn(fd: c_int, interrupted: Fault, short: Fault, looks: bool) -> Turn {
-    let Some(plan) = Plan::of_process().filter(|_| is_network(fd)) else { return Turn::Whole };
+fn network_transfer(fd: c_int, interrupted: Fault, short: Fault, is_peek: bool) -> Transfer {
+    let Some(plan) = Plan::of_process().filter(|_| is_network(fd)) else { return Transfer::Unchanged };
     if plan.strikes(interrupted) {
-        return Turn::Failed(fail(libc::EINTR));
+        return Transfer::Failed(fail(libc::EINTR));
     }
-    if !looks && plan.strikes(Fault::BrokenPath) {
-        return broken_path(plan, fd);
+    if !is_peek && plan.strikes(Fault::BrokenPath) {
+        return break_connection(plan, fd);
     }
-    match !looks && plan.strikes(short) {
-        true => Turn::Short(1 + plan.below(SHORT as u64) as usize),
-        false => Turn::Whole,
+    if !is_peek && plan.strikes(short) {
+        return Transfer::Short(1 + plan.below(MAX_SHORT_TRANSFER as u64) as usize);
     }
+    Transfer::Unchanged
 }
 
-fn read_turn(fd: c_int, flags: c_int) -> Turn {
-    network_turn(fd, Fault::InterruptedRead, Fault::ShortRead, flags & libc::MSG_PEEK != 0)
+fn read_transfer(fd: c_int, flags: c_int) -> Transfer {
+    network_transfer(fd, Fault::InterruptedRead, Fault::ShortRead, flags & libc::MSG_PEEK != 0)
 }
 
-fn write_turn(fd: c_int) -> Turn {
-    network_turn(fd, Fault::InterruptedWrite, Fault::ShortWrite, false)
+fn write_transfer(fd: c_int) -> Transfer {
+    network_transfer(fd, Fault::InterruptedWrite, Fault::ShortWrite, false)
 }
 
-/// Whether a call on a stored file fails.
-fn storage_fails(fd: c_int, fault: Fault) -> Option<&'static Plan> {
-    Plan::of_process().filter(|plan| plan.is_set(fault) && is_stored(fd) && plan.strikes(fault))
+/// The plan, if it makes this call on a file or folder fail.
+fn storage_fault(fd: c_int, fault: Fault) -> Option<&'static Plan> {
+    Plan::of_process().filter(|plan| plan.is_set(fault) && is_file_or_folder(fd) && plan.strikes(fault))
 }
 
 /// # Safety
 /// As `recv` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    let length = match read_turn(fd, flags) {
-        Turn::Whole => length,
-        Turn::Short(most) => length.min(most),
-        Turn::Failed(error) => return error as ssize_t,
+    let length = match read_transfer(fd, flags) {
+        Transfer::Unchanged => length,
+        Transfer::Short(max_length) => length.min(max_length),
+        Transfer::Failed(error) => return error as ssize_t,
     };
     // SAFETY: the caller's arguments, of which the length is at most shortened.
     unsafe { real!(recv: fn(c_int, *mut c_void, size_t, c_int) -> ssize_t)(fd, buffer, length, flags) }
@@ -116,13 +119,13 @@
 /// As `read` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn read(fd: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
-    if storage_fails(fd, Fault::FileRead).is_some() {
+    if storage_fault(fd, Fault::FileRead).is_some() {
         return fail(libc::EIO) as ssize_t;
     }
-    let length = match read_turn(fd, 0) {
-        Turn::Whole => length,
-        Turn::Short(most) => length.min(most),
-        Turn::Failed(error) => return error as ssize_t,
+    let length = match read_transfer(fd, 0) {
+        Transfer::Unchanged => length,
+        Transfer::Short(max_length) => length.min(max_length),
+        Transfer::Failed(error) => return error as ssize_t,
     };
     // SAFETY: as in `recv`.
     unsafe { real!(read: fn(c_int, *mut c_void, size_t) -> ssize_t)(fd, buffer, length) }
@@ -132,13 +135,13 @@
 /// As `readv` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn readv(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    match read_turn(fd, 0) {
+    match read_transfer(fd, 0) {
         // SAFETY: the caller's arguments; the first part, if there is one, is shortened in a copy.
-        Turn::Short(most) if count > 0 => unsafe {
-            let first = iovec { iov_len: (*parts).iov_len.min(most), ..*parts };
+        Transfer::Short(max_length) if count > 0 => unsafe {
+            let first = iovec { iov_len: (*parts).iov_len.min(max_length), ..*parts };
             real!(readv: fn(c_int, *const iovec, c_int) -> ssize_t)(fd, &raw const first, 1)
         },
-        Turn::Failed(error) => error as ssize_t,
+        Transfer::Failed(error) => error as ssize_t,
         // SAFETY: the caller's arguments.
         _ => unsafe { real!(readv: fn(c_int, *const iovec, c_int) -> ssize_t)(fd, parts, count) },
     }
@@ -148,10 +151,10 @@
 /// As `send` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    let length = match write_turn(fd) {
-        Turn::Whole => length,
-        Turn::Short(most) => length.min(most),
-        Turn::Failed(error) => return error as ssize_t,
+    let length = match write_transfer(fd) {
+        Transfer::Unchanged => length,
+        Transfer::Short(max_length) => length.min(max_length),
+        Transfer::Failed(error) => return error as ssize_t,
     };
     // SAFETY: as in `recv`.
     unsafe { real!(send: fn(c_int, *const c_void, size_t, c_int) -> ssize_t)(fd, buffer, length, flags) }
@@ -161,13 +164,13 @@
 /// As `write` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    if let Some(plan) = storage_fails(fd, Fault::FileWrite) {
-        return one_of(plan, &[libc::ENOSPC, libc::EIO]) as ssize_t;
+    if let Some(plan) = storage_fault(fd, Fault::FileWrite) {
+        return fail_with_one_of(plan, &[libc::ENOSPC, libc::EIO]) as ssize_t;
     }
-    let length = match write_turn(fd) {
-        Turn::Whole => length,
-        Turn::Short(most) => length.min(most),
-        Turn::Failed(error) => return error as ssize_t,
+    let length = match write_transfer(fd) {
+        Transfer::Unchanged => length,
+        Transfer::Short(max_length) => length.min(max_length),
+        Transfer::Failed(error) => return error as ssize_t,
     };
     // SAFETY: as in `recv`.
     unsafe { real!(write: fn(c_int, *const c_void, size_t) -> ssize_t)(fd, buffer, length) }
@@ -177,13 +180,13 @@
 /// As `writev` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    match write_turn(fd) {
+    match write_transfer(fd) {
         // SAFETY: as in `readv`.
-        Turn::Short(most) if count > 0 => unsafe {
-            let first = iovec { iov_len: (*parts).iov_len.min(most), ..*parts };
+        Transfer::Short(max_length) if count > 0 => unsafe {
+            let first = iovec { iov_len: (*parts).iov_len.min(max_length), ..*parts };
             real!(writev: fn(c_int, *const iovec, c_int) -> ssize_t)(fd, &raw const first, 1)
         },
-        Turn::Failed(error) => error as ssize_t,
+        Transfer::Failed(error) => error as ssize_t,
         // SAFETY: the caller's arguments.
         _ => unsafe { real!(writev: fn(c_int, *const iovec, c_int) -> ssize_t)(fd, parts, count) },
     }
@@ -199,7 +202,7 @@
     flags: c_int,
 ) -> c_int {
     if let Some(plan) = Plan::of_process().filter(|plan| plan.strikes(Fault::Accept)) {
-        return one_of(plan, &[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS]);
+        return fail_with_one_of(plan, &[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS]);
     }
     // SAFETY: the caller's arguments.
     unsafe {
@@ -213,7 +216,7 @@
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let network = domain == libc::AF_INET;
     if let Some(plan) = Plan::of_process().filter(|plan| network && plan.strikes(Fault::Socket)) {
-        return one_of(plan, &[libc::ENFILE, libc::ENOBUFS]);
+        return fail_with_one_of(plan, &[libc::ENFILE, libc::ENOBUFS]);
     }
     // SAFETY: the caller's arguments.
     unsafe { real!(socket: fn(c_int, c_int, c_int) -> c_int)(domain, kind, protocol) }
@@ -224,7 +227,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     if let Some(plan) = Plan::of_process().filter(|plan| is_network(fd) && plan.strikes(Fault::Connect)) {
-        return one_of(plan, &[libc::EADDRNOTAVAIL, libc::ENETUNREACH]);
+        return fail_with_one_of(plan, &[libc::EADDRNOTAVAIL, libc::ENETUNREACH]);
     }
     // SAFETY: the caller's arguments.
     unsafe { real!(connect: fn(c_int, *const sockaddr, socklen_t) -> c_int)(fd, address, length) }
@@ -236,7 +239,7 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     if Plan::of_process().is_some_and(|plan| plan.strikes(Fault::InterruptedWait)) {
@@ -244,7 +247,7 @@
     }
     // SAFETY: the caller's arguments.
     unsafe {
-        real!(epoll_wait: fn(c_int, *mut epoll_event, c_int, c_int) -> c_int)(fd, events, most, timeout)
+        real!(epoll_wait: fn(c_int, *mut epoll_event, c_int, c_int) -> c_int)(fd, events, max_events, timeout)
     }
 }
 
@@ -252,7 +255,7 @@
 /// As `fsync` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    if storage_fails(fd, Fault::FileSync).is_some() {
+    if storage_fault(fd, Fault::FileSync).is_some() {
         return fail(libc::EIO);
     }
     // SAFETY: the caller's argument.
@@ -263,7 +266,7 @@
 /// As `fdatasync` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
-    if storage_fails(fd, Fault::FileSync).is_some() {
+    if storage_fault(fd, Fault::FileSync).is_some() {
         return fail(libc::EIO);
     }
     // SAFETY: the caller's argument.
--- a/crates/faults-preload/src/real.rs
+++ b/crates/faults-preload/src/real.rs
@@ -1,25 +1,25 @@
-//! The C library's own functions, behind ours.
+//! The C library's own functions, which those of this library replace.
 
 use std::ffi::{CStr, c_void};
 use std::ptr;
 use std::sync::atomic::{AtomicPtr, Ordering};
 
-/// The place of one function, looked up at its first call.
-pub struct Place(AtomicPtr<c_void>);
+/// The address of one function, looked up at its first call.
+pub(crate) struct Symbol(AtomicPtr<c_void>);
 
-impl Place {
+impl Symbol {
     /// Not looked up yet.
-    pub const fn new() -> Place {
-        Place(AtomicPtr::new(ptr::null_mut()))
+    pub(crate) const fn new() -> Symbol {
+        Symbol(AtomicPtr::new(ptr::null_mut()))
     }
 
     /// The function's address.
-    pub fn find(&self, name: &CStr) -> *mut c_void {
+    pub(crate) fn find(&self, name: &CStr) -> *mut c_void {
         let known = self.0.load(Ordering::Relaxed);
         if !known.is_null() {
             return known;
         }
-        // SAFETY: the name ends in a nought; RTLD_NEXT asks for the function behind ours.
+        // SAFETY: the name ends in NUL; RTLD_NEXT asks for the next function of this name after ours.
         let found = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
         assert!(!found.is_null(), "the C library has no {name:?}");
         self.0.store(found, Ordering::Relaxed);
@@ -30,16 +30,16 @@
 /// The C library's function of this name and type. To call it is unsafe.
 macro_rules! real {
     ($name:ident: fn($($argument:ty),*) -> $result:ty) => {{
-        static PLACE: $crate::real::Place = $crate::real::Place::new();
+        static SYMBOL: $crate::real::Symbol = $crate::real::Symbol::new();
         let name = const {
             match std::ffi::CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
                 Ok(name) => name,
-                Err(_) => panic!("a name without noughts"),
+                Err(_) => panic!("the name contains NUL"),
             }
         };
         // SAFETY (of the caller's block): the type is that of the C library's function.
         std::mem::transmute::<*mut std::ffi::c_void, unsafe extern "C" fn($($argument),*) -> $result>(
-            PLACE.find(name),
+            SYMBOL.find(name),
         )
     }};
 }
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,9 +1,10 @@
-//! Which system calls of a process under test fail, and how often. A test writes a [`FaultPlan`]; the library that
-//! `stonefold-faults-preload` builds reads it from inside the process, and each change holds from the next call on.
+//! Fault injection for system calls of a process under test: which calls fail, and how often.
+//!
+//! A test writes a [`FaultPlan`]; the library that `stonefold-faults-preload` builds reads it from inside the process,
+//! and each change is in force from the next call on.
 //!
 //! The plan is a small file of little-endian numbers: a seed, the step of the wall clock in ms, then for each [`Fault`]
 //! its rate in parts of a million and how often it was injected.
-#![allow(missing_docs, unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -13,39 +14,39 @@
 
 use tempfile::NamedTempFile;
 
-/// The environment variable that names the plan's file to the library.
+/// The environment variable by which the library finds the plan's file.
 pub const PLAN_VARIABLE: &str = "STONEFOLD_FAULT_PLAN";
-/// Rates are parts of this.
-pub const WHOLE: u64 = 1_000_000;
-/// Where the step of the wall clock stands, in bytes; the seed stands before.
-pub const CLOCK_STEP_AT: usize = 8;
-/// Where the rates begin.
-pub const RATES_AT: usize = 16;
-/// Where the counts begin.
-pub const COUNTS_AT: usize = RATES_AT + 8 * Fault::ALL.len();
-/// The length of the file.
-pub const LENGTH: usize = COUNTS_AT + 8 * Fault::ALL.len();
+/// The rate of a fault that strikes at every call.
+pub const RATE_OF_ALL_CALLS: u64 = 1_000_000;
+/// Offset of the step of the wall clock, in bytes; the seed stands before.
+pub const CLOCK_STEP_OFFSET: usize = 8;
+/// Offset of the rates, in bytes.
+pub const RATES_OFFSET: usize = 16;
+/// Offset of the counts, in bytes.
+pub const COUNTS_OFFSET: usize = RATES_OFFSET + 8 * Fault::ALL.len();
+/// Length of the plan's file, in bytes.
+pub const PLAN_LENGTH: usize = COUNTS_OFFSET + 8 * Fault::ALL.len();
 
 /// A way in which system calls fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A read from a network socket brings less than has come.
+    /// A read from a network socket returns less than has been received (a short read).
     ShortRead,
-    /// A write to a network socket takes less than there is room for.
+    /// A write to a network socket accepts less than there is buffer for (a short write).
     ShortWrite,
-    /// A read, or a look, is interrupted (EINTR).
+    /// A read or peek is interrupted (EINTR).
     InterruptedRead,
     /// A write is interrupted.
     InterruptedWrite,
     /// A wait for events is interrupted.
     InterruptedWait,
-    /// `accept` fails for a moment: ECONNABORTED, ENFILE, ENOBUFS.
+    /// `accept` fails transiently: ECONNABORTED, ENFILE, ENOBUFS.
     Accept,
-    /// `socket` fails for a moment: ENFILE, ENOBUFS.
+    /// `socket` fails transiently: ENFILE, ENOBUFS.
     Socket,
-    /// `connect` fails for a moment: EADDRNOTAVAIL, ENETUNREACH.
+    /// `connect` fails transiently: EADDRNOTAVAIL, ENETUNREACH.
     Connect,
-    /// A connection is broken and shows it as ETIMEDOUT or EHOSTUNREACH.
+    /// A connection breaks with ETIMEDOUT or EHOSTUNREACH.
     BrokenPath,
     /// A write to a file fails: ENOSPC, EIO.
     FileWrite,
@@ -56,7 +57,7 @@
 }
 
 impl Fault {
-    /// All of them, in the order of the file.
+    /// All faults, in the order of the plan's file.
     pub const ALL: [Fault; 12] = [
         Fault::ShortRead,
         Fault::ShortWrite,
@@ -85,7 +86,7 @@
     /// If the file can't be made.
     pub fn new(seed: u64) -> io::Result<FaultPlan> {
         let plan = FaultPlan { file: NamedTempFile::new()? };
-        plan.file().write_all_at(&[0; LENGTH], 0)?;
+        plan.file().write_all_at(&[0; PLAN_LENGTH], 0)?;
         plan.file().write_all_at(&seed.to_le_bytes(), 0)?;
         Ok(plan)
     }
@@ -94,13 +95,13 @@
         self.file.as_file()
     }
 
-    /// From now on this part of the calls fails in this way, 0 to 1.
+    /// From now on this fraction of the calls, 0 to 1, fails in this way.
     ///
     /// # Errors
     /// If the file can't be written.
     pub fn set(&self, fault: Fault, rate: f64) -> io::Result<()> {
-        let parts = (rate.clamp(0.0, 1.0) * WHOLE as f64) as u64;
-        self.file().write_all_at(&parts.to_le_bytes(), (RATES_AT + 8 * fault as usize) as u64)
+        let parts = (rate.clamp(0.0, 1.0) * RATE_OF_ALL_CALLS as f64) as u64;
+        self.file().write_all_at(&parts.to_le_bytes(), (RATES_OFFSET + 8 * fault as usize) as u64)
     }
 
     /// From now on nothing fails.
@@ -111,12 +112,12 @@
         Fault::ALL.into_iter().try_for_each(|fault| self.set(fault, 0.0))
     }
 
-    /// From now on the wall clock is so many ms ahead, or behind if negative.
+    /// From now on the wall clock is this many milliseconds ahead, or behind if negative.
     ///
     /// # Errors
     /// If the file can't be written.
     pub fn step_clock(&self, ms: i64) -> io::Result<()> {
-        self.file().write_all_at(&ms.to_le_bytes(), CLOCK_STEP_AT as u64)
+        self.file().write_all_at(&ms.to_le_bytes(), CLOCK_STEP_OFFSET as u64)
     }
 
     /// How often a fault was injected.
@@ -125,7 +126,7 @@
     /// If the file can't be read.
     pub fn injected(&self, fault: Fault) -> io::Result<u64> {
         let mut count = [0; 8];
-        self.file().read_exact_at(&mut count, (COUNTS_AT + 8 * fault as usize) as u64)?;
+        self.file().read_exact_at(&mut count, (COUNTS_OFFSET + 8 * fault as usize) as u64)?;
         Ok(u64::from_le_bytes(count))
     }
 
@@ -134,13 +135,13 @@
         self.file.path()
     }
 
-    /// The environment of a process that runs under this plan, with the library of this path.
+    /// The environment variables of a process that runs under this plan, with the library at this path.
     pub fn environment(&self, library: &Path) -> [(&'static str, OsString); 2] {
         [("LD_PRELOAD", library.into()), (PLAN_VARIABLE, self.path().into())]
     }
 }
 
-/// Where the library is, if it was built beside a test program: `cargo test` builds it as a dependency.
+/// The path of the library, if it was built beside a test program: `cargo test` builds it as a dependency.
 pub fn library_beside(program: &Path) -> Option<PathBuf> {
     const NAME: &str = "libstonefold_faults_preload.so";
     let folders = program.ancestors().skip(1).take(2);
--- a/crates/observe/src/format.rs
+++ b/crates/observe/src/format.rs
@@ -1,17 +1,19 @@
-use std::fmt;
+//! The format of log lines.
+
+use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people: time, level, target, words, fields.
+    /// For people: time, level, target, message, fields.
     #[default]
     Text,
     /// One JSON object a line.
     Json,
 }
 
-/// No form of that name.
+/// No log format has this name.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown log format {0:?}: use \"text\" or \"json\"")]
 pub struct UnknownFormat(String);
@@ -28,9 +30,9 @@
     }
 }
 
-impl fmt::Display for Format {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+impl Display for Format {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             Format::Text => "text",
             Format::Json => "json",
         })
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,9 +1,8 @@
-//! Structured logs of the program, which never hold up what they tell of.
+//! Structured logs that never block the code that writes them.
 //!
 //! Events are made with `tracing`: each has a stable name in its field `event`, and typed fields for what varies.
-//! They go through a bounded queue to a thread of its own, which alone writes. Where nobody reads, the queue
-//! fills, and what finds no room is dropped and counted in [`Dropped`].
-#![allow(unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
+//! They go through a bounded queue to a thread of its own, which alone writes. While nobody reads, the queue fills up;
+//! further lines are dropped and counted in [`Dropped`].
 
 mod format;
 mod level;
@@ -19,8 +18,8 @@
 use tracing_subscriber::layer::{Layer, SubscriberExt};
 use tracing_subscriber::{Registry, fmt};
 
-/// Lines that may wait to be written; at some 200 bytes each a fraction of a MiB.
-const QUEUE_LINES: usize = 2048;
+/// Most lines that wait to be written; at some 200 bytes each a fraction of a MiB.
+const MAX_QUEUED_LINES: usize = 2048;
 
 /// What is logged, and how.
 #[derive(Clone, Debug, Default)]
@@ -31,7 +30,7 @@
     pub format: Format,
 }
 
-/// How many lines found no room, since the start.
+/// Counts the lines dropped because the queue was full, since the start.
 #[derive(Clone, Debug, Default)]
 pub struct Dropped(Option<ErrorCounter>);
 
@@ -42,7 +41,7 @@
     }
 }
 
-/// Keeps the writing thread at work; when dropped, it waits a moment for what is still queued.
+/// Keeps the writing thread running. When dropped, it waits a moment for queued lines to be written.
 #[must_use = "lines are written only while this is held"]
 pub struct Logging {
     _writer: WorkerGuard,
@@ -55,20 +54,20 @@
     /// # Errors
     /// If the process logs already.
     pub fn to_stderr(options: Options) -> Result<Logging, SetGlobalDefaultError> {
-        let (writer, logging) = queue(std::io::stderr(), QUEUE_LINES);
+        let (writer, logging) = queue(std::io::stderr(), MAX_QUEUED_LINES);
         set_global_default(subscriber(options, writer))?;
         Ok(logging)
     }
 
-    /// The count of lines that found no room.
+    /// The count of dropped lines.
     pub fn dropped(&self) -> Dropped {
         self.dropped.clone()
     }
 }
 
-/// A writer that never blocks, before one that may.
-fn queue(to: impl Write + Send + 'static, lines: usize) -> (NonBlocking, Logging) {
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(lines);
+/// A writer that never blocks, in front of one that may.
+fn queue(to: impl Write + Send + 'static, max_lines: usize) -> (NonBlocking, Logging) {
+    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(max_lines);
     let (writer, guard) = builder.thread_name("log").finish(to);
     let dropped = Dropped(Some(writer.error_counter()));
     (writer, Logging { _writer: guard, dropped })
