--- /dev/null
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -0,0 +1,165 @@
+//! The adaptive limit on this node's attempts in flight at one tier (additive increase, multiplicative
+//! decrease).
+//!
+//! Inputs are one congestion signal per finished attempt, the time in microseconds and the tier's mean
+//! response time. The limit rises while it is used and answers are timely, and falls once per response time
+//! while more than [`OVERLOAD_RATIO`] of the recent attempts show congestion: single failures are no
+//! overload. Below half of the usual concurrency it rises quickly, so that a node recovers from a restart or
+//! a congested period within a few answers.
+
+use crate::api::Micros;
+
+/// More than this part of recent attempts with a sign of congestion is overload.
+const OVERLOAD_RATIO: f64 = 0.3;
+/// Above the overload ratio divided by this, no hedged requests are sent.
+const OVERLOAD_PER_HEDGING_LIMIT: f64 = 2.0;
+/// Below the overload ratio divided by this, the concurrency counts as usual.
+const OVERLOAD_PER_CALM: f64 = 3.0;
+/// Attempts over which the congestion ratio is smoothed where they come often; where they are rare, time
+/// counts.
+const RATIO_SAMPLES: f64 = 16.0;
+/// Attempts over which the usual concurrency is smoothed.
+const USUAL_SAMPLES: f64 = 64.0;
+/// The limit is raised only while more than the limit divided by this is in flight.
+const LIMIT_PER_UTILIZED: f64 = 2.0;
+/// The limit rises quickly below the usual concurrency divided by this.
+const USUAL_PER_FAST_INCREASE: f64 = 2.0;
+/// Attempts by which the limit rises with each timely answer while it rises quickly.
+const FAST_INCREASE: f64 = 0.5;
+/// Factor by which the limit falls under overload.
+const DECREASE_FACTOR: f64 = 0.7;
+/// The limit of a node at its start, in attempts, where few nodes share the servers.
+pub(crate) const INITIAL_LIMIT: f64 = 8.0;
+/// Smallest initial limit, in attempts, however many nodes share the servers.
+const MIN_INITIAL_LIMIT: f64 = 2.0;
+/// What is taken for the usual concurrency at first, in attempts, where few nodes share the servers.
+const INITIAL_USUAL: f64 = 48.0;
+/// So many nodes may each start with the whole initial limit.
+const NODES_AT_FULL_LIMIT: f64 = 8.0;
+
+/// Part of the initial limits that one of `nodes` takes, so that many nodes that start together do not
+/// overload the servers.
+pub(crate) fn initial_share(nodes: usize) -> f64 {
+    (NODES_AT_FULL_LIMIT / nodes as f64).min(1.0)
+}
+
+/// The lowest limit, in attempts, for one of `nodes` that share `caches`: about one attempt per cache, less
+/// where many nodes share them. An idle cache is then used even under overload.
+pub(crate) fn cache_floor(caches: usize, nodes: usize) -> f64 {
+    (caches as f64 * initial_share(nodes)).max(1.0)
+}
+
+/// What a finished attempt shows about its tier.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Congestion {
+    /// An answer in time, without a sign of queueing.
+    Absent,
+    /// A failure, a rejection or an answer that was queued.
+    Present,
+}
+
+/// The limit of one tier and the statistics that move it.
+pub(crate) struct ConcurrencyLimit {
+    limit: f64,
+    in_flight: usize,
+    /// Smoothed part of attempts with a sign of congestion.
+    congestion_ratio: f64,
+    ratio_updated_at: Micros,
+    /// Smoothed concurrency while there is no congestion.
+    usual_in_flight: f64,
+    /// The limit is not lowered again before this time.
+    next_decrease_at: Micros,
+}
+
+impl ConcurrencyLimit {
+    /// The limit at the start of one of `nodes` that share the servers.
+    pub fn new(nodes: usize) -> Self {
+        let share = initial_share(nodes);
+        ConcurrencyLimit {
+            limit: (INITIAL_LIMIT * share).max(MIN_INITIAL_LIMIT),
+            in_flight: 0,
+            congestion_ratio: 0.0,
+            ratio_updated_at: 0,
+            usual_in_flight: INITIAL_USUAL * share,
+            next_decrease_at: 0,
+        }
+    }
+
+    /// The limit, in attempts.
+    pub fn limit(&self) -> f64 {
+        self.limit
+    }
+
+    /// Attempts in flight that count against the limit.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
+    }
+
+    /// Whether another attempt would exceed the limit.
+    pub fn is_full(&self) -> bool {
+        self.in_flight as f64 + 1.0 > self.limit
+    }
+
+    /// Counts an attempt that was sent.
+    pub fn acquire(&mut self) {
+        self.in_flight += 1;
+    }
+
+    /// Counts attempts that ended or are given up.
+    pub fn release(&mut self, attempts: usize) {
+        self.in_flight = self.in_flight.saturating_sub(attempts);
+    }
+
+    /// Whether so many attempts show congestion that it is no coincidence.
+    pub fn is_overloaded(&self) -> bool {
+        self.congestion_ratio > OVERLOAD_RATIO
+    }
+
+    /// Whether there is spare capacity for hedged requests.
+    pub fn allows_hedging(&self) -> bool {
+        !self.is_full() && self.congestion_ratio <= OVERLOAD_RATIO / OVERLOAD_PER_HEDGING_LIMIT
+    }
+
+    /// The probability with which an optional attempt should wait: none up to the overload ratio, and rising
+    /// with the ratio above it.
+    pub fn delay_probability(&self) -> f64 {
+        self.congestion_ratio - OVERLOAD_RATIO
+    }
+
+    /// Adapts the limit to the end of an attempt, but not below `floor`. Times are in microseconds;
+    /// `mean_latency` is the tier's, `time_constant` that of the node's rates.
+    pub fn record(
+        &mut self,
+        congestion: Congestion,
+        floor: f64,
+        now: Micros,
+        time_constant: f64,
+        mean_latency: f64,
+    ) {
+        self.update_statistics(congestion, now, time_constant);
+        let needed = self.in_flight as f64 + 1.0;
+        match congestion {
+            Congestion::Absent if needed > self.limit / LIMIT_PER_UTILIZED => {
+                let is_low = self.limit < self.usual_in_flight / USUAL_PER_FAST_INCREASE;
+                self.limit += if is_low { FAST_INCREASE } else { 1.0 / self.limit };
+            }
+            Congestion::Present if self.is_overloaded() && now >= self.next_decrease_at => {
+                self.limit = (self.limit.min(needed) * DECREASE_FACTOR).max(floor);
+                self.next_decrease_at = now + mean_latency as Micros;
+            }
+            _ => {}
+        }
+    }
+
+    /// Updates the congestion ratio and, while that is low, the usual concurrency.
+    fn update_statistics(&mut self, congestion: Congestion, now: Micros, time_constant: f64) {
+        let age = now.saturating_sub(self.ratio_updated_at) as f64;
+        let weight = 1.0 - (-age / time_constant).exp();
+        self.ratio_updated_at = now;
+        let sample = f64::from(u8::from(congestion == Congestion::Present));
+        self.congestion_ratio += (sample - self.congestion_ratio) * weight.max(1.0 / RATIO_SAMPLES);
+        if self.congestion_ratio < OVERLOAD_RATIO / OVERLOAD_PER_CALM {
+            self.usual_in_flight += (self.in_flight as f64 + 1.0 - self.usual_in_flight) / USUAL_SAMPLES;
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/congestion.rs
@@ -0,0 +1,66 @@
+//! Whether a finished attempt shows that its tier is congested.
+//!
+//! A queue shows in the response time before the latency objective is missed: each leg of a request gets its
+//! part of the objective. What answers of a zone take beyond the nearest zone's is no queueing, so a tier
+//! that is far away doesn't seem congested; if a zone queues for so long that no quick answer of it is
+//! remembered, its queueing passes for distance and shows only beyond the objective.
+
+use crate::api::{AttemptEnd, Micros, Outcome};
+use crate::concurrency_limit::Congestion;
+use crate::tier::Tier;
+
+/// A server that reports more of its cores in use than this is about to queue.
+const SATURATED_UTILIZATION: f64 = 0.95;
+/// Legs of a read whose cache missed: the cache, the origin and the cache again.
+const LEGS_OF_MISS: Micros = 3;
+/// Legs of a request that goes to the origin.
+const LEGS_VIA_ORIGIN: Micros = 2;
+/// An answer within this part of the objective was not queued at all.
+const OBJECTIVE_PER_PROMPT_ANSWER: Micros = 3;
+
+/// What an answer's response time is compared with.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ExpectedLatency {
+    /// The latency objective of the request, in microseconds.
+    pub objective: Micros,
+    /// What answers of the server's zone take beyond the nearest zone's, in microseconds.
+    pub zone_latency: Micros,
+    /// The tier of the server.
+    pub tier: Tier,
+}
+
+impl ExpectedLatency {
+    /// Whether the server answered so soon that it has no queue.
+    pub fn is_prompt_answer(&self, end: &AttemptEnd) -> bool {
+        let prompt = self.objective.min(self.objective / OBJECTIVE_PER_PROMPT_ANSWER + self.zone_latency);
+        matches!(end.outcome, Outcome::Success | Outcome::CacheMiss) && end.elapsed <= prompt
+    }
+
+    /// What a finished attempt shows, if anything. `was_overtaken` means that the server promptly answered an
+    /// attempt sent later.
+    pub fn congestion(&self, end: &AttemptEnd, was_overtaken: bool) -> Option<Congestion> {
+        let is_queued = end.utilization > Some(SATURATED_UTILIZATION) || end.elapsed > self.leg_limit(end);
+        let queueing = if is_queued { Congestion::Present } else { Congestion::Absent };
+        match end.outcome {
+            // Lost on the way: a queue would have answered it first.
+            Outcome::TimedOut if was_overtaken => Some(Congestion::Absent),
+            // A client that waits for less than an answer takes shows neither congestion nor capacity.
+            Outcome::TimedOut | Outcome::Canceled => is_queued.then_some(Congestion::Present),
+            Outcome::Success | Outcome::CacheMiss => Some(queueing),
+            Outcome::ServerError | Outcome::Rejected | Outcome::ConnectFailed | Outcome::ConnectionReset => {
+                Some(Congestion::Present)
+            }
+            Outcome::NotSent => None,
+        }
+    }
+
+    /// The time that one leg of the request may take without queueing.
+    fn leg_limit(&self, end: &AttemptEnd) -> Micros {
+        let legs = match (end.outcome, self.tier) {
+            (Outcome::CacheMiss, _) => LEGS_OF_MISS,
+            (_, Tier::Origin) => LEGS_VIA_ORIGIN,
+            (_, Tier::Caches) => 1,
+        };
+        self.objective.min(self.objective / legs + self.zone_latency)
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/latency.rs
@@ -0,0 +1,93 @@
+//! Response time estimates: a smoothed mean, its mean deviation and the uncongested baseline.
+//!
+//! Mean and deviation follow the round-trip time estimator of TCP (RFC 6298), which needs two numbers per
+//! class and no history. The baseline is the lowest mean seen lately: the response time without queueing.
+
+use crate::api::{Micros, RequestClass};
+
+/// The expected response time is the latency objective divided by this, until answers have been measured.
+pub(crate) const OBJECTIVE_PER_EXPECTED_LATENCY: f64 = 3.0;
+/// The expected deviation is the expected mean divided by this, until answers have been measured.
+const MEAN_PER_EXPECTED_DEVIATION: f64 = 4.0;
+/// Answers over which mean and deviation are smoothed.
+const SMOOTHING_SAMPLES: f64 = 16.0;
+/// Growth of the baseline per answer, so that it follows a lasting change within thousands of answers.
+const BASELINE_GROWTH: f64 = 1.0005;
+
+/// Response times of one kind of request, in microseconds.
+pub(crate) struct LatencyEstimate {
+    mean: f64,
+    deviation: f64,
+    baseline: f64,
+}
+
+impl LatencyEstimate {
+    /// An estimate before the first answer, from the expected mean in microseconds.
+    pub fn expecting(mean: f64) -> Self {
+        LatencyEstimate { mean, deviation: mean / MEAN_PER_EXPECTED_DEVIATION, baseline: mean }
+    }
+
+    /// An estimate before the first answer, from a latency objective in microseconds.
+    pub fn for_objective(objective: f64) -> Self {
+        LatencyEstimate::expecting(objective / OBJECTIVE_PER_EXPECTED_LATENCY)
+    }
+
+    /// Takes in the response time of one answer.
+    pub fn record(&mut self, elapsed: Micros) {
+        let error = elapsed as f64 - self.mean;
+        self.mean += error / SMOOTHING_SAMPLES;
+        self.deviation += (error.abs() - self.deviation) / SMOOTHING_SAMPLES;
+        self.baseline = self.mean.min(self.baseline * BASELINE_GROWTH);
+    }
+
+    /// The smoothed mean, in microseconds.
+    pub fn mean(&self) -> f64 {
+        self.mean
+    }
+
+    /// The mean without congestion, in microseconds.
+    pub fn baseline(&self) -> f64 {
+        self.baseline
+    }
+
+    /// The mean and this many mean deviations: a time by which few answers are still missing.
+    pub fn mean_plus_deviations(&self, deviations: f64) -> Micros {
+        (self.mean + deviations * self.deviation) as Micros
+    }
+}
+
+/// Response times by class, with an entry of their own for requests without a known class.
+pub(crate) struct ClassLatencies {
+    unclassified: LatencyEstimate,
+    by_class: Vec<LatencyEstimate>,
+}
+
+impl ClassLatencies {
+    /// Estimates before the first answer; requests without a class are expected to meet `default_objective`
+    /// (in microseconds).
+    pub fn new(default_objective: f64, classes: &[RequestClass]) -> Self {
+        let mut latencies = ClassLatencies {
+            unclassified: LatencyEstimate::for_objective(default_objective),
+            by_class: Vec::with_capacity(classes.len()),
+        };
+        latencies.add_classes(classes);
+        latencies
+    }
+
+    /// Adds the classes that are listed behind those known; the estimates of these stay.
+    pub fn add_classes(&mut self, classes: &[RequestClass]) {
+        for class in classes.iter().skip(self.by_class.len()) {
+            self.by_class.push(LatencyEstimate::for_objective(class.latency_objective as f64));
+        }
+    }
+
+    /// The estimate for a class.
+    pub fn get(&self, class: Option<usize>) -> &LatencyEstimate {
+        class.and_then(|class| self.by_class.get(class)).unwrap_or(&self.unclassified)
+    }
+
+    /// The estimate for a class, to record into.
+    pub fn get_mut(&mut self, class: Option<usize>) -> &mut LatencyEstimate {
+        class.and_then(|class| self.by_class.get_mut(class)).unwrap_or(&mut self.unclassified)
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/load_estimate.rs
@@ -0,0 +1,112 @@
+//! How many requests per second the servers are known to handle for this node.
+//!
+//! The estimate sizes what a server that is warming up may be sent. Clients that repeat rejected requests
+//! must not raise it, so unserved requests count against the arrivals several times.
+
+use crate::api::Micros;
+use crate::latency::OBJECTIVE_PER_EXPECTED_LATENCY;
+
+/// Microseconds per second.
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Each unserved request outweighs this many arrivals.
+const UNSERVED_PENALTY: f64 = 4.0;
+/// Rates decay with the duration of slow start divided by this.
+const SLOW_START_PER_TIME_CONSTANT: f64 = 4.0;
+/// Shortest time constant of the rates, in microseconds.
+const MIN_TIME_CONSTANT: f64 = 1e6;
+
+/// An event rate, from a sum that decays exponentially.
+pub(crate) struct DecayingRate {
+    sum: f64,
+    updated_at: Micros,
+}
+
+impl DecayingRate {
+    /// A rate of zero.
+    pub fn new(now: Micros) -> Self {
+        DecayingRate { sum: 0.0, updated_at: now }
+    }
+
+    /// Events per second; `time_constant` is in microseconds.
+    pub fn per_second(&self, now: Micros, time_constant: f64) -> f64 {
+        let decay = (-((now - self.updated_at) as f64) / time_constant).exp();
+        self.sum * decay / time_constant * MICROS_PER_SECOND
+    }
+
+    /// Counts one event and returns the rate after it, per second.
+    pub fn record(&mut self, now: Micros, time_constant: f64) -> f64 {
+        let decay = (-((now - self.updated_at) as f64) / time_constant).exp();
+        self.sum = self.sum * decay + 1.0;
+        self.updated_at = now;
+        self.sum / time_constant * MICROS_PER_SECOND
+    }
+}
+
+/// Rates of arrivals and of how they ended at this node.
+pub(crate) struct LoadEstimate {
+    arrived: DecayingRate,
+    served: DecayingRate,
+    /// Rejected, failed, or abandoned by the client.
+    unserved: DecayingRate,
+    /// Requests per second that are assumed to be handled before any was measured.
+    assumed_capacity: f64,
+    /// Time constant of all rates, in microseconds.
+    time_constant: f64,
+}
+
+impl LoadEstimate {
+    /// No load yet. The assumed capacity is that of `concurrency` attempts, each of which takes the expected
+    /// part of `objective` (in microseconds).
+    pub fn new(concurrency: f64, objective: f64, slow_start_duration: Micros, now: Micros) -> Self {
+        let seconds_per_request = objective / (OBJECTIVE_PER_EXPECTED_LATENCY * MICROS_PER_SECOND);
+        LoadEstimate {
+            arrived: DecayingRate::new(now),
+            served: DecayingRate::new(now),
+            unserved: DecayingRate::new(now),
+            assumed_capacity: concurrency / seconds_per_request,
+            time_constant: time_constant(slow_start_duration),
+        }
+    }
+
+    /// Follows a change of the settings.
+    pub fn reconfigure(&mut self, slow_start_duration: Micros) {
+        self.time_constant = time_constant(slow_start_duration);
+    }
+
+    /// The time constant of the node's rates, in microseconds.
+    pub fn time_constant(&self) -> f64 {
+        self.time_constant
+    }
+
+    /// Counts an arrival and returns arrivals per second.
+    pub fn record_arrival(&mut self, now: Micros) -> f64 {
+        self.arrived.record(now, self.time_constant)
+    }
+
+    /// Counts a request that was answered by a server.
+    pub fn record_served(&mut self, now: Micros) {
+        self.served.record(now, self.time_constant);
+    }
+
+    /// Counts a request that was rejected, failed or abandoned.
+    pub fn record_unserved(&mut self, now: Micros) {
+        self.unserved.record(now, self.time_constant);
+    }
+
+    /// Requests per second that the servers handle for this node: those served, or all arrivals while few of
+    /// them are left unserved.
+    ///
+    /// This underestimates where most requests are rejected for reasons other than load.
+    pub fn sustained_per_second(&self, now: Micros) -> f64 {
+        let rate = |rate: &DecayingRate| rate.per_second(now, self.time_constant);
+        let arrived = rate(&self.arrived);
+        rate(&self.served)
+            .max(arrived - UNSERVED_PENALTY * rate(&self.unserved))
+            .max(arrived.min(self.assumed_capacity))
+    }
+}
+
+/// The time constant of rates, in microseconds: short enough to follow a slow start, long enough to count.
+fn time_constant(slow_start_duration: Micros) -> f64 {
+    (slow_start_duration as f64 / SLOW_START_PER_TIME_CONSTANT).max(MIN_TIME_CONSTANT)
+}
--- /dev/null
+++ b/crates/balancer/src/machine_types.rs
@@ -0,0 +1,87 @@
+//! How much the types of machines can serve in comparison, where the endpoint list has no weights.
+//!
+//! Machines of one type are about equally quick, so their response times are pooled. Where the list has
+//! weights, these alone count.
+
+use std::collections::BTreeMap;
+
+/// Samples that the initial ratio of 1 counts for.
+const INITIAL_SAMPLES: f64 = 8.0;
+/// Samples over which the ratio is averaged.
+const MAX_SAMPLES: f64 = 64.0;
+
+/// One type of machine.
+struct MachineType {
+    /// Response times of its caches in comparison with all, 1 being average.
+    latency_ratio: f64,
+    samples: f64,
+    /// Sum of the weights of its caches in service.
+    total_weight: f64,
+}
+
+impl MachineType {
+    fn new() -> Self {
+        MachineType { latency_ratio: 1.0, samples: INITIAL_SAMPLES, total_weight: 0.0 }
+    }
+
+    fn record(&mut self, sample: f64) {
+        self.samples = (self.samples + 1.0).min(MAX_SAMPLES);
+        self.latency_ratio += (sample - self.latency_ratio) / self.samples;
+    }
+}
+
+/// The weight and machine type of a cache in service.
+#[derive(Clone, Copy)]
+pub(crate) struct ListedWeight {
+    /// Number of the machine type.
+    pub machine_type: u32,
+    /// Weight by the endpoint list.
+    pub weight: f64,
+}
+
+/// The types of the caches' machines, by number.
+pub(crate) struct MachineTypes {
+    types: BTreeMap<u32, MachineType>,
+    /// Whether the list has different weights.
+    is_weighted: bool,
+}
+
+impl MachineTypes {
+    /// No machine is listed.
+    pub fn new() -> Self {
+        MachineTypes { types: BTreeMap::new(), is_weighted: false }
+    }
+
+    /// Follows the endpoint list: these caches are in service now. Measured ratios stay.
+    pub fn update_list(&mut self, caches: impl Iterator<Item = ListedWeight> + Clone) {
+        self.types.values_mut().for_each(|machine_type| machine_type.total_weight = 0.0);
+        for cache in caches.clone() {
+            let machine_type = self.types.entry(cache.machine_type).or_insert_with(MachineType::new);
+            machine_type.total_weight += cache.weight;
+        }
+        let next_caches = caches.clone().skip(1);
+        self.is_weighted = !caches.zip(next_caches).all(|(cache, next)| cache.weight == next.weight);
+    }
+
+    /// Takes in the relative response time of a cache of this type.
+    pub fn record(&mut self, machine_type: u32, sample: f64) {
+        self.types.entry(machine_type).or_insert_with(MachineType::new).record(sample);
+    }
+
+    /// How slow a type is in comparison; 1 where the list has weights.
+    #[inline]
+    pub fn latency_ratio(&self, machine_type: u32) -> f64 {
+        self.types.get(&machine_type).map_or(1.0, |machine_type| self.effective_ratio(machine_type))
+    }
+
+    /// The part of all caches' capacity that one cache has.
+    pub fn capacity_share(&self, cache: ListedWeight) -> f64 {
+        let capacity = |of: &MachineType| of.total_weight / self.effective_ratio(of);
+        let total: f64 = self.types.values().map(capacity).sum();
+        cache.weight / self.latency_ratio(cache.machine_type) / total.max(f64::MIN_POSITIVE)
+    }
+
+    fn effective_ratio(&self, machine_type: &MachineType) -> f64 {
+        if self.is_weighted { 1.0 } else { machine_type.latency_ratio }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/relative_latency.rs
@@ -0,0 +1,66 @@
+//! How slow one cache is in comparison with all caches, 1 being average.
+
+use crate::api::{AttemptEnd, Micros, Outcome};
+use crate::latency::LatencyEstimate;
+
+/// A cache whose response times exceed the average by this factor is congested.
+const CONGESTED_RATIO: f64 = 3.0;
+/// A single sample counts up to this ratio: one costly request doesn't mark a cache as slow.
+const MAX_SAMPLE: f64 = 2.0 * CONGESTED_RATIO;
+/// Below the congested ratio divided by this, relative to uncongested response times, a cache has capacity
+/// for hedged requests.
+const CONGESTED_PER_IDLE: f64 = 2.0;
+/// Weight of a new sample.
+const SAMPLE_WEIGHT: f64 = 0.15;
+/// Weight of a new sample while the cache counts as congested, so that its recovery shows soon.
+const CONGESTED_SAMPLE_WEIGHT: f64 = 0.5;
+
+/// The response time of an attempt as a multiple of its class's mean, limited so that outliers count little.
+pub(crate) fn relative_sample(elapsed: Micros, latency: &LatencyEstimate) -> f64 {
+    (elapsed as f64 / latency.mean().max(1.0)).min(MAX_SAMPLE)
+}
+
+/// Whether a finished attempt shows how quick its cache is. A miss that the cache fetched itself does not: it
+/// shows how quick the origin is.
+pub(crate) fn shows_service_time(end: &AttemptEnd) -> bool {
+    end.outcome == Outcome::Success && end.cache_hit != Some(false)
+}
+
+/// The smoothed response time of one cache as a multiple of the average cache's.
+pub(crate) struct RelativeLatency {
+    ratio: f64,
+}
+
+impl RelativeLatency {
+    /// An average cache.
+    pub fn new() -> Self {
+        RelativeLatency { ratio: 1.0 }
+    }
+
+    /// The multiple, 1 being average.
+    pub fn ratio(&self) -> f64 {
+        self.ratio
+    }
+
+    /// The cache has restarted.
+    pub fn reset(&mut self) {
+        self.ratio = 1.0;
+    }
+
+    /// Whether a request of this class would be served about as quickly as without congestion.
+    pub fn is_uncongested(&self, latency: &LatencyEstimate) -> bool {
+        self.ratio * latency.mean() < CONGESTED_RATIO / CONGESTED_PER_IDLE * latency.baseline()
+    }
+
+    /// Takes in a finished attempt; `sample` is from [`relative_sample`].
+    pub fn record(&mut self, end: &AttemptEnd, sample: f64) {
+        let observed = match end.outcome {
+            Outcome::Success if shows_service_time(end) => sample,
+            Outcome::Canceled | Outcome::TimedOut => sample.max(self.ratio),
+            Outcome::Rejected => MAX_SAMPLE,
+            _ => self.ratio,
+        };
+        let weight = if self.ratio > CONGESTED_RATIO { CONGESTED_SAMPLE_WEIGHT } else { SAMPLE_WEIGHT };
+        self.ratio += (observed - self.ratio) * weight;
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/server_list.rs
@@ -0,0 +1,99 @@
+//! The servers of the endpoint list, and those that are no longer listed while an attempt is in flight there.
+
+use std::collections::BTreeMap;
+
+use crate::api::{Endpoint, EndpointState, Micros, ServerId};
+use crate::server::Server;
+
+/// Weight of a server where the list states none that can be used.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// How many caches are listed and how many of them are avoided.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CacheCounts {
+    /// Caches in the endpoint list.
+    pub listed: usize,
+    /// Listed caches that get no requests now: disabled, ejected, or in a zone that can't be reached.
+    pub avoided: usize,
+}
+
+/// The servers, by id.
+#[derive(Default)]
+pub(crate) struct ServerList {
+    servers: BTreeMap<ServerId, Server>,
+    origin: Option<ServerId>,
+    caches_in_service: usize,
+}
+
+impl ServerList {
+    /// A server, listed or with attempts in flight.
+    pub fn get(&self, id: ServerId) -> Option<&Server> {
+        self.servers.get(&id)
+    }
+
+    /// A server, to change.
+    pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        self.servers.get_mut(&id)
+    }
+
+    /// A server's entry; made anew if it isn't known.
+    pub fn get_or_add(&mut self, endpoint: &Endpoint, now: Micros) -> &mut Server {
+        self.servers.entry(endpoint.id).or_insert_with(|| Server::new(endpoint.clone(), now))
+    }
+
+    /// All servers, by id.
+    pub fn iter(&self) -> impl Iterator<Item = &Server> + Clone {
+        self.servers.values()
+    }
+
+    /// All servers, by id, to change.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+        self.servers.values_mut()
+    }
+
+    /// Servers known.
+    pub fn len(&self) -> usize {
+        self.servers.len()
+    }
+
+    /// The caches in service, by id.
+    pub fn caches(&self) -> impl Iterator<Item = &Server> + Clone {
+        self.iter().filter(|server| server.is_cache_in_service())
+    }
+
+    /// How many caches are in service.
+    pub fn cache_count(&self) -> usize {
+        self.caches_in_service
+    }
+
+    /// The origin, if it is in service.
+    pub fn origin(&self) -> Option<ServerId> {
+        self.origin
+    }
+
+    /// Takes all servers for removed, until a list has them again.
+    pub fn mark_all_removed(&mut self) {
+        self.iter_mut().for_each(|server| server.endpoint.state = EndpointState::Removed);
+    }
+
+    /// Forgets removed servers, except those with an attempt in flight or calls within the latest `window`
+    /// (in microseconds): a list may omit a server once, and its quota must not be used twice.
+    pub fn forget_removed(&mut self, window: Micros, now: Micros) {
+        let is_needed =
+            |server: &Server| !server.in_flight.is_empty() || server.warm_up.has_recent_calls(window, now);
+        self.servers.retain(|_, server| server.endpoint.state != EndpointState::Removed || is_needed(server));
+    }
+
+    /// Updates what follows from the list, after it or an override has changed.
+    pub fn refresh(&mut self) {
+        let origin = self.iter().find(|server| server.is_origin_in_service());
+        self.origin = origin.map(|server| server.endpoint.id);
+        self.caches_in_service = self.caches().count();
+    }
+}
+
+/// The weight to use for a listed one; `is_static` means that listed weights are steady sizes.
+pub(crate) fn usable_weight(listed: f64, is_static: bool) -> f64 {
+    let is_usable = is_static && listed.is_finite() && listed > 0.0;
+    if is_usable { listed } else { DEFAULT_WEIGHT }
+}
--- /dev/null
+++ b/crates/balancer/src/slow_start.rs
@@ -0,0 +1,88 @@
+//! Slow start: what this node may send a server that has restarted and is still filling its cache.
+//!
+//! A server that warms up handles a rising part of its capacity and collapses when all nodes together exceed
+//! that. Each node keeps to its quota of whole calls, computed alike at every node without a message (see
+//! [`stonefold_allotment`]). The capacity in calls per second is estimated from the node's own traffic.
+
+use stonefold_allotment::{Allotment, Sender, SlowStart};
+
+use crate::api::{Endpoint, Micros, ServerId};
+
+/// The slow start of one server, and this node's quota while it lasts.
+pub(crate) struct WarmUp {
+    /// When the server started, as far as is known; none once it is warm.
+    started_at: Option<Micros>,
+    quota: Allotment,
+}
+
+impl WarmUp {
+    /// A warm server.
+    pub fn new(server: ServerId) -> Self {
+        WarmUp { started_at: None, quota: Allotment::new(server.0.into()) }
+    }
+
+    /// When the server started; none once it is warm.
+    pub fn started_at(&self) -> Option<Micros> {
+        self.started_at
+    }
+
+    /// The server has started at this time, or is warm. Calls sent before still count against the quota.
+    pub fn restart(
+        &mut self,
+        started_at: Option<Micros>,
+        now: Micros,
+        sender: &Sender,
+        slow_start: &SlowStart,
+    ) {
+        self.started_at = started_at;
+        if let Some(start) = started_at {
+            self.quota.begin(sender, start, now, slow_start);
+        }
+    }
+
+    /// The number of nodes or this one's index has changed.
+    pub fn resize(&mut self, sender: &Sender) {
+        if self.started_at.is_some() {
+            self.quota.resize(sender);
+        }
+    }
+
+    /// The part of its capacity that the server is certain to have, 0 to 1.
+    #[inline]
+    pub fn capacity_fraction(&self, slow_start: &SlowStart, now: Micros) -> f64 {
+        self.started_at.map_or(1.0, |start| slow_start.warmth(now.saturating_sub(start)))
+    }
+
+    /// Whether the server is still warming up.
+    pub fn is_active(&self, slow_start: &SlowStart, now: Micros) -> bool {
+        self.capacity_fraction(slow_start, now) < 1.0
+    }
+
+    /// Calls that this node may send now, where the warm server handles `capacity` calls per second from all
+    /// nodes together.
+    pub fn remaining_calls(&self, slow_start: &SlowStart, capacity: f64, now: Micros) -> u64 {
+        self.quota.left(slow_start, capacity, now)
+    }
+
+    /// Counts a call that is sent now.
+    pub fn record_call(&mut self, slow_start: &SlowStart, now: Micros) {
+        self.quota.spend(slow_start, now);
+    }
+
+    /// Whether calls within the latest `window` (in microseconds) still count against the quota.
+    pub fn has_recent_calls(&self, window: Micros, now: Micros) -> bool {
+        self.quota.spent_in(window, now) > 0
+    }
+}
+
+/// Since when a server is warming up: its start by the endpoint list, or since operators enabled it, as they
+/// may have restarted it. None if both are longer ago than `duration`.
+pub(crate) fn warming_up_since(
+    endpoint: &Endpoint,
+    enabled_at: Option<Micros>,
+    duration: Micros,
+    now: Micros,
+) -> Option<Micros> {
+    let since = endpoint.started_at.max(enabled_at)?;
+    (now.saturating_sub(since) < duration).then_some(since)
+}
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -557,7 +557,7 @@
     node.tell(Event::Disable(out));
     node.tell(Event::Disable(out));
     assert!(!used(&mut node, 1000).contains(&out));
-    assert_eq!(node.balancer.stock(), (3, 1));
+    assert_eq!(node.balancer.cache_counts(), CacheCounts { listed: 3, avoided: 1 });
     // Delisted, listed anew, and said to have started.
     node.list(EndpointUpdate::Delta, vec![Endpoint { state: EndpointState::Removed, ..Endpoint::up(out) }]);
     let now = node.now;
@@ -568,7 +568,7 @@
     node.tell(Event::Enable { server: out, since: node.now });
     node.now += SECOND;
     assert!(used(&mut node, 4000).contains(&out));
-    assert_eq!(node.balancer.stock(), (3, 0));
+    assert_eq!(node.balancer.cache_counts(), CacheCounts { listed: 3, avoided: 0 });
 }
 
 #[test]
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -12,7 +12,7 @@
 
 use stonefold_balancer::settings_document::{ResolvedSettings, micros_from_millis};
 use stonefold_balancer::{
-    Action, AttemptId, Balancer, EndpointUpdate, Event, Micros, Outcome, RequestId, TimerToken,
+    Action, AttemptId, Balancer, CacheCounts, EndpointUpdate, Event, Micros, Outcome, RequestId, TimerToken,
 };
 use stonefold_proto::list::List;
 use tokio::sync::Notify;
@@ -185,9 +185,9 @@
         &self.directory
     }
 
-    /// How many servers the module has, and how many of them it avoids.
-    pub fn stock(&self) -> (usize, usize) {
-        self.balancer.stock()
+    /// How many caches the balancer has, and how many of them it avoids.
+    pub fn cache_counts(&self) -> CacheCounts {
+        self.balancer.cache_counts()
     }
 
     fn on_control(&mut self, control: Control) {
@@ -314,9 +314,9 @@
 
     /// Copies what the module alone knows into the figures.
     fn count(&self) {
-        let (listed, avoided) = self.balancer.stock();
-        self.metrics.listed.set(listed);
-        self.metrics.avoided.set(avoided);
+        let caches = self.balancer.cache_counts();
+        self.metrics.listed.set(caches.listed);
+        self.metrics.avoided.set(caches.avoided);
     }
 
     fn count_later(&mut self) {
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -33,7 +33,7 @@
 
     /// How many servers are listed, as the node has it and as the module does.
     pub fn servers(&self) -> (usize, usize) {
-        (self.driver.directory().len(), self.driver.stock().0)
+        (self.driver.directory().len(), self.driver.cache_counts().listed)
     }
 }
 
