--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -42,7 +42,7 @@
 
 impl AdmissionQueue {
     /// Adds a request; `priority` is from [`queue_priority`].
-    pub fn push(&mut self, priority: f64, request: RequestId) -> QueuePosition {
+    pub(crate) fn push(&mut self, priority: f64, request: RequestId) -> QueuePosition {
         self.enqueued += 1;
         let priority = Reverse((priority * PRIORITY_RESOLUTION) as u64);
         let position = QueuePosition { priority, sequence: Reverse(self.enqueued), request };
@@ -51,18 +51,18 @@
     }
 
     /// Removes a request that no longer waits, if it is still there.
-    pub fn remove(&mut self, position: &QueuePosition) {
+    pub(crate) fn remove(&mut self, position: &QueuePosition) {
         self.positions.remove(position);
     }
 
     /// Takes the request that is admitted next.
-    pub fn pop_next(&mut self) -> Option<RequestId> {
+    pub(crate) fn pop_next(&mut self) -> Option<RequestId> {
         self.positions.pop_first().map(|position| position.request)
     }
 
     /// Takes the request that is shed: the last in order, while more wait than can be admitted in time under
     /// this concurrency limit. Waiting requests occupy client connections.
-    pub fn pop_excess(&mut self, concurrency_limit: f64) -> Option<RequestId> {
+    pub(crate) fn pop_excess(&mut self, concurrency_limit: f64) -> Option<RequestId> {
         let max_length = concurrency_limit / LIMIT_PER_QUEUE_LENGTH + MIN_QUEUE_LENGTH;
         if self.positions.len() as f64 <= max_length {
             return None;
--- a/crates/balancer/src/balancer/answers.rs
+++ b/crates/balancer/src/balancer/answers.rs
@@ -40,7 +40,9 @@
     pub(super) fn answer_all(&mut self, out: &mut Vec<Action>) {
         let mut ids: Vec<RequestId> = self.requests.keys().copied().collect();
         ids.sort_unstable();
-        ids.into_iter().for_each(|id| self.answer(id, out));
+        for id in ids {
+            self.answer(id, out);
+        }
     }
 
     /// A request has its final answer or needs none any more. Its attempts are cancelled, except a fetch: the
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -24,7 +24,9 @@
         if update == EndpointUpdate::Full {
             self.servers.mark_all_removed();
         }
-        endpoints.into_iter().for_each(|endpoint| self.update_endpoint(endpoint));
+        for endpoint in endpoints {
+            self.update_endpoint(endpoint);
+        }
         self.servers.forget_removed(self.settings.overload_window, self.now);
         self.refresh_list();
     }
--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -42,7 +42,9 @@
             let stored_at = ended.stored_at.filter(|_| end.outcome == Outcome::Success);
             self.finish_fetch(ended.key, stored_at, out);
         }
-        lost.into_iter().for_each(|lost| self.hedge(lost, out));
+        for lost in lost {
+            self.hedge(lost, out);
+        }
         self.admit_queued(ended.tier, out);
         self.start_idling(ended.server, out);
         self.forget_if_done(id);
--- a/crates/balancer/src/balancer/sending.rs
+++ b/crates/balancer/src/balancer/sending.rs
@@ -60,13 +60,12 @@
         let to_cache = server.tier() == Tier::Caches;
         let may_hedge = request.allows_hedging() && !request.is_in_flight() && to_cache;
         // A fetch runs on after its read has ended: its value serves others.
-        let timeout = match request.leads_fetch && !to_cache {
-            true => time_left.max(request.rules.latency_objective),
-            false => time_left,
-        };
-        let check_after = match may_hedge && hedge_after < time_left {
-            true => Some(hedge_after),
-            false => (timeout > time_left).then_some(time_left),
+        let is_fetch = request.leads_fetch && !to_cache;
+        let timeout = if is_fetch { time_left.max(request.rules.latency_objective) } else { time_left };
+        let check_after = if may_hedge && hedge_after < time_left {
+            Some(hedge_after)
+        } else {
+            (timeout > time_left).then_some(time_left)
         };
         AttemptTimes { timeout, overdue_after: overdue_after(latency), check_after }
     }
--- a/crates/balancer/src/candidate_set.rs
+++ b/crates/balancer/src/candidate_set.rs
@@ -24,9 +24,9 @@
 /// A cache with its score; the lowest score ranks first.
 pub(crate) struct RankedCache<'a> {
     /// The cache.
-    pub server: &'a Server,
+    pub(crate) server: &'a Server,
     /// Its score for the key, from [`score`].
-    pub score: f64,
+    pub(crate) score: f64,
 }
 
 impl RankedCache<'_> {
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -73,7 +73,7 @@
 
 impl ConcurrencyLimit {
     /// The limit at the start of one of `nodes` that share the servers.
-    pub fn new(nodes: usize) -> Self {
+    pub(crate) fn new(nodes: usize) -> Self {
         let share = initial_share(nodes);
         ConcurrencyLimit {
             limit: (INITIAL_LIMIT * share).max(MIN_INITIAL_LIMIT),
@@ -86,49 +86,49 @@
     }
 
     /// The limit, in attempts.
-    pub fn limit(&self) -> f64 {
+    pub(crate) fn limit(&self) -> f64 {
         self.limit
     }
 
     /// Attempts in flight that count against the limit.
-    pub fn in_flight(&self) -> usize {
+    pub(crate) fn in_flight(&self) -> usize {
         self.in_flight
     }
 
     /// Whether another attempt would exceed the limit.
-    pub fn is_full(&self) -> bool {
+    pub(crate) fn is_full(&self) -> bool {
         self.in_flight as f64 + 1.0 > self.limit
     }
 
     /// Counts an attempt that was sent.
-    pub fn acquire(&mut self) {
+    pub(crate) fn acquire(&mut self) {
         self.in_flight += 1;
     }
 
     /// Counts attempts that ended or are given up.
-    pub fn release(&mut self, attempts: usize) {
+    pub(crate) fn release(&mut self, attempts: usize) {
         self.in_flight = self.in_flight.saturating_sub(attempts);
     }
 
     /// Whether so many attempts show congestion that it is no coincidence.
-    pub fn is_overloaded(&self) -> bool {
+    pub(crate) fn is_overloaded(&self) -> bool {
         self.congestion_ratio > OVERLOAD_RATIO
     }
 
     /// Whether there is spare capacity for hedged requests.
-    pub fn allows_hedging(&self) -> bool {
+    pub(crate) fn allows_hedging(&self) -> bool {
         !self.is_full() && self.congestion_ratio <= OVERLOAD_RATIO / OVERLOAD_PER_HEDGING_LIMIT
     }
 
     /// The probability with which an optional attempt should wait: none up to the overload ratio, and rising
     /// with the ratio above it.
-    pub fn delay_probability(&self) -> f64 {
+    pub(crate) fn delay_probability(&self) -> f64 {
         self.congestion_ratio - OVERLOAD_RATIO
     }
 
     /// Adapts the limit to the end of an attempt, but not below `floor`. Times are in microseconds;
     /// `mean_latency` is the tier's, `time_constant` that of the node's rates.
-    pub fn record(
+    pub(crate) fn record(
         &mut self,
         congestion: Congestion,
         floor: f64,
--- a/crates/balancer/src/congestion.rs
+++ b/crates/balancer/src/congestion.rs
@@ -22,23 +22,23 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExpectedLatency {
     /// The latency objective of the request, in microseconds.
-    pub objective: Micros,
+    pub(crate) objective: Micros,
     /// What answers of the server's zone take beyond the nearest zone's, in microseconds.
-    pub zone_latency: Micros,
+    pub(crate) zone_latency: Micros,
     /// The tier of the server.
-    pub tier: Tier,
+    pub(crate) tier: Tier,
 }
 
 impl ExpectedLatency {
     /// Whether the server answered so soon that it has no queue.
-    pub fn is_prompt_answer(&self, end: &AttemptEnd) -> bool {
+    pub(crate) fn is_prompt_answer(&self, end: &AttemptEnd) -> bool {
         let prompt = self.objective.min(self.objective / OBJECTIVE_PER_PROMPT_ANSWER + self.zone_latency);
         matches!(end.outcome, Outcome::Success | Outcome::CacheMiss) && end.elapsed <= prompt
     }
 
     /// What a finished attempt shows, if anything. `was_overtaken` means that the server promptly answered an
     /// attempt sent later.
-    pub fn congestion(&self, end: &AttemptEnd, was_overtaken: bool) -> Option<Congestion> {
+    pub(crate) fn congestion(&self, end: &AttemptEnd, was_overtaken: bool) -> Option<Congestion> {
         let is_queued = end.utilization > Some(SATURATED_UTILIZATION) || end.elapsed > self.leg_limit(end);
         let queueing = if is_queued { Congestion::Present } else { Congestion::Absent };
         match end.outcome {
--- a/crates/balancer/src/drain.rs
+++ b/crates/balancer/src/drain.rs
@@ -9,22 +9,22 @@
 
 impl Drain {
     /// No end is known.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Drain { ends_at: Micros::MAX }
     }
 
     /// The process ends at this time.
-    pub fn begin(&mut self, ends_at: Micros) {
+    pub(crate) fn begin(&mut self, ends_at: Micros) {
         self.ends_at = ends_at;
     }
 
     /// A request's deadline, no later than the end of the process.
-    pub fn limit_deadline(&self, deadline: Micros) -> Micros {
+    pub(crate) fn limit_deadline(&self, deadline: Micros) -> Micros {
         deadline.min(self.ends_at)
     }
 
     /// Time until the end of the process, in microseconds; at least 1, so that a timer can be set to it.
-    pub fn until_end(&self, now: Micros) -> Micros {
+    pub(crate) fn until_end(&self, now: Micros) -> Micros {
         self.ends_at.saturating_sub(now).max(1)
     }
 }
--- a/crates/balancer/src/endpoint_updates.rs
+++ b/crates/balancer/src/endpoint_updates.rs
@@ -26,19 +26,19 @@
 
 impl EndpointWatch {
     /// Whether the first watch is due; it counts as started from now on.
-    pub fn start(&mut self) -> bool {
+    pub(crate) fn start(&mut self) -> bool {
         let is_first = self.failures.is_none();
         self.failures.get_or_insert(0);
         is_first
     }
 
     /// An update of the list arrived.
-    pub fn succeeded(&mut self) {
+    pub(crate) fn succeeded(&mut self) {
         self.failures = self.failures.map(|_| 0);
     }
 
     /// The watch broke or could not be started. Returns the backoff before the next one, in microseconds.
-    pub fn failed(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Micros {
+    pub(crate) fn failed(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> Micros {
         let failures = self.failures.map_or(1, |failures| failures + 1).min(MAX_BACKOFF_FAILURES);
         self.failures = Some(failures);
         let node_factor = (settings.node_count as u64 / NODES_PER_BACKOFF).clamp(1, MAX_NODE_FACTOR);
--- a/crates/balancer/src/hedging.rs
+++ b/crates/balancer/src/hedging.rs
@@ -18,28 +18,28 @@
 /// Another candidate for a late read.
 pub(crate) struct Alternative {
     /// The cache.
-    pub server: ServerId,
+    pub(crate) server: ServerId,
     /// Whether it has idle capacity.
-    pub is_idle: bool,
+    pub(crate) is_idle: bool,
 }
 
 /// What limits extra attempts at the moment.
 pub(crate) struct HedgingConditions {
     /// The hedge budget holds a token and neither tier shows congestion.
-    pub hedges_allowed: bool,
+    pub(crate) hedges_allowed: bool,
     /// The retry budget holds a token and the caches' concurrency limit is not reached.
-    pub retries_allowed: bool,
+    pub(crate) retries_allowed: bool,
     /// The first attempt is lost, or its server is suspected to be an outlier.
-    pub first_is_lost: bool,
+    pub(crate) first_is_lost: bool,
 }
 
 /// Where a late read may be sent, in order of preference.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct ExtraAttempt {
     /// A cache with idle capacity, for a hedged request.
-    pub hedge_to: Option<ServerId>,
+    pub(crate) hedge_to: Option<ServerId>,
     /// Any healthy cache, for a retry.
-    pub retry_to: Option<ServerId>,
+    pub(crate) retry_to: Option<ServerId>,
 }
 
 /// Chooses among the untried healthy candidates of a late read's key, which come in order of rank.
--- a/crates/balancer/src/idle_connections.rs
+++ b/crates/balancer/src/idle_connections.rs
@@ -22,28 +22,28 @@
 
 impl IdleConnection {
     /// No connection.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         IdleConnection { idle_since: None, timeout_fraction: 1.0 }
     }
 
     /// The connection is in use, or closed.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.idle_since = None;
     }
 
     /// Nothing is in flight on the connection any more.
-    pub fn start_idling(&mut self, now: Micros) {
+    pub(crate) fn start_idling(&mut self, now: Micros) {
         self.idle_since = Some(now);
     }
 
     /// When the connection is to be closed; never if none is idle.
-    pub fn expires_at(&self, idle_timeout: Micros) -> Micros {
+    pub(crate) fn expires_at(&self, idle_timeout: Micros) -> Micros {
         let idle_time = (idle_timeout as f64 * self.timeout_fraction) as Micros;
         self.idle_since.map_or(Micros::MAX, |since| since.saturating_add(idle_time))
     }
 
     /// Takes in how an attempt at the server ended; `nodes` share the server.
-    pub fn record_outcome(&mut self, outcome: Outcome, nodes: usize) {
+    pub(crate) fn record_outcome(&mut self, outcome: Outcome, nodes: usize) {
         let fraction = self.timeout_fraction;
         self.timeout_fraction = match outcome {
             Outcome::ConnectFailed => {
@@ -63,23 +63,23 @@
 
 impl IdleCheck {
     /// No check is due.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         IdleCheck { next_at: Micros::MAX }
     }
 
     /// Whether a check is due.
-    pub fn is_due(&self, now: Micros) -> bool {
+    pub(crate) fn is_due(&self, now: Micros) -> bool {
         now >= self.next_at
     }
 
     /// The check is carried out.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.next_at = Micros::MAX;
     }
 
     /// Has a check happen by `at`. Returns the delay of the timer to set, in microseconds, if that is earlier
     /// than planned.
-    pub fn schedule(&mut self, at: Micros, now: Micros) -> Option<Micros> {
+    pub(crate) fn schedule(&mut self, at: Micros, now: Micros) -> Option<Micros> {
         if at >= self.next_at {
             return None;
         }
--- a/crates/balancer/src/in_flight.rs
+++ b/crates/balancer/src/in_flight.rs
@@ -17,22 +17,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct InFlightAttempt {
     /// From when it is a sign that the server doesn't answer.
-    pub overdue_at: Micros,
+    pub(crate) overdue_at: Micros,
     /// The attempt.
-    pub id: AttemptId,
+    pub(crate) id: AttemptId,
     /// When it was sent.
-    pub sent_at: Micros,
+    pub(crate) sent_at: Micros,
     /// The latency objective of its request, in microseconds.
-    pub latency_objective: Micros,
+    pub(crate) latency_objective: Micros,
 }
 
 /// How an attempt that has ended was regarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FinishedAttempt {
     /// It was long overdue.
-    pub was_overdue: bool,
+    pub(crate) was_overdue: bool,
     /// It no longer counted against the concurrency limit.
-    pub was_written_off: bool,
+    pub(crate) was_written_off: bool,
 }
 
 /// This node's attempts in flight at one server.
@@ -48,39 +48,39 @@
 
 impl InFlight {
     /// Attempts that count.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.attempts.len()
     }
 
     /// Whether no attempt counts.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
     /// Whether an attempt is overdue.
-    pub fn has_overdue(&self, now: Micros) -> bool {
+    pub(crate) fn has_overdue(&self, now: Micros) -> bool {
         self.attempts.first().is_some_and(|attempt| attempt.overdue_at <= now)
     }
 
     /// Whether an attempt of this request was written off.
-    pub fn has_written_off(&self, request: RequestId) -> bool {
+    pub(crate) fn has_written_off(&self, request: RequestId) -> bool {
         self.written_off.iter().any(|attempt| attempt.request == request)
     }
 
     /// An attempt is sent.
-    pub fn insert(&mut self, attempt: InFlightAttempt) {
+    pub(crate) fn insert(&mut self, attempt: InFlightAttempt) {
         self.attempts.insert(attempt);
     }
 
     /// An attempt has ended.
-    pub fn finish(&mut self, id: AttemptId, now: Micros) -> FinishedAttempt {
+    pub(crate) fn finish(&mut self, id: AttemptId, now: Micros) -> FinishedAttempt {
         let was_overdue = self.remove(id).is_some_and(|attempt| attempt.overdue_at <= now);
         FinishedAttempt { was_overdue, was_written_off: self.written_off.remove(&id) }
     }
 
     /// An answer has begun: the attempt is no longer waited for, however long the answer is. Returns whether
     /// it counted until now.
-    pub fn write_off(&mut self, id: AttemptId) -> bool {
+    pub(crate) fn write_off(&mut self, id: AttemptId) -> bool {
         let counted = self.remove(id).is_some();
         if counted {
             self.written_off.insert(id);
@@ -93,7 +93,7 @@
     /// An attempt that was overtaken by a prompt answer is lost once it exceeds its latency objective, or
     /// once it is overdue while the caches are `overloaded`: then all answers are late and a retry gains
     /// nothing.
-    pub fn write_off_lost(&mut self, now: Micros, overloaded: bool) -> Vec<RequestId> {
+    pub(crate) fn write_off_lost(&mut self, now: Micros, overloaded: bool) -> Vec<RequestId> {
         let is_lost = |attempt: &&InFlightAttempt| {
             let late_at = attempt.sent_at.saturating_add(attempt.latency_objective);
             let given_up_at = if overloaded { attempt.overdue_at } else { attempt.overdue_at.min(late_at) };
@@ -109,12 +109,12 @@
     }
 
     /// An attempt sent at this time was answered promptly: the server has no queue.
-    pub fn record_prompt_answer(&mut self, sent_at: Micros) {
+    pub(crate) fn record_prompt_answer(&mut self, sent_at: Micros) {
         self.promptly_answered = self.promptly_answered.max(sent_at);
     }
 
     /// Whether an attempt sent later than this one was answered promptly.
-    pub fn was_overtaken(&self, sent_at: Micros, latency_objective: Micros) -> bool {
+    pub(crate) fn was_overtaken(&self, sent_at: Micros, latency_objective: Micros) -> bool {
         self.promptly_answered > sent_at + latency_objective / OBJECTIVE_PER_OVERTAKING
     }
 
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -23,17 +23,17 @@
 
 impl LatencyEstimate {
     /// An estimate before the first answer, from the expected mean in microseconds.
-    pub fn expecting(mean: f64) -> Self {
+    pub(crate) fn expecting(mean: f64) -> Self {
         LatencyEstimate { mean, deviation: mean / MEAN_PER_EXPECTED_DEVIATION, baseline: mean }
     }
 
     /// An estimate before the first answer, from a latency objective in microseconds.
-    pub fn for_objective(objective: f64) -> Self {
+    pub(crate) fn for_objective(objective: f64) -> Self {
         LatencyEstimate::expecting(objective / OBJECTIVE_PER_EXPECTED_LATENCY)
     }
 
     /// Takes in the response time of one answer.
-    pub fn record(&mut self, elapsed: Micros) {
+    pub(crate) fn record(&mut self, elapsed: Micros) {
         let error = elapsed as f64 - self.mean;
         self.mean += error / SMOOTHING_SAMPLES;
         self.deviation += (error.abs() - self.deviation) / SMOOTHING_SAMPLES;
@@ -41,17 +41,17 @@
     }
 
     /// The smoothed mean, in microseconds.
-    pub fn mean(&self) -> f64 {
+    pub(crate) fn mean(&self) -> f64 {
         self.mean
     }
 
     /// The mean without congestion, in microseconds.
-    pub fn baseline(&self) -> f64 {
+    pub(crate) fn baseline(&self) -> f64 {
         self.baseline
     }
 
     /// The mean and this many mean deviations: a time by which few answers are still missing.
-    pub fn mean_plus_deviations(&self, deviations: f64) -> Micros {
+    pub(crate) fn mean_plus_deviations(&self, deviations: f64) -> Micros {
         (self.mean + deviations * self.deviation) as Micros
     }
 }
@@ -65,7 +65,7 @@
 impl ClassLatencies {
     /// Estimates before the first answer; requests without a class are expected to meet `default_objective`
     /// (in microseconds).
-    pub fn new(default_objective: f64, classes: &[RequestClass]) -> Self {
+    pub(crate) fn new(default_objective: f64, classes: &[RequestClass]) -> Self {
         let mut latencies = ClassLatencies {
             unclassified: LatencyEstimate::for_objective(default_objective),
             by_class: Vec::with_capacity(classes.len()),
@@ -75,19 +75,19 @@
     }
 
     /// Adds the classes that are listed behind those known; the estimates of these stay.
-    pub fn add_classes(&mut self, classes: &[RequestClass]) {
+    pub(crate) fn add_classes(&mut self, classes: &[RequestClass]) {
         for class in classes.iter().skip(self.by_class.len()) {
             self.by_class.push(LatencyEstimate::for_objective(class.latency_objective as f64));
         }
     }
 
     /// The estimate for a class.
-    pub fn get(&self, class: Option<usize>) -> &LatencyEstimate {
+    pub(crate) fn get(&self, class: Option<usize>) -> &LatencyEstimate {
         class.and_then(|class| self.by_class.get(class)).unwrap_or(&self.unclassified)
     }
 
     /// The estimate for a class, to record into.
-    pub fn get_mut(&mut self, class: Option<usize>) -> &mut LatencyEstimate {
+    pub(crate) fn get_mut(&mut self, class: Option<usize>) -> &mut LatencyEstimate {
         class.and_then(|class| self.by_class.get_mut(class)).unwrap_or(&mut self.unclassified)
     }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -18,7 +18,6 @@
 //! balancer.on_event(10, Event::Request(read), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
 //! ```
-#![allow(unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
 
 mod admission_queue;
 mod api;
--- a/crates/balancer/src/load_estimate.rs
+++ b/crates/balancer/src/load_estimate.rs
@@ -23,18 +23,18 @@
 
 impl DecayingRate {
     /// A rate of zero.
-    pub fn new(now: Micros) -> Self {
+    pub(crate) fn new(now: Micros) -> Self {
         DecayingRate { sum: 0.0, updated_at: now }
     }
 
     /// Events per second; `time_constant` is in microseconds.
-    pub fn per_second(&self, now: Micros, time_constant: f64) -> f64 {
+    pub(crate) fn per_second(&self, now: Micros, time_constant: f64) -> f64 {
         let decay = (-((now - self.updated_at) as f64) / time_constant).exp();
         self.sum * decay / time_constant * MICROS_PER_SECOND
     }
 
     /// Counts one event and returns the rate after it, per second.
-    pub fn record(&mut self, now: Micros, time_constant: f64) -> f64 {
+    pub(crate) fn record(&mut self, now: Micros, time_constant: f64) -> f64 {
         let decay = (-((now - self.updated_at) as f64) / time_constant).exp();
         self.sum = self.sum * decay + 1.0;
         self.updated_at = now;
@@ -57,7 +57,7 @@
 impl LoadEstimate {
     /// No load yet. The assumed capacity is that of `concurrency` attempts, each of which takes the expected
     /// part of `objective` (in microseconds).
-    pub fn new(concurrency: f64, objective: f64, slow_start_duration: Micros, now: Micros) -> Self {
+    pub(crate) fn new(concurrency: f64, objective: f64, slow_start_duration: Micros, now: Micros) -> Self {
         let seconds_per_request = objective / (OBJECTIVE_PER_EXPECTED_LATENCY * MICROS_PER_SECOND);
         LoadEstimate {
             arrived: DecayingRate::new(now),
@@ -69,27 +69,27 @@
     }
 
     /// Follows a change of the settings.
-    pub fn reconfigure(&mut self, slow_start_duration: Micros) {
+    pub(crate) fn reconfigure(&mut self, slow_start_duration: Micros) {
         self.time_constant = time_constant(slow_start_duration);
     }
 
     /// The time constant of the node's rates, in microseconds.
-    pub fn time_constant(&self) -> f64 {
+    pub(crate) fn time_constant(&self) -> f64 {
         self.time_constant
     }
 
     /// Counts an arrival and returns arrivals per second.
-    pub fn record_arrival(&mut self, now: Micros) -> f64 {
+    pub(crate) fn record_arrival(&mut self, now: Micros) -> f64 {
         self.arrived.record(now, self.time_constant)
     }
 
     /// Counts a request that was answered by a server.
-    pub fn record_served(&mut self, now: Micros) {
+    pub(crate) fn record_served(&mut self, now: Micros) {
         self.served.record(now, self.time_constant);
     }
 
     /// Counts a request that was rejected, failed or abandoned.
-    pub fn record_unserved(&mut self, now: Micros) {
+    pub(crate) fn record_unserved(&mut self, now: Micros) {
         self.unserved.record(now, self.time_constant);
     }
 
@@ -97,7 +97,7 @@
     /// them are left unserved.
     ///
     /// This underestimates where most requests are rejected for reasons other than load.
-    pub fn sustained_per_second(&self, now: Micros) -> f64 {
+    pub(crate) fn sustained_per_second(&self, now: Micros) -> f64 {
         let rate = |rate: &DecayingRate| rate.per_second(now, self.time_constant);
         let arrived = rate(&self.arrived);
         rate(&self.served)
--- a/crates/balancer/src/machine_types.rs
+++ b/crates/balancer/src/machine_types.rs
@@ -34,9 +34,9 @@
 #[derive(Clone, Copy)]
 pub(crate) struct ListedWeight {
     /// Number of the machine type.
-    pub machine_type: u32,
+    pub(crate) machine_type: u32,
     /// Weight by the endpoint list.
-    pub weight: f64,
+    pub(crate) weight: f64,
 }
 
 /// The types of the caches' machines, by number.
@@ -48,12 +48,12 @@
 
 impl MachineTypes {
     /// No machine is listed.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         MachineTypes { types: BTreeMap::new(), is_weighted: false }
     }
 
     /// Follows the endpoint list: these caches are in service now. Measured ratios stay.
-    pub fn update_list(&mut self, caches: impl Iterator<Item = ListedWeight> + Clone) {
+    pub(crate) fn update_list(&mut self, caches: impl Iterator<Item = ListedWeight> + Clone) {
         self.types.values_mut().for_each(|machine_type| machine_type.total_weight = 0.0);
         for cache in caches.clone() {
             let machine_type = self.types.entry(cache.machine_type).or_insert_with(MachineType::new);
@@ -64,18 +64,18 @@
     }
 
     /// Takes in the relative response time of a cache of this type.
-    pub fn record(&mut self, machine_type: u32, sample: f64) {
+    pub(crate) fn record(&mut self, machine_type: u32, sample: f64) {
         self.types.entry(machine_type).or_insert_with(MachineType::new).record(sample);
     }
 
     /// How slow a type is in comparison; 1 where the list has weights.
     #[inline]
-    pub fn latency_ratio(&self, machine_type: u32) -> f64 {
+    pub(crate) fn latency_ratio(&self, machine_type: u32) -> f64 {
         self.types.get(&machine_type).map_or(1.0, |machine_type| self.effective_ratio(machine_type))
     }
 
     /// The part of all caches' capacity that one cache has.
-    pub fn capacity_share(&self, cache: ListedWeight) -> f64 {
+    pub(crate) fn capacity_share(&self, cache: ListedWeight) -> f64 {
         let capacity = |of: &MachineType| of.total_weight / self.effective_ratio(of);
         let total: f64 = self.types.values().map(capacity).sum();
         cache.weight / self.latency_ratio(cache.machine_type) / total.max(f64::MIN_POSITIVE)
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -36,45 +36,45 @@
 
 impl ServerHealth {
     /// Nothing is known against the server.
-    pub fn new(now: Micros) -> Self {
+    pub(crate) fn new(now: Micros) -> Self {
         ServerHealth { consecutive_failures: 0, has_answered: false, probe_at: now }
     }
 
     /// The server has restarted: failures of its former process don't count.
-    pub fn reset(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.consecutive_failures = 0;
     }
 
     /// Whether the server has ever answered this node.
-    pub fn has_answered(&self) -> bool {
+    pub(crate) fn has_answered(&self) -> bool {
         self.has_answered
     }
 
     /// Whether the server seems not to answer.
-    pub fn is_suspect(&self, in_flight: &InFlight, now: Micros) -> bool {
+    pub(crate) fn is_suspect(&self, in_flight: &InFlight, now: Micros) -> bool {
         self.consecutive_failures >= SUSPECT_AFTER_FAILURES || in_flight.has_overdue(now)
     }
 
     /// Whether the server is avoided: it is suspected, and no single request is due to try it.
-    pub fn is_ejected(&self, in_flight: &InFlight, now: Micros) -> bool {
+    pub(crate) fn is_ejected(&self, in_flight: &InFlight, now: Micros) -> bool {
         let may_be_probed = now >= self.probe_at && in_flight.is_empty();
         self.is_suspect(in_flight, now) && !may_be_probed
     }
 
     /// An attempt is sent to the server although it is suspected: the next one may follow at `probe_at`.
-    pub fn record_probe(&mut self, probe_at: Micros) {
+    pub(crate) fn record_probe(&mut self, probe_at: Micros) {
         self.probe_at = probe_at;
     }
 
     /// An attempt has ended. A cancelled attempt counts as a failure only if it was overdue.
-    pub fn record_outcome(&mut self, outcome: Outcome, was_overdue: bool) {
+    pub(crate) fn record_outcome(&mut self, outcome: Outcome, was_overdue: bool) {
         match outcome {
             Outcome::Success | Outcome::CacheMiss | Outcome::ServerError | Outcome::Rejected => {
                 self.consecutive_failures = 0;
                 self.has_answered = true;
             }
             Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::TimedOut => {
-                self.consecutive_failures += 1
+                self.consecutive_failures += 1;
             }
             Outcome::Canceled => self.consecutive_failures += u32::from(was_overdue),
             Outcome::NotSent => {}
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -14,26 +14,32 @@
 
 impl Overrides {
     /// Disables a server; returns whether it was enabled until now.
-    pub fn disable(&mut self, server: ServerId) -> bool {
+    pub(crate) fn disable(&mut self, server: ServerId) -> bool {
         self.enabled_at.remove(&server);
         self.disabled.insert(server)
     }
 
     /// Enables a server since a time in microseconds. Earlier entries are dropped once they no longer matter,
     /// which is after `slow_start_duration`.
-    pub fn enable(&mut self, server: ServerId, since: Micros, now: Micros, slow_start_duration: Micros) {
+    pub(crate) fn enable(
+        &mut self,
+        server: ServerId,
+        since: Micros,
+        now: Micros,
+        slow_start_duration: Micros,
+    ) {
         self.disabled.remove(&server);
         self.enabled_at.retain(|_, enabled_at| now.saturating_sub(*enabled_at) < slow_start_duration);
         self.enabled_at.insert(server, since.min(now));
     }
 
     /// Whether a server is disabled.
-    pub fn is_disabled(&self, server: ServerId) -> bool {
+    pub(crate) fn is_disabled(&self, server: ServerId) -> bool {
         self.disabled.contains(&server)
     }
 
     /// When a server was last enabled, if that is not long ago.
-    pub fn enabled_at(&self, server: ServerId) -> Option<Micros> {
+    pub(crate) fn enabled_at(&self, server: ServerId) -> Option<Micros> {
         self.enabled_at.get(&server).copied()
     }
 }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -13,9 +13,9 @@
 /// The traffic of this node, against which a tenant's is compared.
 pub(crate) struct Traffic {
     /// Arrivals per second, the request in question included.
-    pub arrivals_per_second: f64,
+    pub(crate) arrivals_per_second: f64,
     /// Time constant of that rate, in microseconds.
-    pub time_constant: f64,
+    pub(crate) time_constant: f64,
 }
 
 /// Arrival rates by tenant.
@@ -25,18 +25,18 @@
 
 impl TenantRates {
     /// Rates of zero for this many tenants.
-    pub fn new(tenants: usize, now: Micros) -> Self {
+    pub(crate) fn new(tenants: usize, now: Micros) -> Self {
         TenantRates { rates: (0..tenants).map(|_| DecayingRate::new(now)).collect() }
     }
 
     /// Adds tenants; the rates of those known stay.
-    pub fn grow(&mut self, tenants: usize, now: Micros) {
+    pub(crate) fn grow(&mut self, tenants: usize, now: Micros) {
         let tenants = tenants.max(self.rates.len());
         self.rates.resize_with(tenants, || DecayingRate::new(now));
     }
 
     /// Counts a request for its tenant and returns the request's priority weight.
-    pub fn priority_weight(
+    pub(crate) fn priority_weight(
         &mut self,
         request: &Request,
         settings: &Settings,
--- a/crates/balancer/src/relative_latency.rs
+++ b/crates/balancer/src/relative_latency.rs
@@ -33,27 +33,27 @@
 
 impl RelativeLatency {
     /// An average cache.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         RelativeLatency { ratio: 1.0 }
     }
 
     /// The multiple, 1 being average.
-    pub fn ratio(&self) -> f64 {
+    pub(crate) fn ratio(&self) -> f64 {
         self.ratio
     }
 
     /// The cache has restarted.
-    pub fn reset(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.ratio = 1.0;
     }
 
     /// Whether a request of this class would be served about as quickly as without congestion.
-    pub fn is_uncongested(&self, latency: &LatencyEstimate) -> bool {
+    pub(crate) fn is_uncongested(&self, latency: &LatencyEstimate) -> bool {
         self.ratio * latency.mean() < CONGESTED_RATIO / CONGESTED_PER_IDLE * latency.baseline()
     }
 
     /// Takes in a finished attempt; `sample` is from [`relative_sample`].
-    pub fn record(&mut self, end: &AttemptEnd, sample: f64) {
+    pub(crate) fn record(&mut self, end: &AttemptEnd, sample: f64) {
         let observed = match end.outcome {
             Outcome::Success if shows_service_time(end) => sample,
             Outcome::Canceled | Outcome::TimedOut => sample.max(self.ratio),
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -10,20 +10,20 @@
 /// An attempt that was sent.
 pub(crate) struct Attempt {
     /// Where it was sent.
-    pub server: ServerId,
+    pub(crate) server: ServerId,
     /// When it was sent.
-    pub sent_at: Micros,
+    pub(crate) sent_at: Micros,
     /// Its outcome has not come yet.
-    pub in_flight: bool,
+    pub(crate) in_flight: bool,
     /// It has ended and may have taken effect.
-    pub may_have_run: bool,
+    pub(crate) may_have_run: bool,
     /// The cache held no value.
-    pub missed: bool,
+    pub(crate) missed: bool,
 }
 
 impl Attempt {
     /// Whether it may have taken effect, or still may.
-    pub fn may_take_effect(&self) -> bool {
+    pub(crate) fn may_take_effect(&self) -> bool {
         self.in_flight || self.may_have_run
     }
 }
@@ -44,50 +44,56 @@
 /// What the settings state for a request when it arrives; later changes don't concern it.
 pub(crate) struct RequestRules {
     /// Its class, if the settings know it.
-    pub class: Option<usize>,
+    pub(crate) class: Option<usize>,
     /// Its latency objective, in microseconds.
-    pub latency_objective: Micros,
+    pub(crate) latency_objective: Micros,
     /// Its priority weight, compared with other requests'.
-    pub priority_weight: f64,
+    pub(crate) priority_weight: f64,
     /// Whether it may run more than once.
-    pub idempotency: Idempotency,
+    pub(crate) idempotency: Idempotency,
     /// Attempts it may have.
-    pub max_attempts: usize,
+    pub(crate) max_attempts: usize,
     /// Whether two of its attempts may be in flight at once.
-    pub may_hedge: bool,
+    pub(crate) may_hedge: bool,
 }
 
 /// A request with its attempts.
 pub(crate) struct OpenRequest {
     /// Hash of its key, or random if it has none.
-    pub key: u64,
+    pub(crate) key: u64,
     /// It changes something.
-    pub is_write: bool,
+    pub(crate) is_write: bool,
     /// When it arrived.
-    pub arrived_at: Micros,
+    pub(crate) arrived_at: Micros,
     /// When its final answer is due.
-    pub deadline: Micros,
+    pub(crate) deadline: Micros,
     /// What the settings state for it.
-    pub rules: RequestRules,
+    pub(crate) rules: RequestRules,
     /// Its attempts, in the order in which they were sent.
-    pub attempts: Vec<Attempt>,
+    pub(crate) attempts: Vec<Attempt>,
     /// What it waits for while none of them is in flight.
-    pub waiting_for: WaitingFor,
+    pub(crate) waiting_for: WaitingFor,
     /// Its latest place in a queue.
-    pub queue_position: Option<QueuePosition>,
+    pub(crate) queue_position: Option<QueuePosition>,
     /// It fetches the value of its key, for other reads too.
-    pub leads_fetch: bool,
+    pub(crate) leads_fetch: bool,
     /// The cache in which the fetch that it waited for has stored the value.
-    pub stored_at: Option<ServerId>,
+    pub(crate) stored_at: Option<ServerId>,
     /// It has its final answer, or needs none any more.
-    pub is_settled: bool,
+    pub(crate) is_settled: bool,
     /// Its answer is being streamed to the client.
-    pub is_streaming: bool,
+    pub(crate) is_streaming: bool,
 }
 
 impl OpenRequest {
     /// A request that arrives now and must be answered by `deadline`.
-    pub fn new(request: &Request, key: u64, rules: RequestRules, now: Micros, deadline: Micros) -> Self {
+    pub(crate) fn new(
+        request: &Request,
+        key: u64,
+        rules: RequestRules,
+        now: Micros,
+        deadline: Micros,
+    ) -> Self {
         OpenRequest {
             key,
             is_write: request.is_write,
@@ -105,49 +111,49 @@
     }
 
     /// Attempts in flight.
-    pub fn attempts_in_flight(&self) -> usize {
+    pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
     /// Whether an attempt is in flight.
-    pub fn is_in_flight(&self) -> bool {
+    pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
     /// Whether it was sent to this server before.
-    pub fn was_sent_to(&self, server: ServerId) -> bool {
+    pub(crate) fn was_sent_to(&self, server: ServerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.server == server)
     }
 
     /// Whether a cache had no value for it.
-    pub fn has_missed(&self) -> bool {
+    pub(crate) fn has_missed(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.missed)
     }
 
     /// The cache that had no value for it, where a fetched one is stored.
-    pub fn missed_at(&self) -> Option<ServerId> {
+    pub(crate) fn missed_at(&self) -> Option<ServerId> {
         self.attempts.iter().find(|attempt| attempt.missed).map(|attempt| attempt.server)
     }
 
     /// Whether it is a read that may run any number of times.
-    pub fn is_repeatable(&self) -> bool {
+    pub(crate) fn is_repeatable(&self) -> bool {
         !self.is_write && self.rules.idempotency == Idempotency::Idempotent
     }
 
     /// Whether a second attempt may be sent while one is in flight.
-    pub fn allows_hedging(&self) -> bool {
+    pub(crate) fn allows_hedging(&self) -> bool {
         self.rules.may_hedge && self.is_repeatable() && !self.is_streaming
     }
 
     /// Whether a client may repeat it without harm when it is rejected.
-    pub fn is_harmless_to_repeat(&self) -> bool {
+    pub(crate) fn is_harmless_to_repeat(&self) -> bool {
         self.rules.idempotency == Idempotency::Idempotent
             || !self.attempts.iter().any(Attempt::may_take_effect)
     }
 
     /// Until when an idempotent request that may have taken effect can be sent again: afterwards the servers
     /// may not discard the repeat.
-    pub fn send_before(&self) -> Option<Micros> {
+    pub(crate) fn send_before(&self) -> Option<Micros> {
         let Idempotency::Keyed { window, .. } = self.rules.idempotency else { return None };
         let window = window - window / WINDOW_PER_CLOCK_MARGIN;
         let effective = self.attempts.iter().filter(|attempt| attempt.may_take_effect());
--- a/crates/balancer/src/retry_budget.rs
+++ b/crates/balancer/src/retry_budget.rs
@@ -24,28 +24,28 @@
 
 impl AttemptBudget {
     /// The budget of retries: attempts after one that failed or was lost.
-    pub fn for_retries() -> Self {
+    pub(crate) fn for_retries() -> Self {
         AttemptBudget { tokens: INITIAL_RETRIES, earned_per_request: RETRY_RATIO }
     }
 
     /// The budget of hedged requests: second attempts beside one that is late.
-    pub fn for_hedges() -> Self {
+    pub(crate) fn for_hedges() -> Self {
         AttemptBudget { tokens: INITIAL_HEDGES, earned_per_request: HEDGE_RATIO }
     }
 
     /// A request arrived.
-    pub fn earn(&mut self) {
+    pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + self.earned_per_request).min(CAPACITY);
     }
 
     /// Whether an extra attempt is within the budget.
-    pub fn allows_attempt(&self) -> bool {
+    pub(crate) fn allows_attempt(&self) -> bool {
         self.tokens >= ATTEMPT_COST
     }
 
     /// Counts an extra attempt. Retries of writes are counted without being bounded, so the budget may become
     /// negative.
-    pub fn spend(&mut self) {
+    pub(crate) fn spend(&mut self) {
         self.tokens -= ATTEMPT_COST;
     }
 }
--- a/crates/balancer/src/send_guard.rs
+++ b/crates/balancer/src/send_guard.rs
@@ -32,19 +32,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Permit {
     /// The send may not happen later than this: afterwards servers may not discard the repeat.
-    pub send_before: Option<Micros>,
+    pub(crate) send_before: Option<Micros>,
 }
 
 /// A send that a decision asks for.
 pub(crate) struct ProposedSend<'a> {
     /// The request.
-    pub request: &'a OpenRequest,
+    pub(crate) request: &'a OpenRequest,
     /// Where it is to be sent.
-    pub server: &'a Server,
+    pub(crate) server: &'a Server,
     /// The present time.
-    pub now: Micros,
+    pub(crate) now: Micros,
     /// The least time that an answer needs, in microseconds.
-    pub attempt_time: Micros,
+    pub(crate) attempt_time: Micros,
 }
 
 impl ProposedSend<'_> {
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// The first rule that the send would break.
-    pub fn check<'a>(
+    pub(crate) fn check<'a>(
         &self,
         endpoint: impl Fn(ServerId) -> Option<&'a Endpoint>,
         remaining_calls: impl FnOnce() -> u64,
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -12,24 +12,24 @@
 /// A cache or the origin.
 pub(crate) struct Server {
     /// Its entry in the endpoint list.
-    pub endpoint: Endpoint,
+    pub(crate) endpoint: Endpoint,
     /// Operators have taken it out of service.
-    pub is_disabled: bool,
+    pub(crate) is_disabled: bool,
     /// This node's attempts there.
-    pub in_flight: InFlight,
+    pub(crate) in_flight: InFlight,
     /// Whether it answers.
-    pub health: ServerHealth,
+    pub(crate) health: ServerHealth,
     /// How slow it is in comparison with other caches.
-    pub relative_latency: RelativeLatency,
+    pub(crate) relative_latency: RelativeLatency,
     /// Its slow start.
-    pub warm_up: WarmUp,
+    pub(crate) warm_up: WarmUp,
     /// The idle connection to it.
-    pub idle_connection: IdleConnection,
+    pub(crate) idle_connection: IdleConnection,
 }
 
 impl Server {
     /// A server that was just listed.
-    pub fn new(endpoint: Endpoint, now: Micros) -> Self {
+    pub(crate) fn new(endpoint: Endpoint, now: Micros) -> Self {
         Server {
             is_disabled: false,
             in_flight: InFlight::default(),
@@ -42,7 +42,7 @@
     }
 
     /// The server has restarted, at `started_at` if it still warms up. What it was sent before still counts.
-    pub fn restart(
+    pub(crate) fn restart(
         &mut self,
         started_at: Option<Micros>,
         now: Micros,
@@ -56,34 +56,34 @@
 
     /// Whether requests may be sent to it: it is up, and not disabled.
     #[inline]
-    pub fn in_service(&self) -> bool {
+    pub(crate) fn in_service(&self) -> bool {
         self.endpoint.state == EndpointState::Up && !self.is_disabled
     }
 
     /// Whether it is a cache in service.
     #[inline]
-    pub fn is_cache_in_service(&self) -> bool {
+    pub(crate) fn is_cache_in_service(&self) -> bool {
         self.in_service() && self.tier() == Tier::Caches
     }
 
     /// Whether it is the origin and in service.
-    pub fn is_origin_in_service(&self) -> bool {
+    pub(crate) fn is_origin_in_service(&self) -> bool {
         self.in_service() && self.tier() == Tier::Origin
     }
 
     /// The tier it belongs to.
     #[inline]
-    pub fn tier(&self) -> Tier {
+    pub(crate) fn tier(&self) -> Tier {
         if self.endpoint.is_origin { Tier::Origin } else { Tier::Caches }
     }
 
     /// Whether an attempt at it is overdue or several in a row failed.
-    pub fn is_suspect(&self, now: Micros) -> bool {
+    pub(crate) fn is_suspect(&self, now: Micros) -> bool {
         self.health.is_suspect(&self.in_flight, now)
     }
 
     /// Its weight and type of machine.
-    pub fn listed_weight(&self) -> ListedWeight {
+    pub(crate) fn listed_weight(&self) -> ListedWeight {
         ListedWeight { machine_type: self.endpoint.machine_type, weight: self.endpoint.weight }
     }
 }
--- a/crates/balancer/src/server_list.rs
+++ b/crates/balancer/src/server_list.rs
@@ -27,65 +27,65 @@
 
 impl ServerList {
     /// A server, listed or with attempts in flight.
-    pub fn get(&self, id: ServerId) -> Option<&Server> {
+    pub(crate) fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
     /// A server, to change.
-    pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+    pub(crate) fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.servers.get_mut(&id)
     }
 
     /// A server's entry; made anew if it isn't known.
-    pub fn get_or_add(&mut self, endpoint: &Endpoint, now: Micros) -> &mut Server {
+    pub(crate) fn get_or_add(&mut self, endpoint: &Endpoint, now: Micros) -> &mut Server {
         self.servers.entry(endpoint.id).or_insert_with(|| Server::new(endpoint.clone(), now))
     }
 
     /// All servers, by id.
-    pub fn iter(&self) -> impl Iterator<Item = &Server> + Clone {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Server> + Clone {
         self.servers.values()
     }
 
     /// All servers, by id, to change.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         self.servers.values_mut()
     }
 
     /// Servers known.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.servers.len()
     }
 
     /// The caches in service, by id.
-    pub fn caches(&self) -> impl Iterator<Item = &Server> + Clone {
+    pub(crate) fn caches(&self) -> impl Iterator<Item = &Server> + Clone {
         self.iter().filter(|server| server.is_cache_in_service())
     }
 
     /// How many caches are in service.
-    pub fn cache_count(&self) -> usize {
+    pub(crate) fn cache_count(&self) -> usize {
         self.caches_in_service
     }
 
     /// The origin, if it is in service.
-    pub fn origin(&self) -> Option<ServerId> {
+    pub(crate) fn origin(&self) -> Option<ServerId> {
         self.origin
     }
 
     /// Takes all servers for removed, until a list has them again.
-    pub fn mark_all_removed(&mut self) {
+    pub(crate) fn mark_all_removed(&mut self) {
         self.iter_mut().for_each(|server| server.endpoint.state = EndpointState::Removed);
     }
 
     /// Forgets removed servers, except those with an attempt in flight or calls within the latest `window`
     /// (in microseconds): a list may omit a server once, and its quota must not be used twice.
-    pub fn forget_removed(&mut self, window: Micros, now: Micros) {
+    pub(crate) fn forget_removed(&mut self, window: Micros, now: Micros) {
         let is_needed =
             |server: &Server| !server.in_flight.is_empty() || server.warm_up.has_recent_calls(window, now);
         self.servers.retain(|_, server| server.endpoint.state != EndpointState::Removed || is_needed(server));
     }
 
     /// Updates what follows from the list, after it or an override has changed.
-    pub fn refresh(&mut self) {
+    pub(crate) fn refresh(&mut self) {
         let origin = self.iter().find(|server| server.is_origin_in_service());
         self.origin = origin.map(|server| server.endpoint.id);
         self.caches_in_service = self.caches().count();
--- a/crates/balancer/src/server_selection.rs
+++ b/crates/balancer/src/server_selection.rs
@@ -12,16 +12,16 @@
 /// What the selection knows of a candidate.
 pub(crate) struct Candidate {
     /// Its place in the candidate set, from 0.
-    pub rank: usize,
+    pub(crate) rank: usize,
     /// Its load, from [`load`].
-    pub load: f64,
+    pub(crate) load: f64,
     /// Whether the request was sent to it before.
-    pub was_tried: bool,
+    pub(crate) was_tried: bool,
 }
 
 impl Candidate {
     /// The cost of a candidate; the lowest is selected.
-    pub fn cost(&self) -> f64 {
+    pub(crate) fn cost(&self) -> f64 {
         let retry_cost = if self.was_tried { RETRIED_SERVER_COST } else { 0.0 };
         retry_cost + self.load + RANK_COST * self.rank as f64
     }
--- a/crates/balancer/src/single_flight.rs
+++ b/crates/balancer/src/single_flight.rs
@@ -23,7 +23,7 @@
 
 impl SingleFlight {
     /// Joins the fetch of a key, or starts one if there is none.
-    pub fn join(&mut self, key: u64, request: RequestId) -> FetchRole {
+    pub(crate) fn join(&mut self, key: u64, request: RequestId) -> FetchRole {
         if let Some(waiters) = self.waiters.get_mut(&key) {
             waiters.push(request);
             return FetchRole::Waiter;
@@ -33,18 +33,18 @@
     }
 
     /// Ends the fetch of a key and returns the reads that waited, in their order.
-    pub fn finish(&mut self, key: u64) -> Vec<RequestId> {
+    pub(crate) fn finish(&mut self, key: u64) -> Vec<RequestId> {
         self.waiters.remove(&key).unwrap_or_default()
     }
 
     /// Whether a fetch of this key is in progress or waiting for capacity.
-    pub fn is_fetching(&self, key: u64) -> bool {
+    pub(crate) fn is_fetching(&self, key: u64) -> bool {
         self.waiters.contains_key(&key)
     }
 
     /// Has reads wait for the present fetch of a key. They need no timer: that of their first wait still
     /// runs.
-    pub fn rejoin(&mut self, key: u64, requests: impl Iterator<Item = RequestId>) {
+    pub(crate) fn rejoin(&mut self, key: u64, requests: impl Iterator<Item = RequestId>) {
         self.waiters.entry(key).or_default().extend(requests);
     }
 }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -17,17 +17,17 @@
 
 impl WarmUp {
     /// A warm server.
-    pub fn new(server: ServerId) -> Self {
+    pub(crate) fn new(server: ServerId) -> Self {
         WarmUp { started_at: None, quota: Allotment::new(server.0.into()) }
     }
 
     /// When the server started; none once it is warm.
-    pub fn started_at(&self) -> Option<Micros> {
+    pub(crate) fn started_at(&self) -> Option<Micros> {
         self.started_at
     }
 
     /// The server has started at this time, or is warm. Calls sent before still count against the quota.
-    pub fn restart(
+    pub(crate) fn restart(
         &mut self,
         started_at: Option<Micros>,
         now: Micros,
@@ -41,7 +41,7 @@
     }
 
     /// The number of nodes or this one's index has changed.
-    pub fn resize(&mut self, sender: &Sender) {
+    pub(crate) fn resize(&mut self, sender: &Sender) {
         if self.started_at.is_some() {
             self.quota.resize(sender);
         }
@@ -49,28 +49,28 @@
 
     /// The part of its capacity that the server is certain to have, 0 to 1.
     #[inline]
-    pub fn capacity_fraction(&self, slow_start: &SlowStart, now: Micros) -> f64 {
+    pub(crate) fn capacity_fraction(&self, slow_start: &SlowStart, now: Micros) -> f64 {
         self.started_at.map_or(1.0, |start| slow_start.warmth(now.saturating_sub(start)))
     }
 
     /// Whether the server is still warming up.
-    pub fn is_active(&self, slow_start: &SlowStart, now: Micros) -> bool {
+    pub(crate) fn is_active(&self, slow_start: &SlowStart, now: Micros) -> bool {
         self.capacity_fraction(slow_start, now) < 1.0
     }
 
     /// Calls that this node may send now, where the warm server handles `capacity` calls per second from all
     /// nodes together.
-    pub fn remaining_calls(&self, slow_start: &SlowStart, capacity: f64, now: Micros) -> u64 {
+    pub(crate) fn remaining_calls(&self, slow_start: &SlowStart, capacity: f64, now: Micros) -> u64 {
         self.quota.left(slow_start, capacity, now)
     }
 
     /// Counts a call that is sent now.
-    pub fn record_call(&mut self, slow_start: &SlowStart, now: Micros) {
+    pub(crate) fn record_call(&mut self, slow_start: &SlowStart, now: Micros) {
         self.quota.spend(slow_start, now);
     }
 
     /// Whether calls within the latest `window` (in microseconds) still count against the quota.
-    pub fn has_recent_calls(&self, window: Micros, now: Micros) -> bool {
+    pub(crate) fn has_recent_calls(&self, window: Micros, now: Micros) -> bool {
         self.quota.spent_in(window, now) > 0
     }
 }
--- a/crates/balancer/src/tier.rs
+++ b/crates/balancer/src/tier.rs
@@ -18,11 +18,11 @@
 /// What is kept for a tier.
 pub(crate) struct TierState {
     /// Response times of the tier.
-    pub latency: LatencyEstimate,
+    pub(crate) latency: LatencyEstimate,
     /// The limit on attempts in flight.
-    pub limit: ConcurrencyLimit,
+    pub(crate) limit: ConcurrencyLimit,
     /// Requests that wait for the limit.
-    pub queue: AdmissionQueue,
+    pub(crate) queue: AdmissionQueue,
 }
 
 /// Both tiers.
@@ -34,7 +34,7 @@
 impl Tiers {
     /// Tiers at the start of one of `nodes`, where answers are expected to meet `objective` (in
     /// microseconds).
-    pub fn new(objective: f64, nodes: usize) -> Self {
+    pub(crate) fn new(objective: f64, nodes: usize) -> Self {
         let tier = || TierState {
             latency: LatencyEstimate::for_objective(objective),
             limit: ConcurrencyLimit::new(nodes),
@@ -44,12 +44,12 @@
     }
 
     /// Whether neither tier shows congestion.
-    pub fn allow_hedging(&self) -> bool {
+    pub(crate) fn allow_hedging(&self) -> bool {
         self.caches.limit.allows_hedging() && self.origin.limit.allows_hedging()
     }
 
     /// Removes a request from whichever queue it waits in.
-    pub fn remove_queued(&mut self, position: &QueuePosition) {
+    pub(crate) fn remove_queued(&mut self, position: &QueuePosition) {
         self.caches.queue.remove(position);
         self.origin.queue.remove(position);
     }
--- a/crates/balancer/src/zone_health.rs
+++ b/crates/balancer/src/zone_health.rs
@@ -41,7 +41,7 @@
 impl ZoneHealth {
     /// An attempt is sent to a zone. If it fails too and the zone is unreachable then, the zone is tried
     /// again at `probe_at`.
-    pub fn record_send(&mut self, zone: u32, probe_at: Micros) {
+    pub(crate) fn record_send(&mut self, zone: u32, probe_at: Micros) {
         let zone = self.zones.entry(zone).or_default();
         if zone.connect_failures + 1 >= UNREACHABLE_AFTER_FAILURES {
             zone.probe_at = probe_at;
@@ -49,7 +49,7 @@
     }
 
     /// An attempt at a zone has ended.
-    pub fn record_outcome(&mut self, zone: u32, outcome: Outcome, elapsed: Micros) {
+    pub(crate) fn record_outcome(&mut self, zone: u32, outcome: Outcome, elapsed: Micros) {
         let zone = self.zones.entry(zone).or_default();
         match outcome {
             Outcome::ConnectFailed => zone.connect_failures += 1,
@@ -61,14 +61,14 @@
     }
 
     /// What answers of a zone take beyond those of the nearest zone, in microseconds.
-    pub fn extra_latency(&self, zone: u32) -> Micros {
+    pub(crate) fn extra_latency(&self, zone: u32) -> Micros {
         let nearest = self.zones.values().filter_map(|zone| zone.lowest_latency).reduce(f64::min);
         let lowest = self.zones.get(&zone).and_then(|zone| zone.lowest_latency);
         lowest.zip(nearest).map_or(0, |(lowest, nearest)| (lowest - nearest) as Micros)
     }
 
     /// Whether a zone can't be reached and is not due to be tried again, while another zone answers.
-    pub fn is_unreachable(&self, zone: u32, now: Micros) -> bool {
+    pub(crate) fn is_unreachable(&self, zone: u32, now: Micros) -> bool {
         let failing = |zone: &ZoneState| zone.connect_failures >= UNREACHABLE_AFTER_FAILURES;
         let avoided = self.zones.get(&zone).is_some_and(|zone| failing(zone) && now < zone.probe_at);
         avoided && self.zones.values().any(|zone| zone.connect_failures == 0)
