--- a/crates/allotment/examples/ramps.rs
+++ b/crates/allotment/examples/ramps.rs
@@ -1,4 +1,4 @@
-//! Plays ramps of a cold server under fleets of several sizes in virtual time, and tells what came of them.
+//! Simulates slow starts of a server under fleets of several sizes in virtual time, and prints the results.
 //!
 //!     cargo run --release -p stonefold-allotment --example ramps [RAMPS [SEED]]
 //!
@@ -34,11 +34,12 @@
             ("noisy", true, 1.0, Demand::Together(3.0)),
             ("noisy", true, 1.0, Demand::Together(0.3)),
         ] {
-            let plan = Plan { nodes, capacity: 0.0, demand, bias, noisy, restarted: 0.1, twice: true };
-            let Sum { worst, falls, used, served } = play_many(plan, ramps, seed);
+            let plan =
+                Plan { nodes, capacity: 0.0, demand, bias, noisy, restarted: 0.1, server_restarts: true };
+            let Sum { worst, overloads, used, served } = play_many(plan, ramps, seed);
             let demand = format!("{demand:?}");
             println!(
-                "{nodes:>5}  {name:<10}  {demand:<15} {worst:>15.2}  {falls:>5}  {used:>6.2}  {served:>11.2}"
+                "{nodes:>5}  {name:<10}  {demand:<15} {worst:>15.2}  {overloads:>5}  {used:>6.2}  {served:>11.2}"
             );
         }
     }
--- /dev/null
+++ b/crates/allotment/src/quota.rs
@@ -0,0 +1,110 @@
+//! One sender's quota of the calls that one server handles while it warms up.
+
+use std::collections::VecDeque;
+
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use crate::{Micros, Sender, SlowStart, tokens};
+
+/// The bits of a hash from which the phase of a quota is taken.
+const PHASE_MASK: u64 = 0xffff;
+/// Number of phases: one more than [`PHASE_MASK`].
+const PHASES: f64 = 65_536.0;
+
+/// The calls that one sender may send to one server, by a sliding window log of those sent.
+#[derive(Clone, Debug)]
+pub struct Quota {
+    server: u64,
+    /// The sender's place in the order for this server.
+    rank: u64,
+    /// The index and the number of senders for which the rank holds; a number of 0 means none yet.
+    index: u64,
+    senders: u64,
+    server_started_at: Micros,
+    /// From when the quota opens, gradually within one window.
+    opens_at: Micros,
+    /// Where in a step of opening the first token becomes available, 0 to 1. It differs between senders, so
+    /// that they don't send in step.
+    phase: f64,
+    /// When calls of the latest window were sent, oldest first.
+    sent: VecDeque<Micros>,
+}
+
+impl Quota {
+    /// The quota for a server that has no known start yet.
+    pub fn new(server: u64) -> Self {
+        Quota {
+            server,
+            rank: 0,
+            index: 0,
+            senders: 0,
+            server_started_at: 0,
+            opens_at: 0,
+            phase: 0.0,
+            sent: VecDeque::new(),
+        }
+    }
+
+    /// The server started at `started_at`, which this sender learned at `now`. Calls sent before still count.
+    ///
+    /// A sender that began after the server's start can't know what its former process has sent: its quota opens
+    /// one window after its own beginning.
+    pub fn restart(&mut self, sender: &Sender, started_at: Micros, now: Micros, slow_start: &SlowStart) {
+        self.server_started_at = started_at;
+        self.opens_at = if sender.running_since() > started_at {
+            sender.running_since().saturating_add(slow_start.overload_window)
+        } else {
+            now
+        };
+        self.resize(sender);
+    }
+
+    /// The number of senders has changed, or this one's index. Calls sent before still count.
+    pub fn resize(&mut self, sender: &Sender) {
+        let (index, senders) = (sender.index(), sender.count());
+        if (index, senders) == (self.index, self.senders) {
+            return;
+        }
+        let place = |number: u64| xxh3_64_with_seed(&number.to_le_bytes(), self.server);
+        let own_place = place(index);
+        let ranks_before = |&other: &u64| (place(other), other) < (own_place, index);
+        self.rank = (0..senders).filter(ranks_before).count() as u64;
+        // The low bits of the hash are independent of the rank.
+        self.phase = (place(sender.distinct_number()) & PHASE_MASK) as f64 / PHASES;
+        self.index = index;
+        self.senders = senders;
+    }
+
+    /// The part of these tokens that this sender has in any window.
+    pub fn share(&self, tokens: u64) -> u64 {
+        let senders = self.senders.max(1);
+        tokens / senders + u64::from(self.rank < tokens % senders)
+    }
+
+    /// Calls that may be sent now, where the warm server handles `capacity` calls per second from all senders
+    /// together.
+    pub fn remaining(&self, slow_start: &SlowStart, capacity: f64, now: Micros) -> u64 {
+        let age = now.saturating_sub(self.server_started_at);
+        let share = self.share(tokens(slow_start.budget(capacity, age)));
+        // The quota opens gradually, so that senders that learn of a start together don't send all of it at once.
+        let Some(open_for) = now.checked_sub(self.opens_at) else { return 0 };
+        let window = slow_start.overload_window.max(1) as f64;
+        let opened = share as f64 * open_for as f64 / window + self.phase;
+        share.min(opened as u64).saturating_sub(self.sent_within(slow_start.overload_window, now))
+    }
+
+    /// Counts a call that is sent now.
+    pub fn record(&mut self, slow_start: &SlowStart, now: Micros) {
+        let window = slow_start.overload_window;
+        while self.sent.front().is_some_and(|&sent_at| now.saturating_sub(sent_at) >= window) {
+            self.sent.pop_front();
+        }
+        self.sent.push_back(now);
+    }
+
+    /// Calls sent within the window of this length that ends now.
+    pub fn sent_within(&self, window: Micros, now: Micros) -> u64 {
+        let is_recent = |&&sent_at: &&Micros| now.saturating_sub(sent_at) < window;
+        self.sent.iter().rev().take_while(is_recent).count() as u64
+    }
+}
--- /dev/null
+++ b/crates/allotment/src/sender.rs
@@ -0,0 +1,53 @@
+//! Which of all senders a process is.
+
+use crate::Micros;
+
+/// One process among all that send to the same servers.
+#[derive(Clone, Copy, Debug)]
+pub struct Sender {
+    index: usize,
+    count: usize,
+    running_since: Micros,
+    seed: u64,
+    /// The index was assigned, not drawn from the seed.
+    has_assigned_index: bool,
+}
+
+impl Sender {
+    /// Sender `index` of `count`, counting from 0, in a process that has been running since `running_since`.
+    ///
+    /// Without an index, or with one out of range, an index is drawn from `seed`: quotas then add up on average
+    /// only.
+    pub fn new(index: Option<usize>, count: usize, running_since: Micros, seed: u64) -> Self {
+        let count = count.max(1);
+        let assigned = index.filter(|&index| index < count);
+        let index = assigned.unwrap_or((seed % count as u64) as usize);
+        Sender { index, count, running_since, seed, has_assigned_index: assigned.is_some() }
+    }
+
+    /// The same process with another index, or among more or fewer senders.
+    pub fn with_index(self, index: Option<usize>, count: usize) -> Self {
+        Sender::new(index, count, self.running_since, self.seed)
+    }
+
+    /// The index among all senders, from 0.
+    pub(crate) fn index(&self) -> u64 {
+        self.index as u64
+    }
+
+    /// The number of senders.
+    pub(crate) fn count(&self) -> u64 {
+        self.count as u64
+    }
+
+    /// Since when the process has been running.
+    pub(crate) fn running_since(&self) -> Micros {
+        self.running_since
+    }
+
+    /// A number that differs between senders: the index, or the seed where other senders may have drawn the same
+    /// index.
+    pub(crate) fn distinct_number(&self) -> u64 {
+        if self.has_assigned_index { self.index() } else { self.seed }
+    }
+}
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -128,7 +128,7 @@
         self.class_latencies.add_classes(&settings.classes);
         self.tenants.grow(settings.tenant_quotas.len(), self.now);
         self.load.reconfigure(settings.slow_start_duration);
-        self.sender = self.sender.moved(settings.node_index, settings.node_count);
+        self.sender = self.sender.with_index(settings.node_index, settings.node_count);
         self.servers.iter_mut().for_each(|server| server.warm_up.resize(&self.sender));
         self.settings = settings;
     }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -4,7 +4,7 @@
 //! that. Each node keeps to its quota of whole calls, computed alike at every node without a message (see
 //! [`stonefold_allotment`]). The capacity in calls per second is estimated from the node's own traffic.
 
-use stonefold_allotment::{Allotment, Sender, SlowStart};
+use stonefold_allotment::{Quota, Sender, SlowStart};
 
 use crate::api::{Endpoint, Micros, ServerId};
 
@@ -12,13 +12,13 @@
 pub(crate) struct WarmUp {
     /// When the server started, as far as is known; none once it is warm.
     started_at: Option<Micros>,
-    quota: Allotment,
+    quota: Quota,
 }
 
 impl WarmUp {
     /// A warm server.
     pub(crate) fn new(server: ServerId) -> Self {
-        WarmUp { started_at: None, quota: Allotment::new(server.0.into()) }
+        WarmUp { started_at: None, quota: Quota::new(server.0.into()) }
     }
 
     /// When the server started; none once it is warm.
@@ -36,7 +36,7 @@
     ) {
         self.started_at = started_at;
         if let Some(start) = started_at {
-            self.quota.begin(sender, start, now, slow_start);
+            self.quota.restart(sender, start, now, slow_start);
         }
     }
 
@@ -50,7 +50,7 @@
     /// The part of its capacity that the server is certain to have, 0 to 1.
     #[inline]
     pub(crate) fn capacity_fraction(&self, slow_start: &SlowStart, now: Micros) -> f64 {
-        self.started_at.map_or(1.0, |start| slow_start.warmth(now.saturating_sub(start)))
+        self.started_at.map_or(1.0, |start| slow_start.capacity_fraction(now.saturating_sub(start)))
     }
 
     /// Whether the server is still warming up.
@@ -61,17 +61,17 @@
     /// Calls that this node may send now, where the warm server handles `capacity` calls per second from all
     /// nodes together.
     pub(crate) fn remaining_calls(&self, slow_start: &SlowStart, capacity: f64, now: Micros) -> u64 {
-        self.quota.left(slow_start, capacity, now)
+        self.quota.remaining(slow_start, capacity, now)
     }
 
     /// Counts a call that is sent now.
     pub(crate) fn record_call(&mut self, slow_start: &SlowStart, now: Micros) {
-        self.quota.spend(slow_start, now);
+        self.quota.record(slow_start, now);
     }
 
     /// Whether calls within the latest `window` (in microseconds) still count against the quota.
     pub(crate) fn has_recent_calls(&self, window: Micros, now: Micros) -> bool {
-        self.quota.spent_in(window, now) > 0
+        self.quota.sent_within(window, now) > 0
     }
 }
 
