--- /dev/null
+++ b/crates/balancer/tests/admission_queue.rs
@@ -0,0 +1,76 @@
+//! Requests that wait for capacity: their order, and which are shed.
+
+mod common;
+use common::*;
+use stonefold_balancer::*;
+
+#[test]
+fn reads_that_are_still_in_time_are_admitted_before_late_ones() {
+    let mut node = Node::new(settings(CacheMode::Aside), 6);
+    let fetch = |node: &mut Node, id| sent_to(&node.finish(id, 0, Outcome::CacheMiss, 10_000)).is_some();
+    let late = 500;
+    node.read(late, "late");
+    node.now += 200_000; // the latency objective is 300 ms
+    let full = (1..100).find(|&id| {
+        node.read(id, &format!("k{id}"));
+        !fetch(&mut node, id)
+    });
+    let fresh = full.expect("the origin's limit is reached at some time");
+    assert!(!fetch(&mut node, late), "the late read is queued too");
+    let next = node.finish(1, 1, Outcome::Success, 20_000);
+    let to = next.iter().find_map(|a| match a {
+        Action::Send { request: id, server: ServerId(99), .. } => Some(id.0),
+        _ => None,
+    });
+    assert_eq!(to, Some(fresh));
+}
+
+/// A node that has reached its concurrency limit at the caches, and how many requests that took.
+fn node_at_its_limit() -> (Node, u32) {
+    let mut node = Node::new(settings(CacheMode::Through), 3);
+    let mut n = 0;
+    while sent_to(&node.read(n, &format!("k{n}"))).is_some() {
+        n += 1;
+    }
+    (node, n)
+}
+
+#[test]
+fn a_queued_read_is_rejected_after_half_of_its_time() {
+    let (mut node, last) = node_at_its_limit();
+    let actions = node.read(last + 1, "late");
+    let (after, token) = first_timer(&actions).expect("a timer for its check");
+    assert!(sent_to(&actions).is_none() && !is_answered(&actions));
+    assert!(after <= SECOND / 2, "{after}");
+    node.now += after;
+    let rejected = node.timer(token);
+    assert!(
+        matches!(rejected[..], [Action::Reject { request: RequestId(id), .. }] if id == last + 1),
+        "{rejected:?}"
+    );
+}
+
+#[test]
+fn a_queued_read_that_is_checked_early_is_checked_again() {
+    let (mut node, last) = node_at_its_limit();
+    let (_, token) = first_timer(&node.read(last + 1, "late")).unwrap();
+    node.now += SECOND / 4;
+    let (after, again) = first_timer(&node.timer(token)).expect("another check");
+    assert_eq!((after, again), (SECOND / 4, token));
+    node.now += after;
+    assert!(is_answered(&node.timer(token)));
+}
+
+#[test]
+fn the_queue_is_bounded_and_the_oldest_request_is_shed() {
+    let (mut node, last) = node_at_its_limit();
+    let rejected: Vec<RequestId> = (last + 1..last + 40)
+        .flat_map(|id| node.read(id, &format!("late-{id}")))
+        .filter_map(|action| match action {
+            Action::Reject { request: id, .. } => Some(id),
+            _ => None,
+        })
+        .collect();
+    assert!(rejected.len() > 20, "{} rejected", rejected.len());
+    assert!(rejected.iter().take(20).zip(rejected.iter().skip(1)).all(|(a, b)| a < b), "{rejected:?}");
+}
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! Helpers for tests that drive the module through its public interface.
+//! Helpers for tests that drive the balancer through its public interface.
 #![allow(dead_code, unreachable_pub)] // each test file uses its own part
 
 use stonefold_balancer::*;
 
 pub const SECOND: Micros = 1_000_000;
 
-/// Two classes as a site might state them: 0 is safe, 1 keyed over all servers.
+/// Three classes: 0 is idempotent, 1 has an idempotency key for all servers, 2 is not idempotent.
 pub fn settings(mode: CacheMode) -> Settings {
     Settings {
         classes: vec![
@@ -44,22 +44,22 @@
     pub fn new(settings: Settings, caches: u32) -> Self {
         let aside = settings.cache_mode == CacheMode::Aside;
         let mut node = Node { balancer: Balancer::new(settings, 1, 0), now: 0 };
-        let mut members: Vec<Endpoint> = (1..=caches).map(|id| Endpoint::up(ServerId(id))).collect();
+        let mut endpoints: Vec<Endpoint> = (1..=caches).map(|id| Endpoint::up(ServerId(id))).collect();
         if aside {
-            members.push(Endpoint { is_origin: true, ..Endpoint::up(ServerId(99)) });
+            endpoints.push(Endpoint { is_origin: true, ..Endpoint::up(ServerId(99)) });
         }
-        node.tell(Event::Endpoints { update: EndpointUpdate::Full, endpoints: members });
+        node.handle(Event::Endpoints { update: EndpointUpdate::Full, endpoints });
         node
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.on_event(self.now, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
-        self.tell(Event::Endpoints { update, endpoints })
+    pub fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> Vec<Action> {
+        self.handle(Event::Endpoints { update, endpoints })
     }
 
     pub fn read(&mut self, id: u32, key: &str) -> Vec<Action> {
@@ -67,7 +67,7 @@
     }
 
     pub fn request(&mut self, id: u32, key: &str, class: usize, write: bool) -> Vec<Action> {
-        self.tell(Event::Request(Request {
+        self.handle(Event::Request(Request {
             class: Some(class),
             key: Some(key.into()),
             timeout: SECOND,
@@ -76,56 +76,64 @@
         }))
     }
 
-    pub fn end(&mut self, id: u32, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
+    pub fn finish(&mut self, id: u32, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
         let settled = outcome == Outcome::Success;
         let end = AttemptEnd::new(AttemptId::new(RequestId(id), attempt), outcome);
-        self.tell(Event::AttemptEnded(AttemptEnd { elapsed, settled, ..end }))
+        self.handle(Event::AttemptEnded(AttemptEnd { elapsed, settled, ..end }))
     }
 
-    /// Serves one read of `key` in `elapsed`; tells by which server.
+    /// Serves one read of `key` in `elapsed`; returns the server.
     pub fn serve(&mut self, id: u32, key: &str, elapsed: Micros) -> ServerId {
-        let to = sent(&self.read(id, key)).expect("a read is sent");
+        let to = sent_to(&self.read(id, key)).expect("a read is sent");
         self.now += elapsed;
-        self.end(id, 0, Outcome::Success, elapsed);
+        self.finish(id, 0, Outcome::Success, elapsed);
         to
     }
 
-    /// Serves 200 reads, so that every cache was heard from.
-    pub fn warm_up(&mut self) {
+    /// Serves 200 reads, so that every cache has answered.
+    pub fn serve_many(&mut self) {
         for n in 0..200 {
             self.serve(n, &format!("k{n}"), 50_000);
         }
     }
 
     pub fn timer(&mut self, token: TimerToken) -> Vec<Action> {
-        self.tell(Event::Timer(token))
+        self.handle(Event::Timer(token))
     }
 }
 
 /// The server of the first send.
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-/// The first timer asked for.
-pub fn timer(actions: &[Action]) -> Option<(Micros, TimerToken)> {
+/// The first timer that is set.
+pub fn first_timer(actions: &[Action]) -> Option<(Micros, TimerToken)> {
     actions.iter().find_map(|a| match a {
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     })
 }
 
-pub fn answered(actions: &[Action]) -> bool {
+pub fn is_answered(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
 }
 
-pub fn cancels(actions: &[Action]) -> Vec<usize> {
+pub fn cancelled_attempts(actions: &[Action]) -> Vec<usize> {
     let attempt = |a: &Action| match a {
         Action::Cancel(attempt) => Some(attempt.number),
         _ => None,
     };
     actions.iter().filter_map(attempt).collect()
 }
+
+/// A node with this many caches, spread in turn over this many zones.
+pub fn zoned(settings: Settings, caches: u32, zones: u32) -> Node {
+    let mut node = Node::new(settings, 0);
+    let endpoint = |id| Endpoint { zone: id % zones, ..Endpoint::up(ServerId(id)) };
+    node.update_endpoints(EndpointUpdate::Full, (0..caches).map(endpoint).collect());
+    node
+}
--- /dev/null
+++ b/crates/balancer/tests/hedging.rs
@@ -0,0 +1,123 @@
+//! Second attempts of late reads.
+
+mod common;
+use common::*;
+use stonefold_balancer::*;
+
+#[test]
+fn a_late_read_is_hedged_to_an_idle_cache_and_the_loser_is_cancelled() {
+    let mut node = Node::new(settings(CacheMode::Through), 6);
+    node.serve_many();
+    let actions = node.read(1000, "k1");
+    let first = sent_to(&actions).unwrap();
+    let (after, token) = first_timer(&actions).expect("a timer for the hedged request");
+    node.now += after;
+    let second = sent_to(&node.timer(token)).expect("a hedged request");
+    assert_ne!(second, first);
+    let served = node.finish(1000, 1, Outcome::Success, 40_000);
+    assert_eq!(cancelled_attempts(&served), [0], "the loser is cancelled");
+}
+
+#[test]
+fn hedged_requests_stay_within_their_budget() {
+    let mut node = Node::new(settings(CacheMode::Through), 6);
+    node.serve_many();
+    let mut hedged = 0;
+    for n in 1000..1200 {
+        let actions = node.read(n, &format!("k{}", n - 1000));
+        // Once answers usually take so long that a hedged request would be late, none is planned.
+        let Some((after, token)) = first_timer(&actions) else {
+            node.finish(n, 0, Outcome::Success, 50_000);
+            continue;
+        };
+        node.now += after;
+        hedged += usize::from(sent_to(&node.timer(token)).is_some());
+        node.finish(n, 0, Outcome::Success, after);
+    }
+    assert!((1..=30).contains(&hedged), "a tenth of 200 reads, and a full budget of ten: {hedged}");
+}
+
+#[test]
+fn hedging_and_cancelling_can_be_disabled() {
+    let mut s = settings(CacheMode::Through);
+    (s.hedging, s.cancellation) = (false, false);
+    let mut node = Node::new(s, 6);
+    let actions = node.read(1, "k");
+    node.now += 900_000;
+    if let Some((_, token)) = first_timer(&actions) {
+        assert_eq!(sent_to(&node.timer(token)), None);
+    }
+    assert!(cancelled_attempts(&node.handle(Event::ClientDisconnected(RequestId(1)))).is_empty());
+}
+
+#[test]
+fn a_miss_does_not_end_a_read_while_its_hedged_request_is_in_flight() {
+    let mut node = Node::new(settings(CacheMode::Aside), 6);
+    node.serve_many();
+    let (after, token) = first_timer(&node.read(1000, "k1")).unwrap();
+    node.now += after;
+    assert!(sent_to(&node.timer(token)).is_some_and(|s| s != ServerId(99)));
+    assert_eq!(
+        sent_to(&node.finish(1000, 0, Outcome::CacheMiss, after)),
+        None,
+        "the hedged request may still be answered"
+    );
+    assert_eq!(sent_to(&node.finish(1000, 1, Outcome::CacheMiss, 10_000)), Some(ServerId(99)), "both missed");
+}
+
+#[test]
+fn writes_are_not_hedged() {
+    let mut aside = Node::new(settings(CacheMode::Aside), 6);
+    assert_eq!(sent_to(&aside.request(1, "k", 1, true)), Some(ServerId(99)), "aside: to the origin");
+    let mut through = Node::new(settings(CacheMode::Through), 6);
+    let actions = through.request(1, "k", 1, true);
+    assert!(sent_to(&actions).is_some());
+    through.now += 500_000;
+    let later = first_timer(&actions).map(|(_, token)| through.timer(token)).unwrap_or_default();
+    assert_eq!(sent_to(&later), None, "a write is not hedged");
+}
+
+/// Runs the timers of a read whose attempt stays in flight; returns when another attempt was sent, and how
+/// many timers it took.
+fn run_timers_until_second_attempt(node: &mut Node, actions: Vec<Action>) -> (Option<Micros>, usize) {
+    let (start, mut next) = (node.now, first_timer(&actions));
+    for timers in 1..100 {
+        let Some((after, token)) = next else { return (None, timers) };
+        node.now += after;
+        let actions = node.timer(token);
+        if sent_to(&actions).is_some() {
+            return (Some(node.now - start), timers);
+        }
+        next = first_timer(&actions);
+    }
+    panic!("a timer that is set forever");
+}
+
+#[test]
+fn overloaded_caches_get_no_hedged_request_but_a_read_at_a_silent_cache_is_retried() {
+    // Hedged requests must not add to an overload; reads must not fail with a silent cache.
+    let mut calm = Node::new(settings(CacheMode::Through), 6);
+    calm.serve_many();
+    let actions = calm.read(2000, "k1");
+    let hedged_after = run_timers_until_second_attempt(&mut calm, actions).0.expect("a hedged request");
+    let mut overloaded = Node::new(settings(CacheMode::Through), 6);
+    overloaded.serve_many();
+    for id in 1000..1003 {
+        overloaded.read(id, &format!("k{id}"));
+        overloaded.finish(id, 0, Outcome::ServerError, 1_000);
+        overloaded.handle(Event::ClientDisconnected(RequestId(id)));
+    }
+    let actions = overloaded.read(2000, "k1");
+    let again = run_timers_until_second_attempt(&mut overloaded, actions).0.expect("a retry");
+    assert!(again > hedged_after, "retried after {again}, hedged after {hedged_after}");
+}
+
+#[test]
+fn the_timer_of_a_late_read_is_not_set_forever() {
+    let mut node = Node::new(settings(CacheMode::Through), 1);
+    node.serve_many();
+    let actions = node.read(2000, "k1");
+    let (again, timers) = run_timers_until_second_attempt(&mut node, actions);
+    assert_eq!(again, None, "there is no other cache");
+    assert!(timers < 50, "{timers} timers");
+}
--- a/crates/balancer/tests/property.rs
+++ b/crates/balancer/tests/property.rs
@@ -1,4 +1,4 @@
-//! Long random but legal event sequences, with the module's actions checked against an independent
+//! Long random but legal event sequences, with the balancer's actions checked against an independent
 //! statement of the rules. The world below is a list of what is due, not a model of servers.
 
 mod common;
@@ -10,19 +10,19 @@
 struct Attempt {
     server: ServerId,
     sent: Micros,
-    /// How it ended, once that was told.
+    /// How it ended, once the balancer knows.
     end: Option<Outcome>,
 }
 
-struct Asked {
+struct Expected {
     idempotency: Idempotency,
     write: bool,
     deadline: Micros,
     answered: bool,
     attempts: Vec<Attempt>,
     /// What the settings allowed when it arrived.
-    most: usize,
-    copies: bool,
+    max_attempts: usize,
+    may_hedge: bool,
 }
 
 enum Due {
@@ -37,10 +37,10 @@
     now: Micros,
     due: BTreeMap<(Micros, u64), Due>,
     count: u64,
-    asked: HashMap<RequestId, Asked>,
-    /// What the module was told of each server, and when it last came up.
+    requests: HashMap<RequestId, Expected>,
+    /// The latest entry of each server in the endpoint list.
     listed: BTreeMap<ServerId, Endpoint>,
-    banned: BTreeSet<ServerId>,
+    disabled: BTreeSet<ServerId>,
     answers: usize,
     repeats: usize,
     timers: usize,
@@ -84,18 +84,18 @@
             now,
             due: BTreeMap::new(),
             count: 0,
-            asked: HashMap::new(),
+            requests: HashMap::new(),
             listed: BTreeMap::new(),
-            banned: BTreeSet::new(),
+            disabled: BTreeSet::new(),
             answers: 0,
             repeats: 0,
             timers: 0,
         };
-        world.list(EndpointUpdate::Full);
+        world.update_endpoints(EndpointUpdate::Full);
         world
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.on_event(self.now, event, &mut actions);
         for action in actions {
@@ -103,79 +103,81 @@
         }
     }
 
-    fn at(&mut self, when: Micros, what: Due) {
+    fn schedule(&mut self, when: Micros, what: Due) {
         self.count += 1;
         self.due.insert((when, self.count), what);
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { request: id, server, timeout, .. } => self.sent(id, server, timeout),
+            Action::Send { request: id, server, timeout, .. } => self.attempt_sent(id, server, timeout),
             Action::Cancel(AttemptId { request: id, number: attempt }) => {
                 assert!(self.settings.cancellation, "cancels are forbidden");
-                assert!(attempt < self.asked[&id].attempts.len(), "no such attempt");
+                assert!(attempt < self.requests[&id].attempts.len(), "no such attempt");
                 let late = self.rng.bool();
                 if !late {
                     self.due.retain(|_, d| !matches!(d, Due::Outcome(i, n, _) if (*i, *n) == (id, attempt)));
-                    if self.asked[&id].attempts[attempt].end.is_none() {
-                        self.at(self.now + 5_000, Due::Outcome(id, attempt, Outcome::Canceled));
+                    if self.requests[&id].attempts[attempt].end.is_none() {
+                        self.schedule(self.now + 5_000, Due::Outcome(id, attempt, Outcome::Canceled));
                     }
                 }
             }
             Action::Reject { request: id, retry_after } => {
                 assert!(retry_after <= self.settings.max_retry_after);
-                let asked = &self.asked[&id];
+                let request = &self.requests[&id];
                 let proved = |a: &Attempt| a.end.is_some_and(|o| !o.may_have_run());
-                let harmless = match asked.idempotency {
+                let harmless = match request.idempotency {
                     Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
                         true
                     }
-                    _ => asked.attempts.iter().all(proved),
+                    _ => request.attempts.iter().all(proved),
                 };
-                assert!(harmless, "a refusal that promises too much");
+                assert!(harmless, "a rejection of a request that may have taken effect");
                 self.answer(id);
             }
             Action::Fail(id) => self.answer(id),
             Action::SetTimer { after, token } => {
                 self.timers += 1;
-                assert!(self.timers < 100 * (self.asked.len() + 100), "a timer that is set again and again");
-                self.at(self.now + after, Due::Timer(token));
+                assert!(self.timers < 100 * (self.requests.len() + 100), "a timer that is set forever");
+                self.schedule(self.now + after, Due::Timer(token));
             }
             Action::WatchEndpoints => assert!(self.settings.watch_required),
             Action::CloseIdleConnections(server) => {
-                assert!(self.listed.contains_key(&server), "a server of no list");
+                assert!(self.listed.contains_key(&server), "a server that was never listed");
             }
         }
     }
 
     fn answer(&mut self, id: RequestId) {
-        let asked = self.asked.get_mut(&id).expect("a request of ours");
-        assert!(!asked.answered, "two final answers");
-        assert!(self.now <= asked.deadline + 20_000, "answered too late");
-        asked.answered = true;
+        let request = self.requests.get_mut(&id).expect("a known request");
+        assert!(!request.answered, "two final answers");
+        assert!(self.now <= request.deadline + 20_000, "answered too late");
+        request.answered = true;
         self.answers += 1;
     }
 
-    fn sent(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
+    fn attempt_sent(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
         use Outcome::*;
-        let asked = self.asked.get_mut(&id).expect("a request of ours");
-        assert!(!asked.answered, "nothing goes out after the final answer");
-        assert!(asked.attempts.len() < asked.most);
+        let request = self.requests.get_mut(&id).expect("a known request");
+        assert!(!request.answered, "nothing is sent after the final answer");
+        assert!(request.attempts.len() < request.max_attempts);
         let to = &self.listed[&server];
-        assert_eq!(to.state, EndpointState::Up, "drains are kept at once");
-        assert!(!self.banned.contains(&server), "bans are kept at once");
+        assert_eq!(to.state, EndpointState::Up, "draining servers get nothing");
+        assert!(!self.disabled.contains(&server), "disabled servers get nothing");
         let aside = self.settings.cache_mode == CacheMode::Aside;
-        assert!(!(aside && asked.write) || to.is_origin, "writes go to the origin");
-        let out = asked.attempts.iter().filter(|a| a.end.is_none()).count();
-        let copies = asked.copies && !asked.write && asked.idempotency == Idempotency::Idempotent;
-        assert!(out == 0 || copies, "a copy that nobody allowed");
-        for earlier in asked.attempts.iter().filter(|a| a.end.is_none_or(Outcome::may_have_run)) {
+        assert!(!(aside && request.write) || to.is_origin, "writes go to the origin");
+        let out = request.attempts.iter().filter(|a| a.end.is_none()).count();
+        let may_hedge = request.may_hedge && !request.write && request.idempotency == Idempotency::Idempotent;
+        assert!(out == 0 || may_hedge, "a hedged request that is not allowed");
+        for earlier in request.attempts.iter().filter(|a| a.end.is_none_or(Outcome::may_have_run)) {
             let first = &self.listed[&earlier.server];
-            match asked.idempotency {
+            match request.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("an unsafe request that may have run is sent again"),
+                Idempotency::NonIdempotent => {
+                    panic!("a non-idempotent request that may have taken effect is sent again")
+                }
                 Idempotency::Keyed { scope, window } => {
-                    assert!(self.now <= earlier.sent + window, "outside its window");
+                    assert!(self.now <= earlier.sent + window, "outside its deduplication window");
                     match scope {
                         DeduplicationScope::All => {}
                         DeduplicationScope::Zone => assert_eq!(first.zone, to.zone),
@@ -185,9 +187,9 @@
                 }
             }
         }
-        let attempt = asked.attempts.len();
-        asked.attempts.push(Attempt { server, sent: self.now, end: None });
-        let left = asked.deadline - self.now;
+        let attempt = request.attempts.len();
+        request.attempts.push(Attempt { server, sent: self.now, end: None });
+        let left = request.deadline - self.now;
         let limit = if timeout == 0 { left } else { timeout.min(left) };
         let common = [
             Success,
@@ -206,10 +208,10 @@
         let elapsed = self.rng.u64(1_000..400_000);
         let cut = outcome == TimedOut || elapsed >= limit;
         let (when, outcome) = if cut { (limit, TimedOut) } else { (elapsed, outcome) };
-        self.at(self.now + when, Due::Outcome(id, attempt, outcome));
+        self.schedule(self.now + when, Due::Outcome(id, attempt, outcome));
     }
 
-    fn list(&mut self, update: EndpointUpdate) {
+    fn update_endpoints(&mut self, update: EndpointUpdate) {
         let mut endpoints = Vec::new();
         for id in (0..8).map(ServerId) {
             if self.rng.u8(..4) == 0 {
@@ -239,10 +241,10 @@
             EndpointUpdate::Delta => {}
         }
         self.listed.extend(endpoints.iter().map(|m| (m.id, m.clone())));
-        self.tell(Event::Endpoints { update, endpoints });
+        self.handle(Event::Endpoints { update, endpoints });
     }
 
-    fn ask(&mut self, id: RequestId) {
+    fn request(&mut self, id: RequestId) {
         let class = Some(self.rng.usize(..4)).filter(|&c| c < 3);
         let write = self.rng.u8(..5) == 0;
         let timeout = if self.rng.u8(..20) == 0 { 0 } else { self.rng.u64(10_000..SECOND) };
@@ -252,28 +254,30 @@
             None => Idempotency::Idempotent,
         };
         let deadline = self.now + timeout;
-        let (most, copies) = (self.settings.max_attempts, self.settings.hedging);
+        let (max_attempts, may_hedge) = (self.settings.max_attempts, self.settings.hedging);
         let attempts = Vec::new();
-        self.asked
-            .insert(id, Asked { idempotency, write, deadline, answered: false, attempts, most, copies });
+        self.requests.insert(
+            id,
+            Expected { idempotency, write, deadline, answered: false, attempts, max_attempts, may_hedge },
+        );
         let key = (self.rng.u8(..8) != 0).then(|| format!("k{}", self.rng.u8(..20)));
         let tenant = Some(self.rng.usize(..3));
-        self.tell(Event::Request(Request { id, class, tenant, key, timeout, is_write: write }));
+        self.handle(Event::Request(Request { id, class, tenant, key, timeout, is_write: write }));
     }
 
     fn finish_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
-        let asked = self.asked.get_mut(&id).unwrap();
-        let a = &mut asked.attempts[attempt];
+        let request = self.requests.get_mut(&id).unwrap();
+        let a = &mut request.attempts[attempt];
         if a.end.is_some() {
             return;
         }
         a.end = Some(outcome);
         let elapsed = self.now - a.sent;
-        if outcome == Outcome::Success && !asked.answered {
-            asked.answered = true;
+        if outcome == Outcome::Success && !request.answered {
+            request.answered = true;
             self.answers += 1;
         }
-        let settled = asked.answered;
+        let settled = request.answered;
         let cache_hit = [None, Some(true), Some(false)][self.rng.usize(..3)];
         let utilization = [None, Some(0.5), Some(0.99)][self.rng.usize(..3)];
         let end = AttemptEnd {
@@ -285,52 +289,52 @@
             utilization,
             bytes_sent: true,
         };
-        self.tell(Event::AttemptEnded(end));
+        self.handle(Event::AttemptEnded(end));
     }
 
-    /// Every request must be answered by its end, and within the grace at the latest.
+    /// Runs requests and other events; every request must be answered by its deadline and the grace period.
     fn run(&mut self, requests: u32) {
         for n in 0..requests {
             let pause = 5_000 * self.rng.u64(0..6);
             self.step(pause);
             match self.rng.u8(..60) {
-                0 => self.list(EndpointUpdate::Delta),
-                1 => self.list(EndpointUpdate::Full),
-                2 => self.list(EndpointUpdate::Failed),
+                0 => self.update_endpoints(EndpointUpdate::Delta),
+                1 => self.update_endpoints(EndpointUpdate::Full),
+                2 => self.update_endpoints(EndpointUpdate::Failed),
                 3 => {
                     let stray = TimerToken(self.rng.u64(..));
-                    self.tell(Event::Timer(stray));
+                    self.handle(Event::Timer(stray));
                 }
                 4 if n > 0 => {
                     let id = RequestId(self.rng.u32(..n));
-                    if self.asked[&id].answered || self.now < self.asked[&id].deadline {
-                        self.asked.get_mut(&id).unwrap().answered = true;
-                        self.tell(Event::ClientDisconnected(id));
+                    if self.requests[&id].answered || self.now < self.requests[&id].deadline {
+                        self.requests.get_mut(&id).unwrap().answered = true;
+                        self.handle(Event::ClientDisconnected(id));
                     }
                 }
                 5 => {
                     let server = ServerId(self.rng.u32(..8));
-                    self.banned.insert(server);
-                    self.tell(Event::Disable(server));
+                    self.disabled.insert(server);
+                    self.handle(Event::Disable(server));
                 }
                 7 => {
                     self.settings.max_attempts = self.rng.usize(1..7);
                     self.settings.hedging = self.rng.bool();
                     self.settings.classes.rotate_left(1);
-                    self.tell(Event::Settings(Box::new(self.settings.clone())));
+                    self.handle(Event::Settings(Box::new(self.settings.clone())));
                 }
                 6 => {
                     let server = ServerId(self.rng.u32(..8));
-                    self.banned.remove(&server);
-                    self.tell(Event::Enable { server, since: self.now });
+                    self.disabled.remove(&server);
+                    self.handle(Event::Enable { server, since: self.now });
                 }
                 _ => {}
             }
-            self.ask(RequestId(n));
+            self.request(RequestId(n));
         }
         self.step(3 * SECOND);
         let lost: Vec<&RequestId> =
-            self.asked.iter().filter(|(_, a)| !a.answered).map(|(id, _)| id).collect();
+            self.requests.iter().filter(|(_, a)| !a.answered).map(|(id, _)| id).collect();
         assert!(lost.is_empty(), "requests without an answer: {lost:?}");
     }
 
@@ -341,11 +345,11 @@
             self.now = self.now.max(when);
             match self.due.remove(&(when, count)).unwrap() {
                 Due::Outcome(id, attempt, outcome) => self.finish_attempt(id, attempt, outcome),
-                Due::Timer(token) => self.tell(Event::Timer(token)),
+                Due::Timer(token) => self.handle(Event::Timer(token)),
             }
-            let overdue = |a: &&Asked| !a.answered && self.now > a.deadline + 20_000;
+            let overdue = |a: &&Expected| !a.answered && self.now > a.deadline + 20_000;
             assert!(
-                !self.count.is_multiple_of(64) || !self.asked.values().any(|a| overdue(&a)),
+                !self.count.is_multiple_of(64) || !self.requests.values().any(|a| overdue(&a)),
                 "an answer is overdue"
             );
         }
@@ -370,9 +374,9 @@
     let trace = |seed| {
         let mut world = World::new(seed);
         world.run(200);
-        let mut sends: Vec<_> = world.asked.iter().collect();
+        let mut sends: Vec<_> = world.requests.iter().collect();
         sends.sort_by_key(|(id, _)| **id);
-        let of = |a: &Asked| a.attempts.iter().map(|t| (t.server, t.sent)).collect::<Vec<_>>();
+        let of = |a: &Expected| a.attempts.iter().map(|t| (t.server, t.sent)).collect::<Vec<_>>();
         sends.into_iter().map(|(_, a)| of(a)).collect::<Vec<_>>()
     };
     assert_eq!(trace(7), trace(7));
