--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,7 +1,7 @@
 use std::io::{self, Write};
 
 use serde_json::json;
-use stonefold_config::{Config as Tree, Explained, Layers, Origin, load, schema};
+use stonefold_config::{Config as Tree, EffectiveValue, Layers, ValueSource, load, schema};
 use stonefold_node::config::check_file;
 
 use crate::args::{CheckArgs, Format};
@@ -23,10 +23,10 @@
     told(&mut out, args.format, &explained)
 }
 
-fn told(out: &mut impl Write, format: Format, explained: &[Explained]) -> Result<(), Failure> {
-    let origin = |one: &Explained| match &one.origin {
-        Origin::Default => "default".to_owned(),
-        Origin::Stated(place) => place.to_string(),
+fn told(out: &mut impl Write, format: Format, explained: &[EffectiveValue]) -> Result<(), Failure> {
+    let origin = |one: &EffectiveValue| match &one.source {
+        ValueSource::Default => "default".to_owned(),
+        ValueSource::Stated(location) => location.to_string(),
     };
     if format == Format::Json {
         let values = explained.iter().map(|e| json!({"key": e.key, "value": e.value, "from": origin(e)}));
--- a/crates/cli/src/commands/demo.rs
+++ b/crates/cli/src/commands/demo.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use stonefold_config::{Config, Count, Fine, Part};
+use stonefold_config::{Config, Count, DurationMicros, Fraction};
 use stonefold_emulator::{Emulator, Load, Options};
 use stonefold_model::Verdict;
 use stonefold_model::site::{Fault, FaultKind, Site};
@@ -157,10 +157,10 @@
 }
 
 fn roll(emulator: &Emulator, lasts: Duration) -> Result<(), Failure> {
-    let lasts = Fine::new((lasts / 2).as_micros() as u64);
-    let part = Some(Part::new(1.0));
+    let lasts = DurationMicros::new((lasts / 2).as_micros() as u64);
+    let part = Some(Fraction::new(1.0));
     let fault = Fault {
-        at: Fine::new(0),
+        at: DurationMicros::new(0),
         kind: FaultKind::Roll,
         server: None,
         part,
@@ -168,7 +168,7 @@
         lasts,
         factor: None,
     };
-    emulator.fault(&fault).map_err(|(key, what)| Failure::failed(format!("{key}: {what}")))
+    emulator.fault(&fault).map_err(Failure::failed)
 }
 
 fn told_row(emulator: &Emulator, load: &Load, row: u64, at: Duration, fetches: u64) -> Result<(), Failure> {
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use stonefold_config::{Config as Tree, Layers, LogFormat, Membership, Role, Store, load};
+use stonefold_config::{Config as Tree, Layers, LogFormat, Membership, Role, SharedDocument, Store, load};
 use stonefold_membership::{Codec, Settings};
 use stonefold_node::config::{Config, Document, DocumentError, Source};
 use stonefold_node::membership::MembershipConfig;
@@ -34,7 +34,8 @@
 impl Document for File {
     fn read(&self) -> Result<Value, DocumentError> {
         let shared = self.stored.as_ref().and_then(|stored| stored.config());
-        let shared = shared.map(|(revision, text)| (format!("store:{CONFIG}@{revision}"), text));
+        let shared = shared
+            .map(|(revision, text)| SharedDocument { name: format!("store:{CONFIG}@{revision}"), text });
         let layers = Layers { shared, ..Layers::new(Some(self.path.clone()), self.flags.clone()) };
         Ok(load::<Tree>(&layers)?.tree.to_platform(self.seed))
     }
@@ -74,7 +75,7 @@
 /// Starts the store that a file names, or follows it.
 fn keep(store: Store) -> Result<Arc<dyn Committed>, Failure> {
     let bound = Duration::from_millis(store.wait.ms());
-    let cluster = store.cluster();
+    let cluster = store.cluster_id();
     let Store { role, dir, listen, key_file, publishers, .. } = store;
     // What is committed is known before any of it is read. What a role needs is there: the file is checked.
     match (role, listen, cluster) {
--- a/crates/cli/src/commands/store.rs
+++ b/crates/cli/src/commands/store.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use serde_json::{Value, json};
-use stonefold_config::{Config as Tree, Layers, load};
+use stonefold_config::{Config as Tree, Layers, SharedDocument, load};
 use stonefold_store::client::Client;
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::machine::open_snapshot;
@@ -267,7 +267,7 @@
 /// Checked as a node would take it, over an otherwise whole file; committed; waited for.
 async fn push(file: &Path, wait: Duration, reach: &ReachArgs) -> Result<(), Failure> {
     let text = read(file)?;
-    let shared = Some((file.display().to_string(), text.clone()));
+    let shared = Some(SharedDocument { name: file.display().to_string(), text: text.clone() });
     let flags = ["node.listen=127.0.0.1:1", "node.discovery=127.0.0.1:1"].map(String::from).to_vec();
     load::<Tree>(&Layers { shared, flags, ..Layers::default() }).map_err(Failure::unusable)?;
     let mut client = client(reach)?;
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use stonefold_config::{Count, Millis, Positive};
+use stonefold_config::{Count, DurationMillis, Positive};
 use stonefold_lab::experiment::{Hollow, Vary};
 use stonefold_lab::hollow::play::Play;
 use stonefold_lab::measure::hollow::{HollowError, measure};
@@ -52,8 +52,8 @@
         real_nodes: Count::new(10),
         servers: Count::new(100),
         changes_per_min: Count::new(240),
-        lasts: Millis::new(lasts_ms),
-        catch_up: Millis::new(30_000),
+        lasts: DurationMillis::new(lasts_ms),
+        catch_up: DurationMillis::new(30_000),
         play: Play::Calm,
         apart: true,
         plant: None,
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,153 +1,207 @@
-//! What no single value shows: names that are used twice, values that don't fit together.
+//! Validation across values: names that must differ, values that must fit together.
 
 use std::collections::BTreeSet;
+use std::net::SocketAddr;
 
-use crate::tree::{Config, Membership, Role, Store};
+use crate::tree::{Config, Membership, Node, RequestClass, Role, Store, Tenant};
 
-/// A key's path, and what is wrong there.
-pub type Wrong = (String, String);
+/// The most addresses of publishers in `store.publishers`, over all tiers.
+const MAX_PUBLISHERS: usize = 1_024;
+/// The most addresses in `membership.seeds`.
+const MAX_SEEDS: usize = 1_024;
+/// The longest name of a node or a cluster that membership accepts, in bytes.
+const MAX_NAME_LENGTH: usize = 64;
+/// The largest sum of the tenants' quotas: 1, and what rounding may add to it.
+const MAX_QUOTA_SUM: f64 = 1.000_001;
 
-/// A tree that can be checked as a whole.
+/// A value that does not fit the others.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{key}: {reason}")]
+pub struct CheckError {
+    /// The key's path, such as `class[1].deadline`.
+    pub key: String,
+    /// What is wrong, and what would be allowed.
+    pub reason: String,
+}
+
+impl CheckError {
+    /// A value that does not fit, and why.
+    pub fn new(key: impl Into<String>, reason: impl Into<String>) -> CheckError {
+        CheckError { key: key.into(), reason: reason.into() }
+    }
+
+    /// The same error with the key below `parent`.
+    #[must_use]
+    pub fn below(self, parent: &str) -> CheckError {
+        CheckError { key: format!("{parent}.{}", self.key), reason: self.reason }
+    }
+}
+
+/// A tree that can be validated as a whole.
 pub trait Check {
-    /// Whether its values fit together.
+    /// Validates that the values fit together.
     ///
     /// # Errors
-    /// The first key that doesn't, and why.
-    fn check(&self) -> Result<(), Wrong>;
+    /// For the first key whose value does not fit.
+    fn check(&self) -> Result<(), CheckError>;
 }
 
-fn wrong<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Wrong> {
-    Err((key.into(), what.into()))
+impl Check for Config {
+    fn check(&self) -> Result<(), CheckError> {
+        check_node(&self.node, &self.fleet.zones)?;
+        if let Err(error) = self.log.level.parse::<stonefold_observe::Levels>() {
+            return Err(CheckError::new("log.level", error.to_string()));
+        }
+        if let Some(store) = &self.store {
+            check_store(store)?;
+        }
+        if let Some(membership) = &self.membership {
+            check_membership(&self.node.name, membership)?;
+        }
+        if self.classes.is_empty() {
+            let reason = "needed: at least one [[class]] with name, aim, deadline and effect";
+            return Err(CheckError::new("class", reason));
+        }
+        check_names("class", "name", self.classes.iter().map(|class| class.name.as_str()))?;
+        check_names("tenant", "name", self.tenants.iter().map(|tenant| tenant.name.as_str()))?;
+        check_names("server", "id", self.servers.iter().map(|server| server.id.as_str()))?;
+        check_deadlines(&self.classes)?;
+        check_quotas(&self.tenants)
+    }
 }
 
-/// Names that must be there and differ.
-fn distinct<'a>(under: &str, field: &str, names: impl Iterator<Item = &'a String>) -> Result<(), Wrong> {
+fn check_node(node: &Node, zones: &[String]) -> Result<(), CheckError> {
+    if node.listen.is_none() {
+        let reason = "needed: where clients connect, such as \"127.0.0.1:6379\"";
+        return Err(CheckError::new("node.listen", reason));
+    }
+    if node.discovery.is_none() {
+        let reason = "needed: where discovery answers, such as \"127.0.0.1:8500\"";
+        return Err(CheckError::new("node.discovery", reason));
+    }
+    if let Some(seed) = node.seed.as_ref().filter(|seed| u64::from_str_radix(seed, 16).is_err()) {
+        let reason = format!("{seed:?} is no number of up to 16 hex digits");
+        return Err(CheckError::new("node.seed", reason));
+    }
+    if let Some(zone) = node.zone.as_ref().filter(|zone| !zones.contains(zone)) {
+        let reason = format!("{zone:?} is none of fleet.zones: {zones:?}");
+        return Err(CheckError::new("node.zone", reason));
+    }
+    let node_count = node.node_count.get();
+    if let Some(index) = node.node_index.map(|index| index.get()).filter(|&index| index >= node_count) {
+        let reason = format!("{index} is none of node.siblings: 0 to {}", node_count - 1);
+        return Err(CheckError::new("node.index", reason));
+    }
+    Ok(())
+}
+
+/// Names must not be empty, must differ, and must fit into a list of `name=value` pairs.
+fn check_names<'a>(
+    section: &str,
+    field: &str,
+    names: impl Iterator<Item = &'a str>,
+) -> Result<(), CheckError> {
     let mut seen = BTreeSet::new();
-    for (n, name) in names.enumerate() {
+    for (index, name) in names.enumerate() {
+        let invalid = |reason: String| CheckError::new(format!("{section}[{index}].{field}"), reason);
         if name.is_empty() || name.contains([',', '=']) || name.chars().any(char::is_control) {
-            return wrong(
-                format!("{under}[{n}].{field}"),
-                format!(
-                    "{name:?} is no name: it must not be empty, and has no comma, no = and no control character"
-                ),
-            );
+            return Err(invalid(format!(
+                "{name:?} is no name: it must not be empty, and has no comma, no = and no control character"
+            )));
         }
         if !seen.insert(name) {
-            return wrong(format!("{under}[{n}].{field}"), format!("{name:?} is used twice"));
+            return Err(invalid(format!("{name:?} is used twice")));
         }
     }
     Ok(())
 }
 
-/// Publishers of one tier, and all of them.
-const PUBLISHERS: usize = 1_024;
-
-/// What a member and a subscriber are told, each what is its own.
-fn store(store: &Store) -> Result<(), Wrong> {
+fn check_store(store: &Store) -> Result<(), CheckError> {
     if let Some(listen) = store.listen.filter(|listen| !listen.ip().is_loopback()) {
-        return wrong(
-            "store.listen",
-            format!("{listen} is no loopback address: the store listens on those alone"),
-        );
+        let reason = format!("{listen} is no loopback address: the store listens on those alone");
+        return Err(CheckError::new("store.listen", reason));
     }
-    let publishers = store.publishers.iter().flatten();
     match store.role {
-        Role::Member if store.listen.is_none() => {
-            wrong("store.listen", "needed by a member: where others reach it, such as \"127.0.0.1:7101\"")
-        }
-        Role::Member if store.cluster.is_some() => {
-            wrong("store.cluster", "a member's is in its folder: only a subscriber is told it")
-        }
-        Role::Member if !store.publishers.is_empty() => {
-            wrong("store.publishers", "only a subscriber has publishers: members find each other")
-        }
-        Role::Member => Ok(()),
-        Role::Subscriber if store.cluster().is_none() => wrong(
-            "store.cluster",
-            "needed by a subscriber: 32 hex digits, as `stonefold store init` printed them",
-        ),
-        Role::Subscriber if publishers.clone().next().is_none() => wrong(
-            "store.publishers",
-            "needed by a subscriber: addresses by tier, the nearest first, such as [[\"127.0.0.1:7101\"]]",
-        ),
-        Role::Subscriber if publishers.clone().count() > PUBLISHERS => {
-            wrong("store.publishers", format!("at most {PUBLISHERS} are taken"))
-        }
-        Role::Subscriber => match publishers.clone().find(|&publisher| Some(*publisher) == store.listen) {
-            Some(publisher) => {
-                wrong("store.publishers", format!("{publisher} is where this very node listens"))
-            }
-            None => Ok(()),
-        },
+        Role::Member => check_store_member(store),
+        Role::Subscriber => check_store_subscriber(store),
+    }
+}
+
+fn check_store_member(store: &Store) -> Result<(), CheckError> {
+    if store.listen.is_none() {
+        let reason = "needed by a member: where others reach it, such as \"127.0.0.1:7101\"";
+        return Err(CheckError::new("store.listen", reason));
+    }
+    if store.cluster.is_some() {
+        let reason = "a member's is in its folder: only a subscriber is told it";
+        return Err(CheckError::new("store.cluster", reason));
+    }
+    if !store.publishers.is_empty() {
+        let reason = "only a subscriber has publishers: members find each other";
+        return Err(CheckError::new("store.publishers", reason));
     }
+    Ok(())
 }
 
-/// Addresses of nodes to begin with.
-const SEEDS: usize = 1_024;
-/// The longest name of a node or a cluster, in bytes.
-const NAME: usize = 64;
+fn check_store_subscriber(store: &Store) -> Result<(), CheckError> {
+    if store.cluster_id().is_none() {
+        let reason = "needed by a subscriber: 32 hex digits, as `stonefold store init` printed them";
+        return Err(CheckError::new("store.cluster", reason));
+    }
+    let publishers: Vec<SocketAddr> = store.publishers.iter().flatten().copied().collect();
+    let invalid = |reason: String| Err(CheckError::new("store.publishers", reason));
+    if publishers.is_empty() {
+        return invalid(
+            "needed by a subscriber: addresses by tier, the nearest first, such as [[\"127.0.0.1:7101\"]]"
+                .into(),
+        );
+    }
+    if publishers.len() > MAX_PUBLISHERS {
+        return invalid(format!("at most {MAX_PUBLISHERS} are taken"));
+    }
+    match publishers.iter().find(|&&publisher| Some(publisher) == store.listen) {
+        Some(publisher) => invalid(format!("{publisher} is where this very node listens")),
+        None => Ok(()),
+    }
+}
 
-fn membership(node: &str, of: &Membership) -> Result<(), Wrong> {
-    let addresses = [("membership.listen", Some(of.listen)), ("membership.advertise", of.advertise)];
-    for (field, address) in addresses {
+fn check_membership(node_name: &str, membership: &Membership) -> Result<(), CheckError> {
+    let addresses =
+        [("membership.listen", Some(membership.listen)), ("membership.advertise", membership.advertise)];
+    for (key, address) in addresses {
         if let Some(address) = address.filter(|address| !address.ip().is_loopback()) {
-            return wrong(field, format!("{address} is no loopback address: membership uses those alone"));
+            let reason = format!("{address} is no loopback address: membership uses those alone");
+            return Err(CheckError::new(key, reason));
         }
     }
-    if of.seeds.len() > SEEDS {
-        return wrong("membership.seeds", format!("at most {SEEDS} are taken"));
+    if membership.seeds.len() > MAX_SEEDS {
+        return Err(CheckError::new("membership.seeds", format!("at most {MAX_SEEDS} are taken")));
     }
-    if of.cluster.is_empty() || of.cluster.len() > NAME {
-        return wrong("membership.cluster", format!("needed: a name of 1 to {NAME} bytes"));
+    if membership.cluster.is_empty() || membership.cluster.len() > MAX_NAME_LENGTH {
+        let reason = format!("needed: a name of 1 to {MAX_NAME_LENGTH} bytes");
+        return Err(CheckError::new("membership.cluster", reason));
     }
-    if node.is_empty() || node.len() > NAME {
-        return wrong("node.name", format!("needed by [membership]: a name of 1 to {NAME} bytes"));
+    if node_name.is_empty() || node_name.len() > MAX_NAME_LENGTH {
+        let reason = format!("needed by [membership]: a name of 1 to {MAX_NAME_LENGTH} bytes");
+        return Err(CheckError::new("node.name", reason));
     }
     Ok(())
 }
 
-impl Check for Config {
-    fn check(&self) -> Result<(), Wrong> {
-        if self.node.listen.is_none() {
-            return wrong("node.listen", "needed: where clients connect, such as \"127.0.0.1:6379\"");
-        }
-        if self.node.discovery.is_none() {
-            return wrong("node.discovery", "needed: where discovery answers, such as \"127.0.0.1:8500\"");
-        }
-        if let Some(seed) = self.node.seed.as_ref().filter(|seed| u64::from_str_radix(seed, 16).is_err()) {
-            return wrong("node.seed", format!("{seed:?} is no number of up to 16 hex digits"));
-        }
-        if let Some(zone) = self.node.zone.as_ref().filter(|zone| !self.fleet.zones.contains(zone)) {
-            return wrong("node.zone", format!("{zone:?} is none of fleet.zones: {:?}", self.fleet.zones));
+fn check_deadlines(classes: &[RequestClass]) -> Result<(), CheckError> {
+    for (index, class) in classes.iter().enumerate() {
+        if class.deadline.ms() < class.latency_objective.ms() {
+            let key = format!("class[{index}].deadline");
+            return Err(CheckError::new(key, "must not be shorter than the aim"));
         }
-        let siblings = self.node.siblings.get();
-        if let Some(index) = self.node.index.map(|index| index.get()).filter(|&index| index >= siblings) {
-            return wrong("node.index", format!("{index} is none of node.siblings: 0 to {}", siblings - 1));
-        }
-        if let Err(error) = self.log.level.parse::<stonefold_observe::Levels>() {
-            return wrong("log.level", error.to_string());
-        }
-        if let Some(of) = &self.store {
-            store(of)?;
-        }
-        if let Some(of) = &self.membership {
-            membership(&self.node.name, of)?;
-        }
-        if self.classes.is_empty() {
-            return wrong("class", "needed: at least one [[class]] with name, aim, deadline and effect");
-        }
-        distinct("class", "name", self.classes.iter().map(|class| &class.name))?;
-        distinct("tenant", "name", self.tenants.iter().map(|tenant| &tenant.name))?;
-        distinct("server", "id", self.servers.iter().map(|server| &server.id))?;
-        for (n, class) in self.classes.iter().enumerate() {
-            if class.deadline.ms() < class.aim.ms() {
-                return wrong(format!("class[{n}].deadline"), "must not be shorter than the aim");
-            }
-        }
-        let shares: f64 = self.tenants.iter().map(|tenant| tenant.share.get()).sum();
-        if shares > 1.000_001 {
-            return wrong("tenant", format!("the shares add up to {shares:.3}, more than 1"));
-        }
-        Ok(())
     }
+    Ok(())
+}
+
+fn check_quotas(tenants: &[Tenant]) -> Result<(), CheckError> {
+    let sum: f64 = tenants.iter().map(|tenant| tenant.quota.get()).sum();
+    if sum > MAX_QUOTA_SUM {
+        return Err(CheckError::new("tenant", format!("the shares add up to {sum:.3}, more than 1")));
+    }
+    Ok(())
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,77 +1,93 @@
+//! Errors of the configuration, and the locations that they name.
+
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
 /// Where a value was stated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Location {
     /// In a file; line and column count from 1.
     File {
         /// The file.
         path: PathBuf,
         /// Its line.
         line: usize,
-        /// Its column.
+        /// Its column, in characters.
         column: usize,
     },
-    /// In a variable of the environment.
+    /// In an environment variable of this name.
     Environment(String),
-    /// In a flag.
+    /// In a flag; its text as it was given.
     Flag(String),
-    /// Nowhere: a value that is needed is missing.
-    Nowhere,
+    /// Nowhere: a required value is missing.
+    Unstated,
 }
 
-impl fmt::Display for Place {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+impl fmt::Display for Location {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::File { path, line, column } => write!(f, "{}:{line}:{column}", path.display()),
-            Place::Environment(name) => write!(f, "environment {name}"),
-            Place::Flag(text) => write!(f, "flag {text}"),
-            Place::Nowhere => f.write_str("configuration"),
+            Location::File { path, line, column } => {
+                write!(formatter, "{}:{line}:{column}", path.display())
+            }
+            Location::Environment(name) => write!(formatter, "environment {name}"),
+            Location::Flag(text) => write!(formatter, "flag {text}"),
+            Location::Unstated => formatter.write_str("configuration"),
         }
     }
 }
 
-/// One value that can't be used.
+/// A value that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct InvalidValue {
     /// Where it was stated.
-    pub place: Place,
-    /// The key's path, such as `class[1].aim`; empty where the text can't be read at all.
+    pub location: Location,
+    /// The key's path, such as `class[1].aim`; empty if the text could not be parsed at all.
     pub key: String,
     /// What is wrong, and what would be allowed.
-    pub what: String,
-    /// The nearest known name, if there is one near.
-    pub nearest: Option<String>,
+    pub reason: String,
+    /// The most similar known name, if one is similar enough.
+    pub suggestion: Option<String>,
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: ", self.place)?;
+impl fmt::Display for InvalidValue {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}: ", self.location)?;
         if !self.key.is_empty() {
-            write!(f, "{}: ", self.key)?;
+            write!(formatter, "{}: ", self.key)?;
         }
-        f.write_str(&self.what)?;
-        match &self.nearest {
-            Some(name) => write!(f, " (did you mean `{name}`?)"),
+        formatter.write_str(&self.reason)?;
+        match &self.suggestion {
+            Some(name) => write!(formatter, " (did you mean `{name}`?)"),
             None => Ok(()),
         }
     }
 }
 
-/// Why a configuration is not taken.
+/// Why a configuration was rejected. Nothing of a rejected configuration takes effect.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file can't be read.
+    /// The file could not be read.
     #[error("cannot read {path}: {source}", path = path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// A value can't be used; nothing of the configuration is.
+    /// A value cannot be used.
     #[error("{0}")]
-    Fault(Fault),
+    Invalid(InvalidValue),
+}
+
+impl ConfigError {
+    /// An invalid value without a suggestion.
+    pub(crate) fn invalid(location: Location, key: &str, reason: impl Into<String>) -> ConfigError {
+        ConfigError::Invalid(InvalidValue {
+            location,
+            key: key.into(),
+            reason: reason.into(),
+            suggestion: None,
+        })
+    }
 }
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -1,4 +1,4 @@
-//! From layers to the checked tree, and what is told of it.
+//! Loading: from layers to a validated tree that knows where its values came from.
 
 use schemars::{Schema, schema_for};
 use serde::Serialize;
@@ -6,107 +6,122 @@
 use toml::Value;
 
 use crate::check::Check;
-use crate::error::{ConfigError, Fault};
-use crate::layers::{Layers, Merged, Origin};
+use crate::error::{ConfigError, InvalidValue};
+use crate::layers::{Layers, ValueSource};
+use crate::merged::MergedDocument;
 use crate::tree::Config;
 
-/// Names less alike than this are no hint.
-const ALIKE: f64 = 0.75;
+/// The least Jaro-Winkler similarity, from 0 to 1, of a name that is suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.75;
 
-/// A checked tree, and where its values came from.
+/// A validated tree, and where its values came from.
 pub struct Loaded<T> {
     /// The tree.
     pub tree: T,
-    merged: Merged,
+    merged: MergedDocument,
 }
 
-/// One value that is in force.
+/// A value that is in force.
 #[derive(Debug, PartialEq)]
-pub struct Explained {
+pub struct EffectiveValue {
     /// The key's path.
     pub key: String,
     /// The value, as TOML.
     pub value: String,
     /// Which layer it came from.
-    pub origin: Origin,
+    pub source: ValueSource,
 }
 
-/// Reads all layers and checks them whole.
+/// Reads all layers and validates the result as a whole.
 ///
 /// # Errors
-/// If the file can't be read, or for the first value that can't be used.
+/// If the file cannot be read, or for the first value that cannot be used.
 pub fn load<T: DeserializeOwned + Check>(layers: &Layers) -> Result<Loaded<T>, ConfigError> {
-    let merged = Merged::read(layers)?;
-    let refused = |key: String, what: String, nearest| {
-        ConfigError::Fault(Fault { place: merged.place(&key), key, what, nearest })
-    };
-    let tree: T = serde_path_to_error::deserialize(Value::Table(merged.table.clone())).map_err(|error| {
-        let (key, message) = (error.path().to_string(), error.inner().message().to_owned());
-        let key = if key == "." { String::new() } else { key };
-        match unknown(&message) {
-            Some((name, known)) => {
-                let parent =
-                    key.strip_suffix(name).map_or(key.as_str(), |parent| parent.trim_end_matches('.'));
-                let key = if parent.is_empty() { name.to_owned() } else { format!("{parent}.{name}") };
-                let nearest = nearest(name, &known);
-                refused(key, format!("unknown key; known here: {}", known.join(", ")), nearest)
-            }
-            None => refused(key, message, None),
-        }
-    })?;
-    tree.check().map_err(|(key, what)| refused(key, what, None))?;
+    let merged = MergedDocument::read(layers)?;
+    let tree: T = serde_path_to_error::deserialize(Value::Table(merged.table.clone()))
+        .map_err(|error| explain_serde_error(&error, &merged))?;
+    tree.check()
+        .map_err(|error| ConfigError::invalid(merged.location(&error.key), &error.key, error.reason))?;
     Ok(Loaded { tree, merged })
 }
 
-/// The unknown name and the known ones, if that is what a message says.
-fn unknown(message: &str) -> Option<(&str, Vec<&str>)> {
-    let rest = message.strip_prefix("unknown field `")?;
-    let (name, rest) = rest.split_once('`')?;
-    let known = rest.split('`').skip(1).step_by(2).collect();
-    Some((name, known))
+/// Names the location of a value that could not be deserialized; for an unknown key, also the known ones.
+fn explain_serde_error(
+    error: &serde_path_to_error::Error<toml::de::Error>,
+    merged: &MergedDocument,
+) -> ConfigError {
+    let path = error.path().to_string();
+    let path = if path == "." { String::new() } else { path };
+    let message = error.inner().message();
+    let Some(unknown) = UnknownKey::parse(message) else {
+        return ConfigError::invalid(merged.location(&path), &path, message);
+    };
+    // serde's path ends in the unknown name only for some kinds of tables.
+    let parent = path.strip_suffix(unknown.name).map_or(path.as_str(), |parent| parent.trim_end_matches('.'));
+    let key = if parent.is_empty() { unknown.name.to_owned() } else { format!("{parent}.{}", unknown.name) };
+    ConfigError::Invalid(InvalidValue {
+        location: merged.location(&key),
+        key,
+        reason: format!("unknown key; known here: {}", unknown.known.join(", ")),
+        suggestion: closest_name(unknown.name, &unknown.known),
+    })
+}
+
+/// What serde's message on an unknown key contains.
+struct UnknownKey<'a> {
+    name: &'a str,
+    known: Vec<&'a str>,
 }
 
-fn nearest(name: &str, known: &[&str]) -> Option<String> {
-    let alike = known.iter().map(|known| (strsim::jaro_winkler(name, known), known));
-    let best = alike.max_by(|a, b| a.0.total_cmp(&b.0))?;
-    (best.0 >= ALIKE).then(|| best.1.to_string())
+impl UnknownKey<'_> {
+    /// Parses "unknown field `a`, expected one of `b`, `c`"; `None` for any other message.
+    fn parse(message: &str) -> Option<UnknownKey<'_>> {
+        let rest = message.strip_prefix("unknown field `")?;
+        let (name, rest) = rest.split_once('`')?;
+        let known = rest.split('`').skip(1).step_by(2).collect();
+        Some(UnknownKey { name, known })
+    }
+}
+
+fn closest_name(name: &str, known: &[&str]) -> Option<String> {
+    let ranked = known.iter().map(|known| (strsim::jaro_winkler(name, known), known));
+    let (similarity, best) = ranked.max_by(|left, right| left.0.total_cmp(&right.0))?;
+    (similarity >= MIN_SIMILARITY).then(|| (*best).to_owned())
 }
 
 impl<T: Serialize> Loaded<T> {
-    /// Every value that is in force, in the order of the tree.
-    pub fn explain(&self) -> Vec<Explained> {
-        let mut all = Vec::new();
-        if let Ok(value) = Value::try_from(&self.tree) {
-            self.walk("", &value, &mut all);
+    /// All values that are in force, in the order of the tree.
+    pub fn explain(&self) -> Vec<EffectiveValue> {
+        let mut values = Vec::new();
+        if let Ok(root) = Value::try_from(&self.tree) {
+            self.collect_values("", &root, &mut values);
         }
-        all
+        values
     }
 
-    fn walk(&self, path: &str, value: &Value, all: &mut Vec<Explained>) {
+    fn collect_values(&self, path: &str, value: &Value, values: &mut Vec<EffectiveValue>) {
         match value {
             Value::Table(table) => {
                 for (key, value) in table {
                     let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-                    self.walk(&path, value, all);
+                    self.collect_values(&path, value, values);
                 }
             }
             Value::Array(array) if array.iter().any(Value::is_table) => {
-                for (n, value) in array.iter().enumerate() {
-                    self.walk(&format!("{path}[{n}]"), value, all);
+                for (index, value) in array.iter().enumerate() {
+                    self.collect_values(&format!("{path}[{index}]"), value, values);
                 }
             }
-            value => {
-                all.push(Explained {
-                    key: path.into(),
-                    value: value.to_string(),
-                    origin: self.merged.origin(path),
-                });
-            }
+            value => values.push(EffectiveValue {
+                key: path.into(),
+                value: value.to_string(),
+                source: self.merged.source(path),
+            }),
         }
     }
 }
 
-/// The JSON Schema of a node's configuration.
+/// The JSON Schema of a node's configuration file.
 pub fn schema() -> Schema {
     schema_for!(Config)
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,11 +1,16 @@
-//! The tree in the form of the platform's own configuration, which the node reads.
+//! The tree in the form of the platform's own configuration, which is what the node reads.
 
 use serde_json::{Value, json};
 
-use crate::tree::{Class, Config, Effect, Mode, Scope};
+use crate::tree::{CacheMode, Config, DeduplicationScope, Idempotency, RequestClass, Server};
+
+/// How long requests may still be sent to a draining server, in milliseconds.
+const DRAIN_GRACE_MS: u64 = 500;
+/// The granularity of the node's timers, in milliseconds.
+const TIMER_GRANULARITY_MS: f64 = 1.0;
 
 impl Config {
-    /// This configuration as the platform would state it. A seed that is absent is drawn by the caller.
+    /// This configuration as the platform would state it. `seed` is used if the tree states none.
     pub fn to_platform(&self, seed: u64) -> Value {
         let seed = self.node.seed.clone().unwrap_or_else(|| format!("{seed:016x}"));
         json!({
@@ -18,63 +23,86 @@
                 "sockets": self.limits.sockets.get(),
                 "memory_mb": self.limits.memory.bytes() >> 20,
             },
-            "known": {"version": 0, "full": true, "servers": self.known()},
+            "known": {
+                "version": 0,
+                "full": true,
+                "servers": self.servers.iter().map(known_server).collect::<Vec<_>>(),
+            },
             "settings": self.settings(),
         })
     }
 
-    fn known(&self) -> Vec<Value> {
-        let entry = |server: &crate::tree::Server| {
-            json!({"id": server.id, "addr": server.addr, "zone": server.zone, "kind": server.kind,
-                "cell": server.cell.get(), "state": "SERVING", "weight": server.weight.get(), "started_ms": 0})
-        };
-        self.servers.iter().map(entry).collect()
-    }
-
     fn settings(&self) -> Value {
         let (fleet, requests) = (&self.fleet, &self.requests);
-        let tenants = self.tenants.iter().map(|t| json!({"Name": t.name, "Share": t.share.get()}));
+        let tenants = self.tenants.iter();
+        let tenants = tenants.map(|tenant| json!({"Name": tenant.name, "Share": tenant.quota.get()}));
         json!({
-            "Classes": self.classes.iter().map(class).collect::<Vec<_>>(),
+            "Classes": self.classes.iter().map(request_class).collect::<Vec<_>>(),
             "Tenants": tenants.collect::<Vec<_>>(),
             "Dcs": fleet.zones,
-            "Skus": [fleet.origin_kind],
+            "Skus": [fleet.origin_machine_type],
             "FamilyInfo": {
-                "Mode": match fleet.mode { Mode::Aside => "aside", Mode::Through => "through" },
-                "OriginKind": match fleet.mode { Mode::Aside => 0, Mode::Through => -1 },
+                "Mode": match fleet.cache_mode { CacheMode::Aside => "aside", CacheMode::Through => "through" },
+                "OriginKind": match fleet.cache_mode { CacheMode::Aside => 0, CacheMode::Through => -1 },
             },
             "Guarantees": {
-                "Cold": fleet.cold.ms(), "ColdFrom": fleet.cold_from.get(),
-                "OverloadFactor": fleet.overload_factor.get(), "Fall": fleet.overload_for.ms(),
-                "MustAskIn": fleet.ask_within.ms(), "DrainGrace": 500,
+                "Cold": fleet.slow_start_duration.ms(),
+                "ColdFrom": fleet.initial_capacity.get(),
+                "OverloadFactor": fleet.overload_factor.get(),
+                "Fall": fleet.overload_window.ms(),
+                "MustAskIn": fleet.max_poll_interval.ms(),
+                "DrainGrace": DRAIN_GRACE_MS,
             },
             "Limits": {
-                "Cancel": requests.cancel, "SecondCopies": requests.second_copies,
-                "MaxAttempts": requests.attempts.get(),
-                "RetryAfter": requests.retry_after.ms() > 0, "MaxRetryAfter": requests.retry_after.ms(),
+                "Cancel": requests.cancellation,
+                "SecondCopies": requests.hedging,
+                "MaxAttempts": requests.max_attempts.get(),
+                "RetryAfter": requests.max_retry_after.ms() > 0,
+                "MaxRetryAfter": requests.max_retry_after.ms(),
                 "ConnectTimeout": self.connections.connect_timeout.ms(),
-                "Keepalive": self.connections.keepalive.ms(),
+                "Keepalive": self.connections.idle_timeout.ms(),
             },
-            "Prices": {"CrossZone": fleet.cross_zone_price.get()},
-            "OverShareWorth": requests.over_share_worth.get(),
-            "Quantum": 1.0,
-            "RegistryMode": if fleet.subscribe { "subscribe" } else { "automatic" },
-            "Siblings": self.node.siblings.get(),
-            "Me": self.node.index.map(|index| index.get()),
+            "Prices": {"CrossZone": fleet.cross_zone_cost.get()},
+            "OverShareWorth": requests.over_quota_weight.get(),
+            "Quantum": TIMER_GRANULARITY_MS,
+            "RegistryMode": if fleet.watch_required { "subscribe" } else { "automatic" },
+            "Siblings": self.node.node_count.get(),
+            "Me": self.node.node_index.map(|index| index.get()),
             "Zone": self.node.zone,
         })
     }
 }
 
-fn class(class: &Class) -> Value {
+/// An entry of the endpoint list that the node starts with.
+fn known_server(server: &Server) -> Value {
+    json!({
+        "id": server.id,
+        "addr": server.addr,
+        "zone": server.zone,
+        "kind": server.machine_type,
+        "cell": server.cell.get(),
+        "state": "SERVING",
+        "weight": server.weight.get(),
+        "started_ms": 0,
+    })
+}
+
+fn request_class(class: &RequestClass) -> Value {
     json!({
-        "Name": class.name, "Aim": class.aim.ms(), "HardLimit": class.deadline.ms(),
-        "Effect": match class.effect {
-            Effect::Safe => "safe", Effect::Keyed => "keyed", Effect::Unsafe => "unsafe",
+        "Name": class.name,
+        "Aim": class.latency_objective.ms(),
+        "HardLimit": class.deadline.ms(),
+        "Effect": match class.idempotency {
+            Idempotency::Idempotent => "safe",
+            Idempotency::Keyed => "keyed",
+            Idempotency::NonIdempotent => "unsafe",
         },
-        "DedupScope": match class.scope {
-            Scope::All => "all", Scope::Zone => "zone", Scope::Cell => "cell",
+        "DedupScope": match class.deduplication_scope {
+            DeduplicationScope::All => "all",
+            DeduplicationScope::Zone => "zone",
+            DeduplicationScope::Cell => "cell",
         },
-        "Window": class.window.ms(), "Worth": class.worth.get(),
+        "Window": class.deduplication_window.ms(),
+        "Worth": class.priority_weight.get(),
     })
 }
--- a/crates/config/tests/refusals.rs
+++ b/crates/config/tests/load.rs
@@ -1,9 +1,9 @@
-//! Every refusal names the place, the key, what is allowed and the nearest name; nothing is taken in part.
+//! Loading a configuration: every error names its location and key; a rejected configuration has no effect in part.
 
 use std::fs;
 use std::path::PathBuf;
 
-use stonefold_config::{Config, Layers, Loaded, Origin, Role, load, schema};
+use stonefold_config::{Config, Layers, Loaded, Role, ValueSource, load, schema};
 
 const GOOD: &str = r#"
 [node]
@@ -24,15 +24,15 @@
     (dir, Layers { file: Some(path), ..Layers::default() })
 }
 
-fn refused(text: &str) -> String {
+fn load_error(text: &str) -> String {
     let (_dir, layers) = layers(text);
-    let error = load::<Config>(&layers).err().unwrap_or_else(|| panic!("taken: {text}"));
+    let error = load::<Config>(&layers).err().unwrap_or_else(|| panic!("accepted: {text}"));
     let text = error.to_string();
     text.split_once("node.toml:").map_or(text.clone(), |(_, rest)| rest.to_owned())
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place_and_what_would_be_right() {
+fn errors_name_the_location_the_key_and_the_allowed_values() {
     let swap = |from: &str, to: &str| GOOD.replace(from, to);
     let cases = [
         (swap("listen", "lisen"), "3:1: node.lisen: unknown key", "did you mean `listen`?"),
@@ -79,13 +79,16 @@
         (String::new(), "node.listen", "needed"),
     ];
     for (text, place, why) in cases {
-        let told = refused(&text);
-        assert!(told.contains(place) && told.contains(why), "{told}\n  should tell {place:?} and {why:?}");
+        let message = load_error(&text);
+        assert!(
+            message.contains(place) && message.contains(why),
+            "{message}\n  should name {place:?} and {why:?}"
+        );
     }
 }
 
 #[test]
-fn a_store_is_told_what_its_role_needs_and_nothing_else() {
+fn store_takes_exactly_the_keys_of_its_role() {
     let store = |rest: &str| format!("{GOOD}\n[store]\ndir = \"d\"\nkey_file = \"k\"\n{rest}");
     let cluster = format!("cluster = \"{}\"\n", "0a".repeat(16));
     let subscriber = |rest: &str| store(&format!("role = \"subscriber\"\n{rest}"));
@@ -111,8 +114,11 @@
             "invalid socket address",
         ),
     ] {
-        let told = refused(&text);
-        assert!(told.contains(key) && told.contains(why), "{told}\n  should tell {key:?} and {why:?}");
+        let message = load_error(&text);
+        assert!(
+            message.contains(key) && message.contains(why),
+            "{message}\n  should name {key:?} and {why:?}"
+        );
     }
     // As it was before there were roles, and as a subscriber and a relay are told.
     for (text, role, listens) in [
@@ -130,7 +136,7 @@
 }
 
 #[test]
-fn a_file_cut_anywhere_is_refused_or_whole_and_never_panics() {
+fn truncated_file_is_rejected_or_complete() {
     for end in 0..GOOD.len() {
         let (_dir, layers) = layers(&GOOD[..end]);
         if let Ok(Loaded { tree, .. }) = load::<Config>(&layers) {
@@ -140,7 +146,7 @@
 }
 
 #[test]
-fn later_layers_go_before_earlier_ones_and_each_value_tells_its_own() {
+fn later_layers_override_earlier_ones_and_values_keep_their_source() {
     let (_dir, mut layers) = layers(GOOD);
     layers.environment = vec![
         ("STONEFOLD_LIMITS__SOCKETS".into(), "400".into()),
@@ -155,9 +161,9 @@
     let explained = loaded.explain();
     let of = |key: &str| {
         let one = explained.iter().find(|e| e.key == key).unwrap_or_else(|| panic!("{key}"));
-        let origin = match &one.origin {
-            Origin::Default => "default".to_owned(),
-            Origin::Stated(place) => place.to_string().rsplit('/').next().unwrap().to_owned(),
+        let origin = match &one.source {
+            ValueSource::Default => "default".to_owned(),
+            ValueSource::Stated(place) => place.to_string().rsplit('/').next().unwrap().to_owned(),
         };
         (one.value.clone(), origin)
     };
@@ -179,13 +185,13 @@
         let mut layers = Layers { file: layers.file.clone(), ..Layers::default() };
         layers.environment.extend(variable.map(|name| (name.to_owned(), "400".to_owned())));
         layers.flags.extend(flag.map(str::to_owned));
-        let told = load::<Config>(&layers).err().unwrap().to_string();
-        assert!(told.contains(place), "{told}");
+        let message = load::<Config>(&layers).err().unwrap().to_string();
+        assert!(message.contains(place), "{message}");
     }
 }
 
 #[test]
-fn what_is_explained_reads_back_as_the_same_tree() {
+fn serialized_tree_deserializes_to_itself() {
     let (_dir, layers) = layers(GOOD);
     let tree = load::<Config>(&layers).unwrap().tree;
     let text = toml::to_string(&tree).unwrap();
@@ -193,7 +199,7 @@
 }
 
 #[test]
-fn a_membership_is_told_what_it_needs_and_where_it_is_wrong() {
+fn membership_errors_name_the_key() {
     let of = |rest: &str| {
         format!("{GOOD}\n[membership]\nlisten = \"127.0.0.1:1\"\ncluster = \"c\"\nkey_file = \"k\"\n{rest}")
     };
@@ -208,8 +214,11 @@
         (of("seeds = [\"x\"]"), "membership.seeds", "invalid socket address"),
         (of("").replace("key_file = \"k\"", ""), "membership", "key_file"),
     ] {
-        let told = refused(&text);
-        assert!(told.contains(key) && told.contains(why), "{told}\n  should tell {key:?} and {why:?}");
+        let message = load_error(&text);
+        assert!(
+            message.contains(key) && message.contains(why),
+            "{message}\n  should name {key:?} and {why:?}"
+        );
     }
     let (_dir, layers) = layers(&of(&format!("seeds = [{}]", many[..1_024].join(","))));
     let tree = load::<Config>(&layers).unwrap_or_else(|error| panic!("{error}")).tree;
@@ -218,7 +227,7 @@
 }
 
 #[test]
-fn the_schema_and_the_example_in_deploy_are_in_step() {
+fn schema_and_example_in_deploy_are_current() {
     let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let kept = fs::read_to_string(deploy.join("node.schema.json")).unwrap();
     let made = serde_json::to_string_pretty(&schema()).unwrap() + "\n";
--- a/crates/emulator/examples/pause.rs
+++ b/crates/emulator/examples/pause.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use stonefold_config::{Count, Fine, Part, Positive};
+use stonefold_config::{Count, DurationMicros, Fraction, Positive};
 use stonefold_emulator::{Emulator, Options};
 use stonefold_model::site::Site;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -27,14 +27,14 @@
 async fn main() -> Result<(), Failure> {
     let mut site: Site = toml::from_str(SITE)?;
     (site.nodes, site.network) = (Count::new(1), Default::default());
-    site.keys.held = Part::new(0.05);
+    site.keys.held = Fraction::new(0.05);
     for kind in &mut site.caches {
         (kind.speed, kind.speed_spread, kind.pause_every) =
-            (Positive::new(1.0), Part::new(0.0), Fine::new(0));
+            (Positive::new(1.0), Fraction::new(0.0), DurationMicros::new(0));
         (kind.cores, kind.slots) = (Count::new(1000), Count::new(10_000));
     }
     for class in &mut site.classes {
-        (class.work, class.work_sigma) = (Fine::new(100_000), Part::new(0.0));
+        (class.work, class.work_sigma) = (DurationMicros::new(100_000), Fraction::new(0.0));
     }
     let emulator = Emulator::start(site, Options { faults: false, ..Options::default() }).await?;
     let cache = emulator.known(0)["servers"][0]["addr"].as_str().ok_or("no cache")?.to_owned();
--- a/crates/emulator/examples/throughput.rs
+++ b/crates/emulator/examples/throughput.rs
@@ -13,7 +13,7 @@
 
 use bytes::BytesMut;
 use redis_protocol::resp2::types::BytesFrame;
-use stonefold_config::{Count, Fine};
+use stonefold_config::{Count, DurationMicros};
 use stonefold_emulator::{Emulator, Options};
 use stonefold_model::site::Site;
 use stonefold_proto::resp::{next_frame, put_command};
@@ -43,12 +43,13 @@
     let mut site: Site = toml::from_str(SITE)?;
     site.nodes = Count::new(1);
     site.network = Default::default();
-    site.keys.held = stonefold_config::Part::new(0.05);
+    site.keys.held = stonefold_config::Fraction::new(0.05);
     for kind in &mut site.caches {
-        (kind.pause_every, kind.handshake, kind.errors) = (Fine::new(0), Fine::new(0), Default::default());
+        (kind.pause_every, kind.handshake, kind.errors) =
+            (DurationMicros::new(0), DurationMicros::new(0), Default::default());
         (kind.slots, kind.queue) = (Count::new(1000), Count::new(1000));
     }
-    site.classes.iter_mut().for_each(|class| class.work = Fine::new(0));
+    site.classes.iter_mut().for_each(|class| class.work = DurationMicros::new(0));
     Ok(site)
 }
 
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use stonefold_config::{
-    Class, Config, Connections, Count, Effect, Fleet, Millis, Node, Part, Positive, Requests, Server, Tenant,
+    Config, Connections, Count, DurationMillis, Fleet, Fraction, Idempotency, Node, Positive, RequestClass,
+    Requests, Server, Tenant,
 };
 use stonefold_model::site::Site;
 
@@ -23,19 +24,22 @@
                 discovery: Some(self.discovery(node)?),
                 operator,
                 zone: Some(self.zone_of(node).to_owned()),
-                siblings: Count::new(site.nodes.get() as u64),
-                index: Some(Count::new(node as u64)),
+                node_count: Count::new(site.nodes.get() as u64),
+                node_index: Some(Count::new(node as u64)),
                 ..Node::default()
             },
-            requests: Requests { over_share_worth: Part::new(0.05), ..Requests::default() },
-            connections: Connections { keepalive: Millis::new(keepalive), ..Connections::default() },
+            requests: Requests { over_quota_weight: Fraction::new(0.05), ..Requests::default() },
+            connections: Connections {
+                idle_timeout: DurationMillis::new(keepalive),
+                ..Connections::default()
+            },
             fleet: Fleet {
                 zones: site.network.zones.clone(),
-                cold: Millis::new(cold),
-                cold_from: Part::new(cold_from),
+                slow_start_duration: DurationMillis::new(cold),
+                initial_capacity: Fraction::new(cold_from),
                 overload_factor: site.rules.overload_factor,
-                overload_for: Millis::new(site.rules.overload_for.us() / 1000),
-                cross_zone_price: Part::new(0.03),
+                overload_window: DurationMillis::new(site.rules.overload_for.us() / 1000),
+                cross_zone_cost: Fraction::new(0.03),
                 ..Fleet::default()
             },
             classes: classes(site),
@@ -54,7 +58,7 @@
                 id: text(&entry, "id"),
                 addr: text(&entry, "addr").parse().ok()?,
                 zone: text(&entry, "zone"),
-                kind: text(&entry, "kind"),
+                machine_type: text(&entry, "kind"),
                 cell: Count::new(entry["cell"].as_u64().unwrap_or(0)),
                 weight: Positive::new(1.0),
             })
@@ -63,19 +67,23 @@
     }
 }
 
-fn classes(site: &Site) -> Vec<Class> {
-    let class = |of: &stonefold_model::site::ClassKind| Class {
+fn classes(site: &Site) -> Vec<RequestClass> {
+    let class = |of: &stonefold_model::site::ClassKind| RequestClass {
         name: of.name.clone(),
-        aim: Millis::new(of.aim.us() / 1000),
-        deadline: Millis::new(of.deadline.us() / 1000),
-        effect: of.effect,
-        scope: of.scope,
-        window: Millis::new(if of.effect == Effect::Keyed { of.window.us() / 1000 } else { 5_000 }),
-        worth: Positive::new(1.0),
+        latency_objective: DurationMillis::new(of.aim.us() / 1000),
+        deadline: DurationMillis::new(of.deadline.us() / 1000),
+        idempotency: of.effect,
+        deduplication_scope: of.scope,
+        deduplication_window: DurationMillis::new(if of.effect == Idempotency::Keyed {
+            of.window.us() / 1000
+        } else {
+            5_000
+        }),
+        priority_weight: Positive::new(1.0),
     };
     site.classes.iter().map(class).collect()
 }
 
 fn tenants(site: &Site) -> Vec<Tenant> {
-    site.tenants.iter().map(|of| Tenant { name: of.name.clone(), share: of.share }).collect()
+    site.tenants.iter().map(|of| Tenant { name: of.name.clone(), quota: of.share }).collect()
 }
--- a/crates/emulator/src/control.rs
+++ b/crates/emulator/src/control.rs
@@ -74,6 +74,6 @@
     };
     match faults::begin(world, &fault) {
         Ok(()) => http::json(StatusCode::ACCEPTED, &json!({"begun": true})),
-        Err((key, what)) => refused(format!("{key}: {what}")),
+        Err(error) => refused(error.to_string()),
     }
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stonefold_config::Wrong;
+use stonefold_config::CheckError;
 use stonefold_model::site::{Fault, FaultKind};
 use stonefold_model::{Micros, Random, State};
 use tokio::time::sleep;
@@ -20,8 +20,13 @@
                 () = world.stop.cancelled() => return,
                 () = tokio::time::sleep_until(world.instant(fault.at.us())) => {}
             }
-            if let Err((key, what)) = begin(&world, &fault) {
-                tracing::error!(event = "fault_refused", key, what, "a fault of the site can't be played");
+            if let Err(CheckError { key, reason }) = begin(&world, &fault) {
+                tracing::error!(
+                    event = "fault_refused",
+                    key,
+                    what = reason,
+                    "a fault of the site can't be played"
+                );
             }
         });
     }
@@ -31,7 +36,7 @@
 ///
 /// # Errors
 /// The field that can't be used, and why.
-pub(crate) fn begin(world: &Arc<World>, fault: &Fault) -> Result<(), Wrong> {
+pub(crate) fn begin(world: &Arc<World>, fault: &Fault) -> Result<(), CheckError> {
     check(world, fault)?;
     let servers = befallen(world, fault);
     let ids: Vec<String> = servers.iter().map(|server| server.id()).collect();
@@ -64,7 +69,7 @@
 }
 
 /// As the site checks it, but that servers may have been added since.
-fn check(world: &World, fault: &Fault) -> Result<(), Wrong> {
+fn check(world: &World, fault: &Fault) -> Result<(), CheckError> {
     let added =
         fault.server.as_ref().is_some_and(|id| world.all_servers().iter().any(|server| server.id() == *id));
     match added {
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use redis_protocol::resp2::types::BytesFrame;
 use serde::Serialize;
-use stonefold_config::Effect;
+use stonefold_config::Idempotency;
 use stonefold_model::{Answer, Ask, Clients, Micros, Retries};
 use stonefold_proto::resp::{next_frame, put_command};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -335,7 +335,7 @@
         if let Some(tenant) = ask.tenant.and_then(|tenant| self.world.site.tenants.get(tenant)) {
             facts += &format!(",t={}", tenant.name);
         }
-        if class.effect == Effect::Keyed {
+        if class.effect == Idempotency::Keyed {
             facts += &format!(",k={:016x}", ask.number);
         }
         let value = class.write.then(|| "a".repeat(64));
--- a/crates/emulator/src/origin.rs
+++ b/crates/emulator/src/origin.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
 use percent_encoding::percent_decode_str;
-use stonefold_config::Effect;
+use stonefold_config::Idempotency;
 use stonefold_model::site::Site;
 use stonefold_model::{Fetch, Fetched, Micros, Origin};
 use stonefold_proto::resp::fact;
@@ -198,8 +198,8 @@
     if write {
         let class = request::class(&world.site, facts);
         let identity = fact(facts, "k").unwrap_or(id);
-        let window = if class.effect == Effect::Keyed { class.window.us() } else { 0 };
-        if class.effect != Effect::Safe {
+        let window = if class.effect == Idempotency::Keyed { class.window.us() } else { 0 };
+        if class.effect != Idempotency::Idempotent {
             world.judge().runs(now, identity, window);
         }
         world.all_servers().iter().for_each(|server| server.port.with(|model, _| model.void(key)));
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use stonefold_config::Wrong;
+use stonefold_config::CheckError;
 use stonefold_model::site::{Fault, Site};
 use stonefold_model::{Cache, Judge, Listed, Listing, Micros, Network, State, Verdict};
 use tokio_util::sync::{CancellationToken, DropGuard};
@@ -313,7 +313,7 @@
     ///
     /// # Errors
     /// The field that can't be used, and why.
-    pub fn fault(&self, fault: &Fault) -> Result<(), Wrong> {
+    pub fn fault(&self, fault: &Fault) -> Result<(), CheckError> {
         faults::begin(&self.world, fault)
     }
 
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use stonefold_config::{Check, Count, Millis, Wrong};
+use stonefold_config::{Check, CheckError, Count, DurationMillis};
 use stonefold_model::site::DiscoveryKind;
 
 use crate::hollow::fleet::Plant;
@@ -23,7 +23,7 @@
 /// A size: so many servers, members or nodes.
 pub type Size = Count<1, 1_000_000>;
 /// A measured time.
-pub type Span = Millis<100, 600_000>;
+pub type Span = DurationMillis<100, 600_000>;
 
 /// An experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
     #[serde(default)]
     pub seed: Count<0, { u32::MAX as u64 }>,
     /// The runner stops after so long.
-    pub time_limit: Millis<1_000, 3_600_000>,
+    pub time_limit: DurationMillis<1_000, 3_600_000>,
     /// What is measured, and how.
     pub measure: Measure,
 }
@@ -226,12 +226,12 @@
     }
 }
 
-fn wrong<T>(key: &str, what: impl Into<String>) -> Result<T, Wrong> {
-    Err((key.into(), what.into()))
+fn wrong<T>(key: &str, what: impl Into<String>) -> Result<T, CheckError> {
+    Err(CheckError::new(key, what))
 }
 
 impl Check for Experiment {
-    fn check(&self) -> Result<(), Wrong> {
+    fn check(&self) -> Result<(), CheckError> {
         let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
         if self.name.is_empty() || !self.name.chars().all(plain) {
             return wrong(
@@ -258,7 +258,7 @@
     ///
     /// # Errors
     /// The key that asks for more, what it asks for, and the bound.
-    pub fn check_bounds(&self, descriptors: usize) -> Result<(), Wrong> {
+    pub fn check_bounds(&self, descriptors: usize) -> Result<(), CheckError> {
         let largest = self.largest();
         let memory = self.measure.memory(largest);
         if memory > MOST_MEMORY {
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use stonefold_balancer::EndpointState;
 use stonefold_config as tree;
-use stonefold_config::{Count, Millis, Positive};
+use stonefold_config::{Count, DurationMillis, Positive};
 use stonefold_emulator::Clock;
 use stonefold_emulator::discovery::{Counts, Registry, Service, document};
 use stonefold_model::site::{DiscoveryKind, Site};
@@ -217,24 +217,24 @@
                 listen: Some(ANY),
                 discovery: Some(self.discovery[node]),
                 zone: Some(zone(node)),
-                siblings: Count::new((self.plan.nodes + self.plan.others) as u64),
-                index: Some(Count::new(node as u64)),
+                node_count: Count::new((self.plan.nodes + self.plan.others) as u64),
+                node_index: Some(Count::new(node as u64)),
                 ..tree::Node::default()
             },
             fleet: tree::Fleet {
-                mode: tree::Mode::Through,
+                cache_mode: tree::CacheMode::Through,
                 zones: (0..ZONES).map(zone).collect(),
-                subscribe: self.plan.subscribe,
+                watch_required: self.plan.subscribe,
                 ..tree::Fleet::default()
             },
-            classes: vec![tree::Class {
+            classes: vec![tree::RequestClass {
                 name: "read".into(),
-                aim: Millis::new(600),
-                deadline: Millis::new(1_200),
-                effect: tree::Effect::Safe,
-                scope: tree::Scope::All,
-                window: Millis::new(5_000),
-                worth: Positive::new(1.0),
+                latency_objective: DurationMillis::new(600),
+                deadline: DurationMillis::new(1_200),
+                idempotency: tree::Idempotency::Idempotent,
+                deduplication_scope: tree::DeduplicationScope::All,
+                deduplication_window: DurationMillis::new(5_000),
+                priority_weight: Positive::new(1.0),
             }],
             ..tree::Config::default()
         };
--- a/crates/lab/tests/plans.rs
+++ b/crates/lab/tests/plans.rs
@@ -79,9 +79,9 @@
     let plan = read(file.path()).unwrap();
     assert!(matches!(plan.measure, Measure::Store(_)));
     plan.check_bounds(1_000).unwrap();
-    let (key, what) = plan.check_bounds(100).unwrap_err();
-    assert_eq!(key, "sizes");
-    assert!(what.contains("this machine allows 100"), "{what}");
+    let error = plan.check_bounds(100).unwrap_err();
+    assert_eq!(error.key, "sizes");
+    assert!(error.reason.contains("this machine allows 100"), "{}", error.reason);
 }
 
 #[test]
--- a/crates/model/src/retry/tests.rs
+++ b/crates/model/src/retry/tests.rs
@@ -1,9 +1,9 @@
-use stonefold_config::{Count, Fine};
+use stonefold_config::{Count, DurationMicros};
 
 use super::*;
 
 fn retries(tries: u64, seed: u64) -> Retries {
-    let (pause, longest) = (Fine::new(10_000), Fine::new(30_000));
+    let (pause, longest) = (DurationMicros::new(10_000), DurationMicros::new(30_000));
     Retries::new(RetryKind { tries: Count::new(tries), pause, longest }, seed)
 }
 
--- a/crates/model/src/site.rs
+++ b/crates/model/src/site.rs
@@ -1,16 +1,18 @@
 //! A site: everything that stands round the nodes, and what goes wrong with it. Each field has its unit and range.
 
 use serde::{Deserialize, Serialize};
-use stonefold_config::{Check, Count, Effect, Fine, Part, Positive, Scope, Size, Wrong};
+use stonefold_config::{
+    Check, CheckError, Count, DeduplicationScope, DurationMicros, Fraction, Idempotency, Positive, Size,
+};
 
 const SECOND: u64 = 1_000_000;
 const HOUR: u64 = 3_600 * SECOND;
 const MIB: u64 = 1 << 20;
 
 /// A time of up to an hour.
-pub type Time = Fine<0, HOUR>;
+pub type Time = DurationMicros<0, HOUR>;
 /// A number from 0 on that spreads a distribution.
-pub type Sigma = Part;
+pub type Sigma = Fraction;
 
 /// A site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -69,20 +71,20 @@
     /// The zones; servers and nodes are dealt over them in turn.
     pub zones: Vec<String>,
     /// One way within a zone.
-    pub same_zone: Fine<0, SECOND>,
+    pub same_zone: DurationMicros<0, SECOND>,
     /// One way between zones: drawn for each pair from this range.
-    pub cross_zone: [Fine<0, SECOND>; 2],
+    pub cross_zone: [DurationMicros<0, SECOND>; 2],
     /// The mean of what a message takes longer, as a part of its way.
-    pub jitter: Part,
+    pub jitter: Fraction,
 }
 
 impl Default for NetworkKind {
     fn default() -> Self {
         NetworkKind {
             zones: vec!["a".into()],
-            same_zone: Fine::new(0),
-            cross_zone: [Fine::new(0); 2],
-            jitter: Part::new(0.0),
+            same_zone: DurationMicros::new(0),
+            cross_zone: [DurationMicros::new(0); 2],
+            jitter: Fraction::new(0.0),
         }
     }
 }
@@ -114,17 +116,17 @@
     /// The mean length of a pause.
     pub pause: Time,
     /// The part of requests that end in an error.
-    pub errors: Part,
+    pub errors: Fraction,
     /// The part of its capacity that a started server has.
-    pub cold_from: Part,
+    pub cold_from: Fraction,
     /// It has all of it after this time.
     pub cold: Time,
     /// Connections that it holds at most.
     pub connections: Count<1, 1_000_000>,
     /// What a new connection costs it, on a standard core.
-    pub handshake: Fine<0, SECOND>,
+    pub handshake: DurationMicros<0, SECOND>,
     /// It closes a connection that has idled for so long.
-    pub idle: Fine<1_000, HOUR>,
+    pub idle: DurationMicros<1_000, HOUR>,
     /// It closes a connection after so many answers; 0 for never.
     pub closes_after: Count<0, 1_000_000>,
     /// How often its load report is made anew.
@@ -132,7 +134,7 @@
     /// A report is told so long after it was made.
     pub report_delay: Time,
     /// How far a report's numbers are off at most.
-    pub report_noise: Part,
+    pub report_noise: Fraction,
 }
 
 impl Default for CacheKind {
@@ -142,23 +144,23 @@
             count: Count::new(1),
             cores: Count::new(3),
             speed: Positive::new(1.0),
-            speed_spread: Part::new(0.0),
+            speed_spread: Fraction::new(0.0),
             slots: Count::new(12),
             queue: Count::new(12),
             memory: Size::new(64 * MIB),
-            keeps_for: Fine::new(600 * SECOND),
-            pause_every: Fine::new(0),
-            pause: Fine::new(0),
-            errors: Part::new(0.0),
-            cold_from: Part::new(0.4),
-            cold: Fine::new(6 * SECOND),
+            keeps_for: DurationMicros::new(600 * SECOND),
+            pause_every: DurationMicros::new(0),
+            pause: DurationMicros::new(0),
+            errors: Fraction::new(0.0),
+            cold_from: Fraction::new(0.4),
+            cold: DurationMicros::new(6 * SECOND),
             connections: Count::new(2_000),
-            handshake: Fine::new(2_000),
-            idle: Fine::new(15 * SECOND),
+            handshake: DurationMicros::new(2_000),
+            idle: DurationMicros::new(15 * SECOND),
             closes_after: Count::new(0),
-            report_every: Fine::new(SECOND),
-            report_delay: Fine::new(200_000),
-            report_noise: Part::new(0.05),
+            report_every: DurationMicros::new(SECOND),
+            report_delay: DurationMicros::new(200_000),
+            report_noise: Fraction::new(0.05),
         }
     }
 }
@@ -170,7 +172,7 @@
     /// Fetches in service at once.
     pub workers: Count<1, 100_000>,
     /// The mean time of a fetch.
-    pub time: Fine<0, { 60 * SECOND }>,
+    pub time: DurationMicros<0, { 60 * SECOND }>,
     /// How the times are spread: the deviation of their logarithm.
     pub sigma: Sigma,
     /// A write takes so many times as long.
@@ -180,7 +182,7 @@
     /// Sent more than so many times its capacity ...
     pub stop_multiple: Positive,
     /// ... for so long ...
-    pub stop_after: Fine<1_000, HOUR>,
+    pub stop_after: DurationMicros<1_000, HOUR>,
     /// ... it stops for so long.
     pub stops_for: Time,
 }
@@ -189,13 +191,13 @@
     fn default() -> Self {
         OriginKind {
             workers: Count::new(16),
-            time: Fine::new(60_000),
-            sigma: Part::new(0.5),
+            time: DurationMicros::new(60_000),
+            sigma: Fraction::new(0.5),
             write_times: Positive::new(1.5),
             queue: Count::new(256),
             stop_multiple: Positive::new(2.5),
-            stop_after: Fine::new(3 * SECOND),
-            stops_for: Fine::new(5 * SECOND),
+            stop_after: DurationMicros::new(3 * SECOND),
+            stops_for: DurationMicros::new(5 * SECOND),
         }
     }
 }
@@ -205,7 +207,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct DiscoveryKind {
     /// The mean time after which it knows of a change.
-    pub notices_after: Fine<0, { 60 * SECOND }>,
+    pub notices_after: DurationMicros<0, { 60 * SECOND }>,
     /// Calls that it answers in a second.
     pub calls_per_s: Positive,
     /// A call that would wait longer fails.
@@ -215,9 +217,9 @@
 impl Default for DiscoveryKind {
     fn default() -> Self {
         DiscoveryKind {
-            notices_after: Fine::new(SECOND),
+            notices_after: DurationMicros::new(SECOND),
             calls_per_s: Positive::new(50.0),
-            waits_for: Fine::new(2 * SECOND),
+            waits_for: DurationMicros::new(2 * SECOND),
         }
     }
 }
@@ -231,7 +233,7 @@
     /// The exponent of their popularity.
     pub zipf: Positive,
     /// The most popular part of them, which every cache server holds at the start.
-    pub held: Part,
+    pub held: Fraction,
     /// Ranks by which popularity moves on in a second.
     pub moves_per_s: Rate,
     /// The mean size of a value.
@@ -274,10 +276,10 @@
         Keys {
             count: Count::new(20_000),
             zipf: Positive::new(0.9),
-            held: Part::new(0.0),
+            held: Fraction::new(0.0),
             moves_per_s: Rate(0.0),
             value: Size::new(2 << 10),
-            value_sigma: Part::new(0.5),
+            value_sigma: Fraction::new(0.5),
         }
     }
 }
@@ -289,21 +291,21 @@
     /// Its name.
     pub name: String,
     /// Its part of the requests.
-    pub share: Part,
+    pub share: Fraction,
     /// The mean work of a request, on a standard core.
-    pub work: Fine<0, { 60 * SECOND }>,
+    pub work: DurationMicros<0, { 60 * SECOND }>,
     /// How the work is spread: the deviation of its logarithm.
     #[serde(default)]
     pub work_sigma: Sigma,
     /// An answer within this time has full worth.
-    pub aim: Fine<1_000, HOUR>,
+    pub aim: DurationMicros<1_000, HOUR>,
     /// Clients wait no longer.
-    pub deadline: Fine<1_000, HOUR>,
+    pub deadline: DurationMicros<1_000, HOUR>,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Of a keyed class: which servers discard repeats.
     #[serde(default)]
-    pub scope: Scope,
+    pub scope: DeduplicationScope,
     /// Of a keyed class: for how long they do.
     #[serde(default)]
     pub window: Time,
@@ -319,7 +321,7 @@
     /// Its name.
     pub name: String,
     /// Its part of the service.
-    pub share: Part,
+    pub share: Fraction,
     /// What it sends, as a multiple of its share.
     #[serde(default = "once")]
     pub usage: Positive,
@@ -337,14 +339,18 @@
     /// How often a client asks at most; 1 for no retry.
     pub tries: Count<1, 100>,
     /// The range of the first pause.
-    pub pause: Fine<0, { 60 * SECOND }>,
+    pub pause: DurationMicros<0, { 60 * SECOND }>,
     /// No pause's range is longer.
-    pub longest: Fine<0, { 60 * SECOND }>,
+    pub longest: DurationMicros<0, { 60 * SECOND }>,
 }
 
 impl Default for RetryKind {
     fn default() -> Self {
-        RetryKind { tries: Count::new(1), pause: Fine::new(50_000), longest: Fine::new(1_000_000) }
+        RetryKind {
+            tries: Count::new(1),
+            pause: DurationMicros::new(50_000),
+            longest: DurationMicros::new(1_000_000),
+        }
     }
 }
 
@@ -353,22 +359,22 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
     /// An answer so long after the deadline still counts.
-    pub answer_slack: Fine<0, SECOND>,
+    pub answer_slack: DurationMicros<0, SECOND>,
     /// Nothing new to a server so long after the node was told that it drains or is gone.
-    pub drain_grace: Fine<0, { 60 * SECOND }>,
+    pub drain_grace: DurationMicros<0, { 60 * SECOND }>,
     /// A cold server sent more than this multiple of its capacity ...
     pub overload_factor: Positive,
     /// ... for so long falls over.
-    pub overload_for: Fine<1_000, { 60 * SECOND }>,
+    pub overload_for: DurationMicros<1_000, { 60 * SECOND }>,
 }
 
 impl Default for Rules {
     fn default() -> Self {
         Rules {
-            answer_slack: Fine::new(70_000),
-            drain_grace: Fine::new(550_000),
+            answer_slack: DurationMicros::new(70_000),
+            drain_grace: DurationMicros::new(550_000),
             overload_factor: Positive::new(3.0),
-            overload_for: Fine::new(1_500_000),
+            overload_for: DurationMicros::new(1_500_000),
         }
     }
 }
@@ -387,7 +393,7 @@
     pub server: Option<String>,
     /// Or which part of the cache servers.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub part: Option<Part>,
+    pub part: Option<Fraction>,
     /// Or those of which zone.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -400,7 +406,7 @@
 }
 
 fn for_a_while() -> Time {
-    Fine::new(2 * SECOND)
+    DurationMicros::new(2 * SECOND)
 }
 
 /// What goes wrong.
@@ -462,35 +468,36 @@
     ///
     /// # Errors
     /// The field, and why it can't be used.
-    pub fn check_fault(&self, fault: &Fault) -> Result<(), Wrong> {
+    pub fn check_fault(&self, fault: &Fault) -> Result<(), CheckError> {
         let known = |id: &String| (0..self.cache_count()).any(|n| Site::id(n) == *id);
         if let Some(id) = fault.server.as_ref().filter(|id| !known(id)) {
             let last = self.cache_count().saturating_sub(1);
-            return Err(("server".into(), format!("no cache server {id:?}: they are c-0 to c-{last}")));
+            return Err(CheckError::new(
+                "server",
+                format!("no cache server {id:?}: they are c-0 to c-{last}"),
+            ));
         }
         if let Some(zone) = fault.zone.as_ref().filter(|zone| !self.network.zones.contains(zone)) {
-            return Err((
-                "zone".into(),
-                format!("{zone:?} is none of network.zones: {:?}", self.network.zones),
-            ));
+            let reason = format!("{zone:?} is none of network.zones: {:?}", self.network.zones);
+            return Err(CheckError::new("zone", reason));
         }
         let named = fault.server.is_some() || fault.part.is_some() || fault.zone.is_some();
         if fault.kind.needs_servers() && !named {
-            return Err(("kind".into(), "needs server, part or zone".into()));
+            return Err(CheckError::new("kind", "needs server, part or zone"));
         }
         if matches!(fault.kind, FaultKind::Slow | FaultKind::OriginSlow) && fault.factor.is_none() {
-            return Err(("factor".into(), "needed: how many times slower".into()));
+            return Err(CheckError::new("factor", "needed: how many times slower"));
         }
         if fault.kind == FaultKind::Partition && fault.zone.is_none() {
-            return Err(("zone".into(), "needed: the zone that is cut off".into()));
+            return Err(CheckError::new("zone", "needed: the zone that is cut off"));
         }
         Ok(())
     }
 }
 
 impl Check for Site {
-    fn check(&self) -> Result<(), Wrong> {
-        let wrong = |key: &str, what: String| Err((key.to_owned(), what));
+    fn check(&self) -> Result<(), CheckError> {
+        let wrong = |key: &str, what: String| Err(CheckError::new(key, what));
         if self.caches.is_empty() {
             return wrong("cache", "needed: at least one [[cache]] with its count".into());
         }
@@ -511,7 +518,7 @@
             if class.deadline < class.aim {
                 return wrong(&format!("class[{n}].deadline"), "must not be shorter than the aim".into());
             }
-            if class.effect == Effect::Keyed && class.window.us() == 0 {
+            if class.effect == Idempotency::Keyed && class.window.us() == 0 {
                 return wrong(&format!("class[{n}].window"), "a keyed class needs a window above 0s".into());
             }
         }
@@ -525,7 +532,7 @@
             }
         }
         for (n, fault) in self.faults.iter().enumerate() {
-            self.check_fault(fault).map_err(|(key, what)| (format!("fault[{n}].{key}"), what))?;
+            self.check_fault(fault).map_err(|error| error.below(&format!("fault[{n}]")))?;
         }
         Ok(())
     }
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use proptest::prelude::*;
-use stonefold_config::{Count, Fine, Layers, Part, Positive, Size, load};
+use stonefold_config::{Count, DurationMicros, Fraction, Layers, Positive, Size, load};
 use stonefold_model::site::{CacheKind, OriginKind, Rules, Site};
 use stonefold_model::*;
 
@@ -17,7 +17,7 @@
         slots: Count::new(4),
         queue: Count::new(3),
         memory: Size::new(1000),
-        handshake: Fine::new(0),
+        handshake: DurationMicros::new(0),
         ..CacheKind::default()
     }
 }
@@ -56,8 +56,8 @@
 #[test]
 fn a_cold_server_grows_and_falls_over_when_sent_three_times_what_it_can() {
     let mut kind = kind();
-    kind.cold = Fine::new(10_000 * MS);
-    kind.cold_from = Part::new(0.3);
+    kind.cold = DurationMicros::new(10_000 * MS);
+    kind.cold_from = Fraction::new(0.3);
     let mut server = cache(&kind);
     server.start(0);
     assert!((server.capacity(0) - 0.6).abs() < 1e-9 && (server.capacity(5_000 * MS) - 1.3).abs() < 1e-9);
@@ -83,7 +83,7 @@
 #[test]
 fn misses_fetches_voids_and_ages_as_the_protocol_has_it() {
     let mut kind = kind();
-    kind.keeps_for = Fine::new(1_000 * MS);
+    kind.keeps_for = DurationMicros::new(1_000 * MS);
     let (mut server, mut ends) = (cache(&kind), Vec::new());
     let mut ask = |server: &mut Cache, now: Micros| {
         let mut done = Vec::new();
@@ -104,8 +104,8 @@
 #[test]
 fn a_load_report_is_late_and_as_old_as_its_making() {
     let mut kind = kind();
-    (kind.report_every, kind.report_delay) = (Fine::new(1_000 * MS), Fine::new(200 * MS));
-    kind.report_noise = Part::new(0.0);
+    (kind.report_every, kind.report_delay) = (DurationMicros::new(1_000 * MS), DurationMicros::new(200 * MS));
+    kind.report_noise = Fraction::new(0.0);
     let (mut server, mut done) = (cache(&kind), Vec::new());
     for _ in 0..6 {
         server.offer(0, read("k", 5_000e3), &mut done).unwrap();
@@ -121,7 +121,7 @@
 fn an_origin_stops_after_too_much_for_too_long_and_tells_the_cold_share() {
     let kind = OriginKind {
         workers: Count::new(10),
-        time: Fine::new(100 * MS),
+        time: DurationMicros::new(100 * MS),
         queue: Count::new(10),
         ..OriginKind::default()
     };
@@ -379,9 +379,9 @@
     #[test]
     fn a_cache_server_keeps_its_bounds_and_ends_each_request_once(steps in proptest::collection::vec(step(), 1..200)) {
         let mut kind = kind();
-        kind.pause_every = Fine::new(20 * MS);
-        kind.pause = Fine::new(5 * MS);
-        kind.errors = Part::new(0.1);
+        kind.pause_every = DurationMicros::new(20 * MS);
+        kind.pause = DurationMicros::new(5 * MS);
+        kind.errors = Fraction::new(0.1);
         kind.speed = Positive::new(0.7);
         let mut server = cache(&kind);
         let (mut now, mut open, mut done) = (0, BTreeSet::new(), Vec::new());
--- a/crates/soak/src/player.rs
+++ b/crates/soak/src/player.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rustix::process::Signal;
-use stonefold_config::{Count, Fine, Positive};
+use stonefold_config::{Count, DurationMicros, Positive};
 use stonefold_emulator::{Emulator, Load, Options as EmulatorOptions};
 use stonefold_faults::{Fault as CallFault, FaultPlan};
 use stonefold_model::site::Site;
@@ -87,9 +87,9 @@
     let reads = site.classes.iter_mut().filter(|class| !class.write);
     for class in reads {
         let deadline = READ_DEADLINE.as_micros() as u64;
-        (class.aim, class.deadline) = (Fine::new(deadline), Fine::new(deadline));
+        (class.aim, class.deadline) = (DurationMicros::new(deadline), DurationMicros::new(deadline));
     }
-    site.rules.answer_slack = Fine::new((ANSWER_SLACK + LONGEST_STALL).as_micros() as u64);
+    site.rules.answer_slack = DurationMicros::new((ANSWER_SLACK + LONGEST_STALL).as_micros() as u64);
     Ok(site)
 }
 
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use stonefold_config::{Fine, Part, Positive};
+use stonefold_config::{DurationMicros, Fraction, Positive};
 use stonefold_faults::Fault as CallFault;
 use stonefold_model::site::{Fault as SiteFault, FaultKind};
 
@@ -113,15 +113,15 @@
 
 fn site_fault(rng: &mut Rng, lasts: Duration) -> SiteFault {
     let kind = SITE[rng.usize(0..SITE.len())];
-    let part = kind.needs_servers().then(|| Part::new(0.1 + 0.2 * rng.f64()));
+    let part = kind.needs_servers().then(|| Fraction::new(0.1 + 0.2 * rng.f64()));
     let slow = matches!(kind, FaultKind::Slow | FaultKind::OriginSlow);
     SiteFault {
-        at: Fine::new(0),
+        at: DurationMicros::new(0),
         kind,
         server: None,
         part,
         zone: None,
-        lasts: Fine::new(lasts.as_micros() as u64),
+        lasts: DurationMicros::new(lasts.as_micros() as u64),
         factor: slow.then(|| Positive::new(2.0 + 6.0 * rng.f64())),
     }
 }
