--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use redis_protocol::resp2::types::BytesFrame;
-use stonefold_proto::resp::{next_frame, put_command};
+use stonefold_proto::resp::{append_command, decode_frame};
 
 /// Beyond the deadline the answer is waited for so much longer: it may be on its way.
 const LATE: Duration = Duration::from_millis(200);
@@ -33,12 +33,12 @@
     let mut stream = TcpStream::connect_timeout(&node, deadline.max(Duration::from_millis(1)))?;
     stream.set_nodelay(true)?;
     let mut text = BytesMut::new();
-    put_command(&mut text, words);
+    append_command(&mut text, words);
     stream.write_all(&text)?;
     let mut buffer = BytesMut::new();
     let mut piece = vec![0; 16 << 10];
     loop {
-        let frame = next_frame(&mut buffer, LARGEST).map_err(|_| malformed())?;
+        let frame = decode_frame(&mut buffer, LARGEST).map_err(|_| malformed())?;
         if let Some(frame) = frame {
             return Ok(Answered { outcome: outcome(frame), took: start.elapsed() });
         }
--- a/crates/cli/src/followed.rs
+++ b/crates/cli/src/followed.rs
@@ -5,7 +5,7 @@
 
 use stonefold_node::orders::{Order, Orders};
 use stonefold_node::shared::{Later, Shared};
-use stonefold_proto::list::List;
+use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::feed::frame::{Item, Key};
 use stonefold_store::feed::subscriber::Event;
 use stonefold_store::follower::{self, Follower, FollowerError, Settings};
@@ -82,7 +82,7 @@
         })
     }
 
-    fn newer_list(&self) -> Option<List> {
+    fn newer_list(&self) -> Option<EndpointList> {
         let (acted, _) = self.freshness(|freshness| freshness.acted());
         let view = self.follower.feed.view();
         if view.list_version() <= acted {
--- a/crates/cli/src/shared.rs
+++ b/crates/cli/src/shared.rs
@@ -6,7 +6,7 @@
 
 use stonefold_node::orders::{Order, Orders};
 use stonefold_node::shared::{Later, Shared};
-use stonefold_proto::list::List;
+use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::daemon::Daemon;
 use stonefold_store::freshness::Verdict;
 use stonefold_store::state::{self, Change, Proposal, Refusal, Reply};
@@ -148,7 +148,7 @@
         })
     }
 
-    fn newer_list(&self) -> Option<List> {
+    fn newer_list(&self) -> Option<EndpointList> {
         let (acted, _) = self.daemon.replica.freshness(|freshness, _| freshness.acted());
         let applied = self.daemon.replica.shared().read();
         let list = applied.state.list().filter(|list| list.version > acted)?;
@@ -192,7 +192,7 @@
 }
 
 /// A kept list, if it is one.
-pub fn readable(version: u64, text: &str) -> Option<List> {
+pub fn readable(version: u64, text: &str) -> Option<EndpointList> {
     match serde_json::from_str(text) {
         Ok(list) => Some(list),
         Err(error) => {
--- a/crates/emulator/examples/throughput.rs
+++ b/crates/emulator/examples/throughput.rs
@@ -16,7 +16,7 @@
 use stonefold_config::{Count, DurationMicros};
 use stonefold_emulator::{Emulator, Options};
 use stonefold_model::site::Site;
-use stonefold_proto::resp::{next_frame, put_command};
+use stonefold_proto::resp::{append_command, decode_frame};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -95,14 +95,14 @@
         while sent < answers + DEPTH as u64 {
             let key = format!("record:{}", (number * 7919 + sent as usize * 31) % KEYS);
             let words = ["CACHE.GET", &key, &format!("{number:04x}{sent:012x}"), "c=record-lookup,d=1000"];
-            put_command(&mut out, &words.map(str::as_bytes));
+            append_command(&mut out, &words.map(str::as_bytes));
             sent += 1;
         }
         stream.write_all(&out).await?;
         if stream.read_buf(&mut buffer).await? == 0 {
             return Err("the connection ended".into());
         }
-        while let Some(frame) = next_frame(&mut buffer, 1 << 20).map_err(|_| "no answer")? {
+        while let Some(frame) = decode_frame(&mut buffer, 1 << 20).map_err(|_| "no answer")? {
             answers += 1;
             if let BytesFrame::Error(text) = frame
                 && !text.starts_with("BUSY")
--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -9,7 +9,8 @@
 use futures_util::stream::{FuturesOrdered, StreamExt};
 use redis_protocol::resp2::types::BytesFrame;
 use stonefold_model::{Cache, Done, End, Job, JobId, Micros, Refusal, Report, State, Work};
-use stonefold_proto::resp::{fact, next_frame};
+use stonefold_proto::metadata::metadata_value;
+use stonefold_proto::resp::decode_frame;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, oneshot, watch};
@@ -291,7 +292,7 @@
     let mut answered = 0;
     loop {
         while open.len() < STREAMS {
-            match next_frame(&mut buffer, LARGEST) {
+            match decode_frame(&mut buffer, LARGEST) {
                 Ok(Some(frame)) => open.push_back(handle(world, server, node, frame)),
                 Ok(None) => break,
                 Err(_) => return false,
@@ -392,7 +393,7 @@
     write: bool,
 ) -> Option<Bytes> {
     let class = request::class(&world.site, facts);
-    let wait = fact(facts, "d").and_then(|d| d.parse::<f64>().ok()).unwrap_or(0.0);
+    let wait = metadata_value(facts, "d").and_then(|d| d.parse::<f64>().ok()).unwrap_or(0.0);
     let now = world.now();
     let job = Job {
         work: if write { Work::Write(key.into()) } else { Work::Read(key.into()) },
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use stonefold_model::site::DiscoveryKind;
 use stonefold_model::{Discovery, Listed, Listing, Micros};
-use stonefold_proto::resp::fact;
+use stonefold_proto::metadata::metadata_value;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout};
@@ -187,7 +187,7 @@
         return Ok(http::answer(StatusCode::NOT_FOUND, ""));
     }
     let query = request.uri().query().unwrap_or_default().replace('&', ",");
-    let number = |name: &str| fact(&query, name).and_then(|text| text.parse::<u64>().ok());
+    let number = |name: &str| metadata_value(&query, name).and_then(|text| text.parse::<u64>().ok());
     let (after, wait) = (number("after"), Duration::from_millis(number("wait_ms").unwrap_or(0)));
     let answered = locked(&service.model).call(service.clock.now());
     let Some(at) = answered else {
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use stonefold_config::Idempotency;
 use stonefold_model::{Answer, Ask, Clients, Micros, Retries};
-use stonefold_proto::resp::{next_frame, put_command};
+use stonefold_proto::resp::{append_command, decode_frame};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
@@ -342,7 +342,7 @@
         let name = if class.write { "CACHE.SET" } else { "CACHE.GET" };
         let words = [name, key, id, &facts].into_iter().chain(value.as_deref()).map(str::as_bytes);
         let mut text = BytesMut::new();
-        put_command(&mut text, &words.collect::<Vec<_>>());
+        append_command(&mut text, &words.collect::<Vec<_>>());
         text
     }
 }
@@ -389,7 +389,7 @@
 async fn read(stream: &mut TcpStream) -> Heard {
     let mut buffer = BytesMut::new();
     loop {
-        match next_frame(&mut buffer, LARGEST) {
+        match decode_frame(&mut buffer, LARGEST) {
             Ok(Some(frame)) => return Heard::Answer { frame, more: !buffer.is_empty() },
             Ok(None) => {}
             Err(_) => return Heard::Broken,
--- a/crates/emulator/src/origin.rs
+++ b/crates/emulator/src/origin.rs
@@ -13,7 +13,7 @@
 use stonefold_config::Idempotency;
 use stonefold_model::site::Site;
 use stonefold_model::{Fetch, Fetched, Micros, Origin};
-use stonefold_proto::resp::fact;
+use stonefold_proto::metadata::metadata_value;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::sleep_until;
 use tracing::info;
@@ -197,7 +197,7 @@
     let mut body = BytesMut::new();
     if write {
         let class = request::class(&world.site, facts);
-        let identity = fact(facts, "k").unwrap_or(id);
+        let identity = metadata_value(facts, "k").unwrap_or(id);
         let window = if class.effect == Idempotency::Keyed { class.window.us() } else { 0 };
         if class.effect != Idempotency::Idempotent {
             world.judge().runs(now, identity, window);
--- a/crates/emulator/src/request.rs
+++ b/crates/emulator/src/request.rs
@@ -7,7 +7,7 @@
 use lru::LruCache;
 use stonefold_model::Random;
 use stonefold_model::site::{ClassKind, Site};
-use stonefold_proto::resp::fact;
+use stonefold_proto::metadata::metadata_value;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::lock::locked;
@@ -24,7 +24,8 @@
 
 /// The class that a request names, or else the first.
 pub(crate) fn class<'a>(site: &'a Site, facts: &str) -> &'a ClassKind {
-    let named = fact(facts, "c").and_then(|name| site.classes.iter().find(|class| class.name == name));
+    let named =
+        metadata_value(facts, "c").and_then(|name| site.classes.iter().find(|class| class.name == name));
     named.unwrap_or(&site.classes[0])
 }
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,14 +1,13 @@
-//! The one socket type through which all bytes of stonefold go, and what its errors mean.
+//! The TCP socket type that all connections of the workspace use, and a classification of socket errors.
 //!
-//! An event loop that is told only of changes may take a short read for "nothing more has come" and a short write for
-//! "no room", and then wait for an event that never comes; and an interrupted call is no end. A [`Socket`] goes on until
-//! a call would block, and repeats what was interrupted.
-#![allow(missing_docs, unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
+//! An edge-triggered event loop that treats a short read as "no more data" or a short write as "buffer full" can wait
+//! for a readiness event that never arrives, and an interrupted system call must not end a connection. A [`Socket`]
+//! therefore reads and writes until a call would block, and repeats interrupted calls.
 
+mod error_kind;
 mod listener;
-mod meaning;
 mod socket;
 
+pub use error_kind::SocketErrorKind;
 pub use listener::Listener;
-pub use meaning::{Meaning, meaning};
 pub use socket::Socket;
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,46 +1,55 @@
-//! Where connections are accepted.
+//! A listening TCP socket.
 
 use std::io;
 use std::net::SocketAddr;
 
 use tokio::net::TcpListener;
 
-use crate::meaning::{Meaning, meaning};
+use crate::error_kind::SocketErrorKind;
 use crate::socket::Socket;
 
-/// Accepts connections; what befalls one that is not accepted yet is no error of the listener's.
+/// Accepts connections. An error of a single pending connection is not reported as an error of the listener.
 #[derive(Debug)]
 pub struct Listener(TcpListener);
 
 impl Listener {
-    /// Accepts at this listening socket.
+    /// Wraps a socket that is already listening.
     pub fn new(listener: TcpListener) -> Listener {
         Listener(listener)
     }
 
-    /// The address that it listens at.
+    /// Returns the local address of the listener.
     ///
     /// # Errors
-    /// If the system does not tell.
+    ///
+    /// Returns the error of the system call.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// The next connection. One that is gone before it is accepted is passed over. Cancelled, it loses none.
+    /// Accepts the next connection, skipping those that broke before they could be accepted.
     ///
     /// # Errors
-    /// If the machine or the process is short of something, or the socket is no good.
+    ///
+    /// Fails if the process or the machine has exhausted a resource, or if the listening socket is unusable.
+    ///
+    /// # Cancel safety
+    ///
+    /// Cancel safe: no connection is lost.
     pub async fn accept(&self) -> io::Result<Socket> {
         loop {
             match self.0.accept().await.and_then(|(stream, _)| Socket::new(stream)) {
-                Err(error) if is_the_connections(&error) => {}
+                Err(error) if concerns_one_connection(&error) => {}
                 accepted => return accepted,
             }
         }
     }
 }
 
-/// Whether an error tells of the one connection that was to be accepted.
-fn is_the_connections(error: &io::Error) -> bool {
-    matches!(meaning(error), Meaning::Again | Meaning::PeerGone | Meaning::PathGone)
+/// Whether an error of `accept` concerns only the connection that was to be accepted.
+fn concerns_one_connection(error: &io::Error) -> bool {
+    matches!(
+        SocketErrorKind::of(error),
+        SocketErrorKind::Retry | SocketErrorKind::PeerClosed | SocketErrorKind::Unreachable
+    )
 }
--- a/crates/node/src/clients/absent.rs
+++ b/crates/node/src/clients/absent.rs
@@ -39,7 +39,7 @@
     /// Guards against a request whose time is counted from the end of a stall, though it came in it.
     pub fn read(&mut self, stream: &Socket) -> Instant {
         let came = self.since.unwrap_or_else(|| self.stalls.earliest_arrival(Instant::now()));
-        if self.since.is_some() && stream.nothing_has_come() {
+        if self.since.is_some() && stream.is_idle() {
             self.since = None;
         }
         came
@@ -51,7 +51,7 @@
 ///
 /// A client that closes its sending side alone counts as gone, as it does when that is read.
 pub async fn gone(stream: &Socket, unread: &mut UnreadSince) {
-    if stream.has_bytes().await.unwrap_or(false) {
+    if stream.wait_for_input().await.unwrap_or(false) {
         unread.note();
         // What it has sent hides the end behind it, but not from the kernel.
         stream.peer_closed().await;
@@ -77,7 +77,7 @@
 /// Guards against: an answer that the kernel drops. Where a socket is closed with something unread, what it has not
 /// yet sent goes with it.
 pub async fn linger(stream: &Socket, unread: &mut UnreadSince) {
-    if !stream.nothing_has_come() {
+    if !stream.is_idle() {
         let _ = timeout(LINGER, gone(stream, unread)).await;
     }
 }
--- a/crates/node/src/clients/command.rs
+++ b/crates/node/src/clients/command.rs
@@ -6,7 +6,7 @@
 use hyper::header::HeaderValue;
 use redis_protocol::resp2::types::BytesFrame;
 use stonefold_balancer::Micros;
-use stonefold_proto::resp::Malformed;
+use stonefold_proto::resp::MalformedFrame;
 
 use crate::relay::{LARGEST, VALUE_LIMIT};
 use crate::request::ClientRequest;
@@ -83,11 +83,11 @@
 }
 
 /// A command's words: an array of bulk strings.
-pub fn arguments(frame: BytesFrame) -> Result<Vec<Bytes>, Malformed> {
-    let BytesFrame::Array(parts) = frame else { return Err(Malformed) };
+pub fn arguments(frame: BytesFrame) -> Result<Vec<Bytes>, MalformedFrame> {
+    let BytesFrame::Array(parts) = frame else { return Err(MalformedFrame) };
     let words = parts.into_iter().map(|part| match part {
         BytesFrame::BulkString(text) => Ok(text),
-        _ => Err(Malformed),
+        _ => Err(MalformedFrame),
     });
     words.collect()
 }
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stonefold_net::{Listener, Meaning, meaning};
+use stonefold_net::{Listener, SocketErrorKind};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinHandle;
@@ -152,8 +152,8 @@
                 // worth taking.
                 Err(error) => {
                     warn!(event = "accept_failed", front = "clients", %error, "a connection is not taken");
-                    match meaning(&error) {
-                        Meaning::NoDescriptors => self.make_room().await,
+                    match SocketErrorKind::of(&error) {
+                        SocketErrorKind::DescriptorsExhausted => self.make_room().await,
                         _ => sleep(PAUSE).await,
                     }
                 }
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -8,7 +8,7 @@
 
 use bytes::BytesMut;
 use redis_protocol::resp2::types::BytesFrame;
-use stonefold_net::{Meaning, Socket, meaning};
+use stonefold_net::{Socket, SocketErrorKind};
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until, timeout};
 use tracing::{debug, trace};
@@ -140,7 +140,12 @@
         let figures = &self.shared.metrics.closed_owing;
         match ended {
             Ok(_) => figures.by_client.add_one(),
-            Err(error) if matches!(meaning(error), Meaning::PeerGone | Meaning::PathGone) => {
+            Err(error)
+                if matches!(
+                    SocketErrorKind::of(error),
+                    SocketErrorKind::PeerClosed | SocketErrorKind::Unreachable
+                ) =>
+            {
                 figures.by_client.add_one();
             }
             Err(_) => {
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use redis_protocol::resp2::types::BytesFrame;
 use stonefold_balancer::RequestId;
-use stonefold_proto::resp::{Malformed, next_frame};
+use stonefold_proto::resp::{MalformedFrame, decode_frame};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use tracing::trace;
@@ -55,10 +55,10 @@
                 return false;
             }
             let (before, limit) = (self.buffer.len(), self.frame_limit());
-            let owed = match next_frame(&mut self.buffer, limit).map(|f| f.map(arguments)) {
+            let owed = match decode_frame(&mut self.buffer, limit).map(|f| f.map(arguments)) {
                 Ok(None) => return false,
                 Ok(Some(Ok(parts))) => self.command(&parts, before - self.buffer.len()),
-                Ok(Some(Err(Malformed))) | Err(Malformed) => {
+                Ok(Some(Err(MalformedFrame))) | Err(MalformedFrame) => {
                     self.broken = Some(Instant::now());
                     self.buffer.clear();
                     Owed::Ready(BytesFrame::Error("ERR malformed command".into()))
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use stonefold_balancer::settings_document::{ResolvedSettings, SettingsDocument, SettingsError};
-use stonefold_proto::list::List;
+use stonefold_proto::endpoints::EndpointList;
 
 use crate::bounds::Bounds;
 use crate::handover;
@@ -44,7 +44,7 @@
     pub sockets: usize,
     /// This process's part of the memory.
     pub memory: usize,
-    pub known: List,
+    pub known: EndpointList,
     pub setup: ResolvedSettings,
     pub file: Followed,
     /// When the process started, as far as is known: the time to ready counts from here.
@@ -92,7 +92,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: SettingsDocument,
 }
 
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -21,7 +21,7 @@
 use tracing::warn;
 
 use stonefold_net::Socket;
-use stonefold_proto::list::List;
+use stonefold_proto::endpoints::EndpointList;
 
 use crate::message::{Message, SharedSettings};
 
@@ -179,7 +179,7 @@
         }
     }
 
-    async fn fetch(&mut self, at: SocketAddr, path: &str) -> Result<List, Failure> {
+    async fn fetch(&mut self, at: SocketAddr, path: &str) -> Result<EndpointList, Failure> {
         let mut client = match self.connection.take().filter(|client| !client.sender.is_closed()) {
             Some(client) => client,
             None => {
@@ -197,7 +197,7 @@
         if status != StatusCode::OK {
             return Err(Failure::Refused(status));
         }
-        let list: List = serde_json::from_slice(&body).map_err(Failure::broken)?;
+        let list: EndpointList = serde_json::from_slice(&body).map_err(Failure::broken)?;
         if list.full && list.servers.is_empty() && list.skipped > 0 {
             return Err(Failure::Unreadable);
         }
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -14,7 +14,7 @@
 use stonefold_balancer::{
     Action, AttemptId, Balancer, CacheCounts, EndpointUpdate, Event, Micros, Outcome, RequestId, TimerToken,
 };
-use stonefold_proto::list::List;
+use stonefold_proto::endpoints::EndpointList;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver, UnboundedSender};
 use tokio::time::Instant;
@@ -137,7 +137,7 @@
         driver.timers.insert(Due::Sweep, SWEEP);
         driver.count_later();
         driver.apply_orders(orders, None);
-        let known = List { full: true, ..config.known };
+        let known = EndpointList { full: true, ..config.known };
         if driver.ledger.as_mut().is_none_or(|ledger| ledger.enter(&known)) {
             driver.list(known);
         }
@@ -324,7 +324,7 @@
         self.timers.insert_at(Due::Count(at), at);
     }
 
-    fn list(&mut self, list: List) {
+    fn list(&mut self, list: EndpointList) {
         let scope = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
         let now = self.clock.at(self.now);
         let dated = if self.answered { ListDate::Later(now) } else { ListDate::First(now) };
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -6,7 +6,7 @@
 
 use stonefold_balancer::settings_document::{ResolvedSettings, SettingsDocument, SettingsError};
 use stonefold_balancer::{AttemptId, RequestId, ServerId};
-use stonefold_proto::list::List;
+use stonefold_proto::endpoints::EndpointList;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -33,7 +33,7 @@
     /// An attempt ran to its end.
     AttemptFinished(FinishedAttempt),
     /// An endpoint list, complete or changed entries only.
-    EndpointList(List),
+    EndpointList(EndpointList),
     /// A poll or watch of the endpoint list failed.
     EndpointListFailed,
 }
--- a/crates/node/src/momentary.rs
+++ b/crates/node/src/momentary.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use stonefold_net::meaning;
+use stonefold_net::SocketErrorKind;
 use tokio::time::{Instant, sleep};
 
 /// What fails for longer than this has failed: a start that may take seconds, an operator who waits for an answer.
@@ -19,7 +19,7 @@
 
 impl Momentary for io::Error {
     fn is_momentary(&self) -> bool {
-        let local = meaning(self).is_local() && self.kind() != io::ErrorKind::AddrInUse;
+        let local = SocketErrorKind::of(self).is_local() && self.kind() != io::ErrorKind::AddrInUse;
         // EIO has no kind of its own.
         local || self.kind() == io::ErrorKind::StorageFull || self.raw_os_error() == Some(libc::EIO)
     }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use stonefold_balancer::Micros;
-use stonefold_proto::resp;
+use stonefold_proto::metadata;
 
 use crate::relay::Stream;
 
@@ -32,7 +32,7 @@
 impl ClientRequest {
     /// A metadata value by its name.
     pub fn metadata_value(&self, name: &str) -> Option<&str> {
-        resp::fact(str::from_utf8(&self.metadata).ok()?, name)
+        metadata::metadata_value(str::from_utf8(&self.metadata).ok()?, name)
     }
 
     /// The metadata as received, except that `d` states the time left, in whole milliseconds.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use serde_json::json;
-use stonefold_proto::list::{Entry, List, State};
+use stonefold_proto::endpoints::{EndpointList, ListedServer, ServerState};
 use tracing::warn;
 
 use crate::orders::{Order, Orders};
@@ -26,7 +26,7 @@
     /// Gives an order to all nodes, durably.
     fn order(&self, server: String, order: Order) -> Later<'_, Result<(), String>>;
     /// The committed list, if it is newer than the one acted on.
-    fn newer_list(&self) -> Option<List>;
+    fn newer_list(&self) -> Option<EndpointList>;
     /// Whether a list of this version may be acted on; it is from then on. An error tells the version that is known.
     fn may_act(&self, version: u64) -> Result<(), u64>;
     /// A list was learned: all of it, and when each server was started. The others are told in time.
@@ -41,7 +41,7 @@
 pub struct Ledger {
     shared: Arc<dyn Shared>,
     version: u64,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, ListedServer>,
 }
 
 impl Ledger {
@@ -51,7 +51,7 @@
     }
 
     /// Enters a list, whole or of changes; false if a newer one is known, and this one may not be acted on.
-    pub fn enter(&mut self, list: &List) -> bool {
+    pub fn enter(&mut self, list: &EndpointList) -> bool {
         if let Err(known) = self.shared.may_act(list.version) {
             warn!(event = "list_too_old", version = list.version, known, "a list is not acted on");
             return false;
@@ -61,13 +61,13 @@
         }
         for entry in &list.servers {
             match entry.state {
-                State::Deleted => _ = self.entries.remove(&entry.id),
+                ServerState::Deleted => _ = self.entries.remove(&entry.id),
                 _ => _ = self.entries.insert(entry.id.clone(), entry.clone()),
             }
         }
         if list.version > self.version {
             self.version = list.version;
-            let servers: Vec<&Entry> = self.entries.values().collect();
+            let servers: Vec<&ListedServer> = self.entries.values().collect();
             let text = json!({"version": list.version, "full": true, "servers": servers}).to_string();
             let started = servers.iter().filter(|entry| entry.started_ms > 0.0);
             let started = started.map(|entry| (entry.id.clone(), entry.started_ms as u64)).collect();
--- a/crates/node/src/shared/tests.rs
+++ b/crates/node/src/shared/tests.rs
@@ -27,7 +27,7 @@
     fn order(&self, _: String, _: Order) -> Later<'_, Result<(), String>> {
         Box::pin(async { Ok(()) })
     }
-    fn newer_list(&self) -> Option<List> {
+    fn newer_list(&self) -> Option<EndpointList> {
         None
     }
     fn may_act(&self, _: u64) -> Result<(), u64> {
@@ -44,18 +44,18 @@
 
 #[test]
 fn a_recorded_list_means_the_same_and_is_written_alike() {
-    let list: List = serde_json::from_str(RECORDED).unwrap();
+    let list: EndpointList = serde_json::from_str(RECORDED).unwrap();
     assert_eq!((list.version, list.full, list.skipped), (43, true, 0));
     let [first, second] = &list.servers[..] else { panic!("two servers") };
     assert_eq!((first.id.as_str(), first.addr), ("s-1", "10.0.0.1:6379".parse().unwrap()));
     assert_eq!((first.zone.as_str(), first.kind.as_str(), first.cell), ("a", "large", 3));
     assert_eq!(
         (first.state, first.weight, first.started_ms),
-        (State::Serving, Some(1.5), 1_790_000_000_123.0)
+        (ServerState::Serving, Some(1.5), 1_790_000_000_123.0)
     );
     assert_eq!((second.id.as_str(), second.addr), ("s-2", "[fd00::12]:6379".parse().unwrap()));
     assert_eq!((second.zone.as_str(), second.kind.as_str(), second.cell), ("", "", 0));
-    assert_eq!((second.state, second.weight, second.started_ms), (State::Draining, None, 0.0));
+    assert_eq!((second.state, second.weight, second.started_ms), (ServerState::Draining, None, 0.0));
     let shared = Arc::new(Recorder::default());
     assert!(Ledger::new(shared.clone()).enter(&list));
     let written = std::mem::take(&mut *shared.0.lock().unwrap());
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stonefold_balancer::Outcome;
-use stonefold_net::meaning;
+use stonefold_net::SocketErrorKind;
 use tokio::time::{Instant, timeout};
 
 use super::connection::Connection;
@@ -32,7 +32,9 @@
         None => match timeout(connect_timeout, Connection::open(target.addr, target.origin)).await {
             Ok(Ok(connection)) => connection,
             // The machine is short of something: no fault of the server's.
-            Ok(Err(error)) if meaning(&error).is_local() => return (Reply::of(Outcome::NotSent), None),
+            Ok(Err(error)) if SocketErrorKind::of(&error).is_local() => {
+                return (Reply::of(Outcome::NotSent), None);
+            }
             Ok(Err(_)) | Err(_) => return (Reply::of(Outcome::ConnectFailed), None),
         },
     };
--- a/crates/node/src/upstream/caches.rs
+++ b/crates/node/src/upstream/caches.rs
@@ -8,7 +8,7 @@
 use redis_protocol::resp2::types::BytesFrame;
 use stonefold_balancer::Outcome;
 use stonefold_net::Socket;
-use stonefold_proto::resp::{Malformed, next_frame};
+use stonefold_proto::resp::{MalformedFrame, decode_frame};
 use tokio::time::{Instant, timeout};
 
 use super::reply::Reply;
@@ -32,12 +32,12 @@
 
     /// Asks the kernel itself: what the runtime has seen of the peer's close may be a moment old.
     pub fn is_live(&self) -> bool {
-        self.0.nothing_has_come()
+        self.0.is_idle()
     }
 
     /// Whether the server has said something unasked, a second copy of its answer say.
     pub fn has_unasked(&self) -> bool {
-        self.0.something_has_come()
+        self.0.has_unread_bytes()
     }
 
     /// Sends one request, which states the time left until its deadline, and waits for its answer.
@@ -75,14 +75,14 @@
                     Err(outcome) => (Reply::of(outcome), None),
                 };
             }
-            match next_frame(&mut buffer, LARGEST) {
+            match decode_frame(&mut buffer, LARGEST) {
                 Ok(Some(frame)) => {
                     let reply = reply(frame);
                     let usable = reply.is_ok() && buffer.is_empty();
                     return (reply.unwrap_or(Reply::of(Outcome::ServerError)), usable.then_some(self));
                 }
                 Ok(None) => {}
-                Err(Malformed) => return (Reply::of(Outcome::ServerError), None),
+                Err(MalformedFrame) => return (Reply::of(Outcome::ServerError), None),
             }
             match self.0.read_buf(&mut buffer).await {
                 Ok(0) | Err(_) => return (Reply::of(Outcome::ConnectionReset), None),
@@ -131,9 +131,9 @@
         // As an array whose value is empty, it is read like any other answer.
         let mut buffer = BytesMut::from(&b"*3\r\n$0\r\n"[..]);
         loop {
-            match next_frame(&mut buffer, TAIL).map_err(|Malformed| Outcome::ServerError)? {
+            match decode_frame(&mut buffer, TAIL).map_err(|MalformedFrame| Outcome::ServerError)? {
                 Some(frame) if buffer.is_empty() => {
-                    return reply(frame).map_err(|Malformed| Outcome::ServerError);
+                    return reply(frame).map_err(|MalformedFrame| Outcome::ServerError);
                 }
                 Some(_) => return Err(Outcome::ServerError),
                 None => {}
@@ -161,33 +161,33 @@
 }
 
 /// What an answer means. Whatever the protocol has no word for may have run.
-fn reply(frame: BytesFrame) -> Result<Reply, Malformed> {
+fn reply(frame: BytesFrame) -> Result<Reply, MalformedFrame> {
     match frame {
         // Guards against: spoilt answers that look like one. The load report is not read, and may be anything.
         BytesFrame::Array(parts) => {
-            let [value, note, _report] = <[_; 3]>::try_from(parts).map_err(|_| Malformed)?;
+            let [value, note, _report] = <[_; 3]>::try_from(parts).map_err(|_| MalformedFrame)?;
             let hit = match note {
                 BytesFrame::Null => None,
                 BytesFrame::BulkString(word) => match &word[..] {
                     b"hit" => Some(true),
                     b"miss" | b"pending" => Some(false),
-                    _ => return Err(Malformed),
+                    _ => return Err(MalformedFrame),
                 },
-                _ => return Err(Malformed),
+                _ => return Err(MalformedFrame),
             };
             match value {
                 BytesFrame::BulkString(value) if value.len() <= WHOLE => {
                     Ok(Reply { outcome: Outcome::Success, value, hit })
                 }
                 BytesFrame::Null => Ok(Reply { hit, ..Reply::of(Outcome::CacheMiss) }),
-                _ => Err(Malformed),
+                _ => Err(MalformedFrame),
             }
         }
         BytesFrame::Error(text) => match text.split(' ').next() {
             Some("BUSY") => Ok(Reply::of(Outcome::Rejected)),
             _ => Ok(Reply::of(Outcome::ServerError)),
         },
-        _ => Err(Malformed),
+        _ => Err(MalformedFrame),
     }
 }
 
--- a/crates/node/src/upstream/directory.rs
+++ b/crates/node/src/upstream/directory.rs
@@ -8,7 +8,7 @@
 
 use stonefold_balancer::settings_document::ResolvedSettings;
 use stonefold_balancer::{Endpoint, EndpointState, Micros, ServerId};
-use stonefold_proto::list::{Entry, List, State};
+use stonefold_proto::endpoints::{EndpointList, ListedServer, ServerState};
 use tokio::time::Instant;
 use tracing::{info, trace};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -83,7 +83,12 @@
     }
 
     /// Takes over a list, as it is dated; tells the module's view of its entries.
-    pub fn apply(&mut self, mut list: List, dated: ListDate, setup: &mut ResolvedSettings) -> Vec<Endpoint> {
+    pub fn apply(
+        &mut self,
+        mut list: EndpointList,
+        dated: ListDate,
+        setup: &mut ResolvedSettings,
+    ) -> Vec<Endpoint> {
         // In order of their names: ids that collide come out alike at every node.
         list.servers.sort_by(|a, b| a.id.cmp(&b.id));
         if list.full {
@@ -112,7 +117,7 @@
         members
     }
 
-    fn is_new_start(&self, entry: &Entry) -> bool {
+    fn is_new_start(&self, entry: &ListedServer) -> bool {
         let known = self.servers.get(&self.id_of(&entry.id));
         known.is_none_or(|server| server.started_ms != entry.started_ms)
     }
@@ -132,13 +137,13 @@
         corrected
     }
 
-    fn enter(&mut self, entry: Entry, starts: &Starts, setup: &mut ResolvedSettings) -> Endpoint {
+    fn enter(&mut self, entry: ListedServer, starts: &Starts, setup: &mut ResolvedSettings) -> Endpoint {
         let id = self.id_of(&entry.id);
         let origin = setup.is_origin(&entry.kind);
         let state = match entry.state {
-            State::Serving => EndpointState::Up,
-            State::Draining => EndpointState::Draining,
-            State::Deleted => EndpointState::Removed,
+            ServerState::Serving => EndpointState::Up,
+            ServerState::Draining => EndpointState::Draining,
+            ServerState::Deleted => EndpointState::Removed,
         };
         let (new, new_start) = (!self.servers.contains_key(&id), self.is_new_start(&entry));
         let started = match self.servers.get(&id).filter(|_| !new_start) {
--- a/crates/node/src/upstream/starts.rs
+++ b/crates/node/src/upstream/starts.rs
@@ -10,7 +10,7 @@
 
 use stonefold_balancer::Micros;
 use stonefold_balancer::settings_document::micros_from_millis;
-use stonefold_proto::list::Entry;
+use stonefold_proto::endpoints::ListedServer;
 
 /// When a list came, and what its starts may be compared with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 impl Starts {
     /// The starts of these entries.
-    pub fn new(entries: &[Entry], dated: ListDate) -> Starts {
+    pub fn new(entries: &[ListedServer], dated: ListDate) -> Starts {
         let latest = entries.iter().map(|entry| entry.started_ms).fold(0.0, f64::max);
         let behind = match dated {
             ListDate::First(now) => micros_from_millis(latest).saturating_sub(now),
--- a/crates/node/src/upstream/starts/tests.rs
+++ b/crates/node/src/upstream/starts/tests.rs
@@ -10,9 +10,9 @@
         let text = format!(
             r#"{{"id":"s","addr":"127.0.0.1:1","zone":"a","kind":"m","cell":0,"state":"SERVING","weight":1.0,"started_ms":{started_ms}}}"#
         );
-        serde_json::from_str::<Entry>(&text).unwrap()
+        serde_json::from_str::<ListedServer>(&text).unwrap()
     };
-    let entries: Vec<Entry> = started_ms.iter().map(entry).collect();
+    let entries: Vec<ListedServer> = started_ms.iter().map(entry).collect();
     let starts = Starts::new(&entries, dated);
     started_ms.iter().map(|&started_ms| starts.of(started_ms)).collect()
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,5 +1,5 @@
-//! What goes over the node's connections: bytes in, typed messages out. No sockets.
-#![allow(unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
+//! The formats of the node's connections: bytes in, typed messages out, without sockets.
 
-pub mod list;
+pub mod endpoints;
+pub mod metadata;
 pub mod resp;
--- a/crates/proto/src/resp.rs
+++ b/crates/proto/src/resp.rs
@@ -1,90 +1,135 @@
-//! RESP2 frames from a buffer, with bounds that the codec itself doesn't set.
+//! RESP2 frames, decoded with limits that the codec itself does not enforce.
 
 use bytes::{Buf, BytesMut};
 use redis_protocol::resp2::decode::decode_bytes_mut;
 use redis_protocol::resp2::types::BytesFrame;
 
-/// More elements than any command or answer has.
-const ELEMENTS: usize = 64;
-/// A header or a line is no longer than this.
-const LINE: usize = 1024;
+/// The largest number of elements in an array; no command or reply has more.
+const MAX_ELEMENTS: usize = 64;
+/// The largest length of a line, in bytes: an element's header, a simple string, an error or an integer.
+const MAX_LINE_BYTES: usize = 1024;
+/// What ends each line and each bulk string.
+const TERMINATOR: &[u8] = b"\r\n";
 
-/// Not RESP2, or beyond its bounds here.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Malformed;
+/// The peer sent something that is not RESP2, or that exceeds the limits set here.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("malformed or oversized RESP2 frame")]
+pub struct MalformedFrame;
 
-/// Appends a command: an array of bulk strings.
-pub fn put_command(to: &mut BytesMut, words: &[&[u8]]) {
-    to.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    for word in words {
-        to.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-        to.extend_from_slice(word);
-        to.extend_from_slice(b"\r\n");
+/// Appends a command, which is an array of bulk strings.
+pub fn append_command(buffer: &mut BytesMut, arguments: &[&[u8]]) {
+    append_array_header(buffer, arguments.len());
+    for argument in arguments {
+        append_bulk_string(buffer, argument);
     }
 }
 
-/// A value by its name, in a list of names and values such as `c=read,d=480`.
-pub fn fact<'a>(facts: &'a str, name: &str) -> Option<&'a str> {
-    facts.split(',').find_map(|fact| fact.split_once('=').filter(|f| f.0 == name).map(|f| f.1))
+/// Appends the header of an array of `elements` elements.
+pub fn append_array_header(buffer: &mut BytesMut, elements: usize) {
+    buffer.extend_from_slice(format!("*{elements}\r\n").as_bytes());
 }
 
-/// Takes the first frame out of the buffer, once it is whole.
+/// Appends a bulk string.
+pub fn append_bulk_string(buffer: &mut BytesMut, text: &[u8]) {
+    append_bulk_string_header(buffer, text.len());
+    buffer.extend_from_slice(text);
+    buffer.extend_from_slice(TERMINATOR);
+}
+
+/// Appends the header of a bulk string of `length` bytes, which the caller sends itself.
+pub fn append_bulk_string_header(buffer: &mut BytesMut, length: usize) {
+    buffer.extend_from_slice(format!("${length}\r\n").as_bytes());
+}
+
+/// Takes the first frame out of the buffer, or returns `None` if it is not complete yet.
 ///
-/// Guards against: frames nested so deeply that the codec's recursion overflows the stack, and frames
-/// of more than `limit` bytes.
-pub fn next_frame(buffer: &mut BytesMut, limit: usize) -> Result<Option<BytesFrame>, Malformed> {
-    match frame_length(buffer, limit)? {
-        None => Ok(None),
-        Some(_) => Ok(decode_bytes_mut(buffer).map_err(|_| Malformed)?.map(|(frame, _, _)| frame)),
+/// Arrays may not be nested: the codec decodes them recursively, so that deep nesting would overflow the stack.
+///
+/// # Errors
+///
+/// Fails if the buffer does not start with a RESP2 frame, or if the frame has more than `limit` bytes.
+pub fn decode_frame(buffer: &mut BytesMut, limit: usize) -> Result<Option<BytesFrame>, MalformedFrame> {
+    if !is_complete(buffer, limit)? {
+        return Ok(None);
     }
+    let decoded = decode_bytes_mut(buffer).map_err(|_| MalformedFrame)?;
+    Ok(decoded.map(|(frame, _, _)| frame))
 }
 
-/// The length of the first frame, if it is whole: one element, or a flat array of them.
-fn frame_length(buffer: &[u8], limit: usize) -> Result<Option<usize>, Malformed> {
+/// Whether the buffer starts with a complete frame: a single element, or a flat array.
+fn is_complete(buffer: &[u8], limit: usize) -> Result<bool, MalformedFrame> {
     let mut rest = buffer;
-    let (mut elements, mut nested) = (1, true);
-    while elements > 0 {
-        let Some((kind, size)) = element(&mut rest, nested)? else {
-            return if buffer.len() > limit { Err(Malformed) } else { Ok(None) };
+    let mut missing_elements = 1;
+    let mut array_allowed = true;
+    while missing_elements > 0 {
+        let Some(header) = take_header(&mut rest, array_allowed)? else {
+            return if buffer.len() > limit { Err(MalformedFrame) } else { Ok(false) };
         };
-        elements = if kind == b'*' { size } else { elements - 1 };
-        if kind == b'$' {
-            if buffer.len() - rest.len() + size > limit {
-                return Err(Malformed);
-            }
-            if rest.len() < size {
-                return Ok(None);
-            }
-            // The codec doesn't look at how a bulk string ends.
-            if size > 0 && &rest[size - 2..size] != b"\r\n" {
-                return Err(Malformed);
+        match header {
+            Header::Line => missing_elements -= 1,
+            Header::Array { elements } => missing_elements = elements,
+            Header::BulkString { following } => {
+                missing_elements -= 1;
+                let consumed = buffer.len() - rest.len();
+                if consumed + following > limit {
+                    return Err(MalformedFrame);
+                }
+                if rest.len() < following {
+                    return Ok(false);
+                }
+                // The codec does not check how a bulk string ends.
+                if following > 0 && !rest[..following].ends_with(TERMINATOR) {
+                    return Err(MalformedFrame);
+                }
+                rest.advance(following);
             }
-            rest.advance(size);
         }
-        nested = false;
+        array_allowed = false;
     }
-    Ok(Some(buffer.len() - rest.len()))
+    Ok(true)
 }
 
-/// Reads one element's header, or its line. Tells the kind, and the bytes or elements that follow.
-fn element(rest: &mut &[u8], array_allowed: bool) -> Result<Option<(u8, usize)>, Malformed> {
+/// What the first line of an element announces.
+enum Header {
+    /// The line is the whole element: a simple string, an error or an integer.
+    Line,
+    /// So many bytes follow, the terminator included; none after a null string.
+    BulkString { following: usize },
+    /// So many elements follow; none after a null array.
+    Array { elements: usize },
+}
+
+/// Takes the first line of an element off `rest`, or returns `None` if it is not complete yet.
+fn take_header(rest: &mut &[u8], array_allowed: bool) -> Result<Option<Header>, MalformedFrame> {
     let Some(&kind) = rest.first() else { return Ok(None) };
     if !matches!(kind, b'+' | b'-' | b':' | b'$' | b'*') || kind == b'*' && !array_allowed {
-        return Err(Malformed);
+        return Err(MalformedFrame);
     }
-    let Some(end) = rest.windows(2).take(LINE).position(|pair| pair == b"\r\n") else {
-        return if rest.len() > LINE { Err(Malformed) } else { Ok(None) };
+    let Some(end) = rest.windows(TERMINATOR.len()).take(MAX_LINE_BYTES).position(|pair| pair == TERMINATOR)
+    else {
+        return if rest.len() > MAX_LINE_BYTES { Err(MalformedFrame) } else { Ok(None) };
     };
-    let line = std::str::from_utf8(&rest[1..end]).map_err(|_| Malformed)?;
-    let size = match kind {
-        b'$' | b'*' if line == "-1" => 0,
-        b'$' => line.parse::<u32>().map_err(|_| Malformed)? as usize + 2,
-        b'*' => line.parse().ok().filter(|&n| n <= ELEMENTS).ok_or(Malformed)?,
-        _ => 0,
-    };
-    rest.advance(end + 2);
-    Ok(Some((kind, size)))
+    let line = std::str::from_utf8(&rest[1..end]).map_err(|_| MalformedFrame)?;
+    let header = parse_header(kind, line)?;
+    rest.advance(end + TERMINATOR.len());
+    Ok(Some(header))
 }
 
-#[cfg(test)]
-mod tests;
+fn parse_header(kind: u8, line: &str) -> Result<Header, MalformedFrame> {
+    match kind {
+        b'$' if line == "-1" => Ok(Header::BulkString { following: 0 }),
+        b'$' => {
+            let length: u32 = line.parse().map_err(|_| MalformedFrame)?;
+            Ok(Header::BulkString { following: length as usize + TERMINATOR.len() })
+        }
+        b'*' if line == "-1" => Ok(Header::Array { elements: 0 }),
+        b'*' => {
+            let elements: usize = line.parse().map_err(|_| MalformedFrame)?;
+            if elements > MAX_ELEMENTS {
+                return Err(MalformedFrame);
+            }
+            Ok(Header::Array { elements })
+        }
+        _ => Ok(Header::Line),
+    }
+}
