--- a/crates/wirehost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire, on hand-written transcripts.
 
-use stonefold_wirehost::run;
+use stonefold_simulator_adapter::run;
 
 fn answer(input: &str) -> (Result<(), String>, String, String) {
     let (mut output, mut notes) = (Vec::new(), Vec::new());
@@ -14,7 +14,7 @@
 fn configured(instances: &[u32]) -> String {
     let mut text = String::from("{\"ROUND\":{\"AtTime\":5.0,\"n\":1}}\n");
     for i in instances {
-        text += &format!("{{\"CONFIGURE\":{{\"I\":{i},\"Nonce64\":1,\"ResolvedSettings\":{SETUP}}}}}\n");
+        text += &format!("{{\"CONFIGURE\":{{\"I\":{i},\"Nonce64\":1,\"Setup\":{SETUP}}}}}\n");
         text += &format!(
             "{{\"ENDPOINTS\":{{\"I\":{i},\"Scope\":\"cached\",\"Members\":[{{\"Lifecycle\":\"up\",\"Server\":8}}]}}}}\n"
         );
