--- a/crates/membership/examples/membership_simulate.rs
+++ b/crates/membership/examples/membership_simulate.rs
@@ -17,10 +17,10 @@
 use sim::{Fleet, MILLISECOND, Network, SECOND};
 use stonefold_membership::{Micros, State};
 
-/// How long figures of the calm are taken over.
-const CALM: Micros = 60 * SECOND;
+/// How long the figures of an idle fleet are measured.
+const IDLE_MEASUREMENT: Micros = 60 * SECOND;
 /// No size takes longer than this to settle or to detect.
-const PATIENCE: Micros = 600 * SECOND;
+const MAX_WAIT: Micros = 600 * SECOND;
 const LOSSES: [f64; 3] = [0.0, 0.1, 0.3];
 
 fn main() -> ExitCode {
@@ -75,9 +75,9 @@
 fn row(nodes: usize, loss: f64) -> String {
     let network = Network { loss, ..Network::ROUGH };
     let mut fleet = Fleet::started(nodes, network, 1, SECOND);
-    let known = fleet.run_until(PATIENCE, Fleet::agreed).map(|took| took + SECOND);
+    let known = fleet.run_until(MAX_WAIT, Fleet::agreed).map(|took| took + SECOND);
     fleet.run_for(60 * SECOND);
-    let calm = calm(&mut fleet, nodes);
+    let idle = idle(&mut fleet, nodes);
     let (median, most) = detect(&mut fleet, nodes / 2);
     let dead = nodes / 2;
     let live_failed = fleet.declared_failed(0).iter().filter(|(_, _, of)| *of != dead).count();
@@ -89,38 +89,38 @@
         "| {nodes} | {:.0}% | {} | {:.0} | {:.2} | {:.0} | {} / {} | {live_failed} | {} |",
         loss * 100.0,
         seconds(known),
-        calm.bytes,
-        calm.packets,
-        calm.processor_us,
+        idle.bytes,
+        idle.packets,
+        idle.processor_us,
         seconds(median),
         seconds(most),
         seconds(healed)
     )
 }
 
-/// What the calm costs a node and second.
-struct Calm {
+/// The cost of an idle fleet, for each node and second.
+struct IdleCost {
     bytes: f64,
     packets: f64,
     processor_us: f64,
 }
 
-fn calm(fleet: &mut Fleet, nodes: usize) -> Calm {
+fn idle(fleet: &mut Fleet, nodes: usize) -> IdleCost {
     let count = |fleet: &Fleet| -> (u64, u64) {
         fleet.processes.iter().fold((0, 0), |(bytes, packets), p| (bytes + p.bytes, packets + p.packets))
     };
     let (before, start) = (count(fleet), Instant::now());
-    fleet.run_for(CALM);
+    fleet.run_for(IDLE_MEASUREMENT);
     let after = count(fleet);
-    let a_node_and_second = |total: u64| total as f64 / nodes as f64 / (CALM / SECOND) as f64;
-    Calm {
+    let a_node_and_second = |total: u64| total as f64 / nodes as f64 / (IDLE_MEASUREMENT / SECOND) as f64;
+    IdleCost {
         bytes: a_node_and_second(after.0 - before.0),
         packets: a_node_and_second(after.1 - before.1),
         processor_us: a_node_and_second(start.elapsed().as_micros() as u64),
     }
 }
 
-/// Kills a node; after what time half and all of the others hold it failed.
+/// Kills a node; after what time half and all of the others have declared it failed.
 fn detect(fleet: &mut Fleet, dead: usize) -> (Option<Micros>, Option<Micros>) {
     fleet.kill(dead);
     let start = fleet.now;
@@ -130,20 +130,20 @@
             fleet.running().filter(|(node, _)| fleet.state(*node, dead) == Some(State::Failed)).count();
         failed as f64 >= all * part
     };
-    let median = fleet.run_until(PATIENCE, |fleet| failed_at(fleet, 0.5));
-    let most = fleet.run_until(PATIENCE, |fleet| failed_at(fleet, 1.0));
+    let median = fleet.run_until(MAX_WAIT, |fleet| failed_at(fleet, 0.5));
+    let most = fleet.run_until(MAX_WAIT, |fleet| failed_at(fleet, 1.0));
     (median, most.map(|_| fleet.now - start))
 }
 
 /// Two halves are apart for five minutes; after what time from the heal all views agree.
 fn heal(nodes: usize, network: Network) -> Option<Micros> {
     let mut fleet = Fleet::started(nodes, network, 2, SECOND);
-    fleet.run_until(PATIENCE, Fleet::agreed)?;
+    fleet.run_until(MAX_WAIT, Fleet::agreed)?;
     let side = move |node: usize| node < nodes / 2;
     fleet.cut = Box::new(move |from, to| side(from) != side(to));
     fleet.run_for(300 * SECOND);
     fleet.cut = Box::new(|_, _| false);
-    fleet.run_until(PATIENCE, Fleet::agreed)
+    fleet.run_until(MAX_WAIT, Fleet::agreed)
 }
 
 /// An hour at 30% loss and delays to 200 ms: live nodes that were declared failed.
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,130 +1,149 @@
-//! Messages as authenticated datagrams: version, cluster, key name, body, truncated HMAC-SHA256 (RFC 2104).
+//! Messages as authenticated datagrams: version, cluster, key id, body, truncated HMAC-SHA256 (RFC 2104).
 
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
 
-use crate::member::MAX_NAME;
-use crate::message::{Claim, Message};
+use crate::member::{MAX_NAME_LEN, MemberId};
+use crate::message::{Message, Update};
 
 /// The longest datagram, in bytes. It fits in one packet of any usual network.
 pub const MAX_DATAGRAM: usize = 1_200;
+/// The length of a key, in bytes.
+pub const KEY_LEN: usize = 32;
 /// The version that is written and read.
 const VERSION: u8 = 1;
-const CLUSTER: usize = 8;
-const KEY_NAME: usize = 2;
-const MAC: usize = 16;
-const HEADER: usize = 1 + CLUSTER + KEY_NAME;
+/// The length of a cluster's id in a datagram, in bytes.
+const CLUSTER_ID_LEN: usize = 8;
+/// The length of a key's id in a datagram, in bytes.
+const KEY_ID_LEN: usize = 2;
+/// The length of the truncated authentication code, in bytes.
+const MAC_LEN: usize = 16;
+/// Where the cluster's id ends in a datagram, in bytes from its start.
+const CLUSTER_ID_END: usize = 1 + CLUSTER_ID_LEN;
+/// The length of what stands before the body, in bytes.
+const HEADER_LEN: usize = CLUSTER_ID_END + KEY_ID_LEN;
 
-/// Why a datagram is refused. Nothing of it is applied.
+/// Why a datagram is rejected. Nothing of it is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// Shorter than any message, or cut off.
+    /// It is shorter than any message, or truncated.
     #[error("too short or cut off")]
-    Short,
-    /// Over [`MAX_DATAGRAM`].
+    TooShort,
+    /// It is longer than [`MAX_DATAGRAM`].
     #[error("over {MAX_DATAGRAM} bytes")]
-    Long,
-    /// Written by a program that speaks another version.
+    TooLong,
+    /// Its sender speaks another version of the protocol.
     #[error("of another version")]
-    Version,
-    /// Of another cluster.
+    UnknownVersion,
+    /// It belongs to another cluster.
     #[error("of another cluster")]
-    Cluster,
-    /// Under a key that is not in force here.
+    WrongCluster,
+    /// Its key is not accepted here.
     #[error("under an unknown key")]
-    Key,
+    UnknownKey,
     /// Its authentication code is wrong.
     #[error("not authentic")]
-    Mac,
-    /// Authentic, but not a message.
+    BadMac,
+    /// It is authentic, but does not decode to a message.
     #[error("not a message")]
     Malformed,
-    /// A name is too long or does not belong to its id.
+    /// A name is too long, or does not hash to its member's id.
     #[error("a name that is too long or of another member")]
-    Name,
+    BadName,
+}
+
+/// A key and the id by which datagrams name it.
+#[derive(Clone)]
+struct Key {
+    id: [u8; KEY_ID_LEN],
+    secret: [u8; KEY_LEN],
+}
+
+impl Key {
+    fn new(secret: &[u8; KEY_LEN]) -> Key {
+        Key { id: labelled_hash(b"stonefold membership key", secret), secret: *secret }
+    }
+
+    fn mac(&self, bytes: &[u8]) -> Hmac<Sha256> {
+        let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).expect("HMAC takes keys of any length");
+        mac.update(bytes);
+        mac
+    }
 }
 
 /// Encodes and decodes the datagrams of one cluster.
 #[derive(Clone)]
 pub struct Codec {
-    cluster: [u8; CLUSTER],
-    /// The first is used, all are accepted.
-    keys: Vec<([u8; KEY_NAME], Vec<u8>)>,
+    cluster_id: [u8; CLUSTER_ID_LEN],
+    /// The first signs, all are accepted.
+    keys: Vec<Key>,
 }
 
 impl Codec {
-    /// A codec for a cluster. The first key is used, the others are accepted while the key is changed.
+    /// A codec for a cluster. The first key signs; the others are accepted too, for key rotation.
     ///
     /// # Panics
     /// Without a key.
-    pub fn new(cluster: &str, keys: &[[u8; 32]]) -> Codec {
+    pub fn new(cluster: &str, keys: &[[u8; KEY_LEN]]) -> Codec {
         assert!(!keys.is_empty(), "at least one key");
-        let hash =
-            |label: &[u8], bytes: &[u8]| Sha256::new().chain_update(label).chain_update(bytes).finalize();
-        let mut name = [0; CLUSTER];
-        name.copy_from_slice(&hash(b"stonefold cluster", cluster.as_bytes())[..CLUSTER]);
-        let named = |key: &[u8; 32]| {
-            let mut name = [0; KEY_NAME];
-            name.copy_from_slice(&hash(b"stonefold membership key", key)[..KEY_NAME]);
-            (name, key.to_vec())
-        };
-        Codec { cluster: name, keys: keys.iter().map(named).collect() }
+        let cluster_id = labelled_hash(b"stonefold cluster", cluster.as_bytes());
+        Codec { cluster_id, keys: keys.iter().map(Key::new).collect() }
     }
 
-    /// A message as a datagram; nothing if it is too long.
+    /// A message as a datagram; `None` if it is longer than [`MAX_DATAGRAM`].
     pub fn encode(&self, message: &Message) -> Option<Vec<u8>> {
-        let (name, key) = &self.keys[0];
-        let mut bytes = vec![VERSION];
-        bytes.extend_from_slice(&self.cluster);
-        bytes.extend_from_slice(name);
-        let mut bytes = postcard::to_extend(message, bytes).ok()?;
-        let mac = mac(key, &bytes);
-        bytes.extend_from_slice(&mac.finalize().into_bytes()[..MAC]);
+        let key = &self.keys[0];
+        let mut header = vec![VERSION];
+        header.extend_from_slice(&self.cluster_id);
+        header.extend_from_slice(&key.id);
+        let mut bytes = postcard::to_extend(message, header).ok()?;
+        let mac = key.mac(&bytes);
+        bytes.extend_from_slice(&mac.finalize().into_bytes()[..MAC_LEN]);
         (bytes.len() <= MAX_DATAGRAM).then_some(bytes)
     }
 
-    /// A message from a datagram, all of it.
+    /// The message of a datagram.
     ///
     /// # Errors
-    /// Why it is refused.
+    /// If the datagram is malformed, not authentic, or not of this cluster and version.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, CodecError> {
         if bytes.len() > MAX_DATAGRAM {
-            return Err(CodecError::Long);
+            return Err(CodecError::TooLong);
         }
-        let (&version, _) = bytes.split_first().ok_or(CodecError::Short)?;
+        let &version = bytes.first().ok_or(CodecError::TooShort)?;
         if version != VERSION {
-            return Err(CodecError::Version);
+            return Err(CodecError::UnknownVersion);
         }
-        if bytes.len() < HEADER + MAC {
-            return Err(CodecError::Short);
+        if bytes.len() < HEADER_LEN + MAC_LEN {
+            return Err(CodecError::TooShort);
         }
-        let (signed, code) = bytes.split_at(bytes.len() - MAC);
-        if signed[1..1 + CLUSTER] != self.cluster {
-            return Err(CodecError::Cluster);
+        let (signed, mac) = bytes.split_at(bytes.len() - MAC_LEN);
+        if signed[1..CLUSTER_ID_END] != self.cluster_id {
+            return Err(CodecError::WrongCluster);
         }
-        let name = &signed[1 + CLUSTER..HEADER];
-        let (_, key) = self.keys.iter().find(|(known, _)| known == name).ok_or(CodecError::Key)?;
-        mac(key, signed).verify_truncated_left(code).map_err(|_| CodecError::Mac)?;
-        match postcard::take_from_bytes::<Message>(&signed[HEADER..]) {
-            Ok((message, [])) if message.updates.iter().all(named_right) => Ok(message),
-            Ok((_, [])) => Err(CodecError::Name),
+        let key_id = &signed[CLUSTER_ID_END..HEADER_LEN];
+        let key = self.keys.iter().find(|key| key.id == key_id).ok_or(CodecError::UnknownKey)?;
+        key.mac(signed).verify_truncated_left(mac).map_err(|_| CodecError::BadMac)?;
+        match postcard::take_from_bytes::<Message>(&signed[HEADER_LEN..]) {
+            Ok((message, [])) if message.updates.iter().all(has_valid_name) => Ok(message),
+            Ok((_, [])) => Err(CodecError::BadName),
             _ => Err(CodecError::Malformed),
         }
     }
 }
 
-fn mac(key: &[u8], bytes: &[u8]) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("a key of any length");
-    mac.update(bytes);
-    mac
+/// The first bytes of a SHA-256 over a label and a value.
+fn labelled_hash<const LEN: usize>(label: &[u8], value: &[u8]) -> [u8; LEN] {
+    let hash = Sha256::new().chain_update(label).chain_update(value).finalize();
+    let mut first = [0; LEN];
+    first.copy_from_slice(&hash[..LEN]);
+    first
 }
 
-/// Whether an update's profile is of the member that it names.
-fn named_right(update: &crate::message::Update) -> bool {
-    match &update.claim {
-        Claim::Alive(profile) | Claim::Left(profile) | Claim::Failed { profile, .. } => {
-            profile.name.len() <= MAX_NAME && crate::MemberId::of(&profile.name) == update.id
-        }
-        Claim::Suspect { .. } => true,
-    }
+/// Whether an update's profile, if it has one, is that of the member which it names.
+fn has_valid_name(update: &Update) -> bool {
+    update
+        .claim
+        .profile()
+        .is_none_or(|profile| profile.name.len() <= MAX_NAME_LEN && MemberId::of(&profile.name) == update.id)
 }
--- /dev/null
+++ b/crates/membership/src/detector/updates.rs
@@ -0,0 +1,173 @@
+//! Updates about other members, and what follows from them.
+//!
+//! A claim about an older incarnation never wins. What a member states about itself (alive, left) is accepted from
+//! anybody who forwards it; that it failed is not, see [`suspecting`](super::suspecting).
+
+use super::suspecting::Accusation;
+use super::{Detector, Event, Output};
+use crate::Micros;
+use crate::member::{Member, MemberId, Profile, Reachability, State};
+use crate::message::{Claim, Message, Update};
+use crate::table::FailureNotice;
+
+/// Microseconds in a millisecond.
+const MILLISECOND: Micros = 1_000;
+
+impl Detector {
+    /// Applies what a message's header states: its sender is alive, in this incarnation.
+    pub(super) fn apply_sender_incarnation(&mut self, message: &Message, now: Micros, out: &mut Vec<Output>) {
+        let Some(member) = self.member(message.from) else { return };
+        if member.profile.instance != message.instance || message.incarnation <= member.incarnation {
+            return;
+        }
+        // The message was sent before the leave, or carries it as an update.
+        if member.state == State::Left {
+            return;
+        }
+        let claim = Claim::Alive(member.profile.clone());
+        let update = Update { id: message.from, incarnation: message.incarnation, claim };
+        self.apply_update(update, true, now, out);
+    }
+
+    /// Applies an update, and queues it for gossip if it is new and `disseminate` is set.
+    pub(super) fn apply_update(
+        &mut self,
+        update: Update,
+        disseminate: bool,
+        now: Micros,
+        out: &mut Vec<Output>,
+    ) {
+        if update.incarnation > self.latest_plausible_incarnation(now) {
+            self.counters.far_future += 1;
+            return;
+        }
+        if update.id == self.id {
+            return self.apply_update_about_self(update, now, out);
+        }
+        let Some(known) = self.member(update.id).map(|member| member.incarnation) else {
+            return self.add_member(update, disseminate, now, out);
+        };
+        if update.incarnation < known {
+            self.counters.stale += 1;
+            return;
+        }
+        let newer = update.incarnation > known;
+        if self.apply_claim(&update, newer, disseminate, now, out) && disseminate {
+            self.gossip.push(update);
+        }
+    }
+
+    /// Applies a claim about a known member; returns whether it was new.
+    fn apply_claim(
+        &mut self,
+        update: &Update,
+        newer: bool,
+        disseminate: bool,
+        now: Micros,
+        out: &mut Vec<Output>,
+    ) -> bool {
+        let &Update { id, incarnation, ref claim } = update;
+        match claim {
+            Claim::Alive(_) if !newer => false,
+            Claim::Alive(profile) => {
+                self.apply_alive(id, profile.clone(), incarnation, now, out);
+                true
+            }
+            Claim::Left(profile) => {
+                let has_left = self.member(id).is_some_and(|member| member.state == State::Left);
+                if has_left && !newer {
+                    return false;
+                }
+                self.apply_left(id, profile.clone(), incarnation, now, out);
+                true
+            }
+            Claim::Suspect { by } | Claim::Failed { by, .. } => {
+                let failed = matches!(claim, Claim::Failed { .. });
+                let accusation = Accusation { by: *by, failed, disseminate };
+                self.apply_accusation(id, incarnation, accusation, now, out)
+            }
+        }
+    }
+
+    /// The highest incarnation that is accepted: incarnations start at the Unix time of a process's start, in
+    /// milliseconds.
+    fn latest_plausible_incarnation(&self, now: Micros) -> u64 {
+        let uptime = now.saturating_sub(self.started.at);
+        self.started.unix_ms + uptime / MILLISECOND + self.settings.max_incarnation_lead_ms
+    }
+
+    /// Adds a member that was not known.
+    fn add_member(&mut self, update: Update, disseminate: bool, now: Micros, out: &mut Vec<Output>) {
+        let (profile, state) = match &update.claim {
+            Claim::Alive(profile) => (profile.clone(), State::Alive),
+            Claim::Failed { profile, .. } => (profile.clone(), State::Failed),
+            Claim::Left(profile) => (profile.clone(), State::Left),
+            Claim::Suspect { .. } => return, // has no profile; anti-entropy will bring it
+        };
+        if self.table.len() >= self.settings.max_members {
+            self.counters.members_full += 1;
+            return;
+        }
+        let name = profile.name.clone();
+        let reachability = Reachability::Unknown;
+        let member = Member { profile, incarnation: update.incarnation, state, since: now, reachability };
+        self.table.set(update.id, member);
+        if state == State::Alive {
+            let index = self.rng.usize(..=self.probe_order.len());
+            self.probe_order.insert(index, update.id);
+            out.push(Output::Event(Event::Joined { name }));
+            if disseminate {
+                self.gossip.push(update);
+            }
+        }
+    }
+
+    fn apply_alive(
+        &mut self,
+        id: MemberId,
+        profile: Profile,
+        incarnation: u64,
+        now: Micros,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(old) = self.member(id).cloned() else { return };
+        let name = profile.name.clone();
+        let restarted = old.profile.instance != profile.instance;
+        let reachability = if restarted { Reachability::Unknown } else { old.reachability };
+        let since = if old.state == State::Alive && !restarted { old.since } else { now };
+        self.end_suspicion(id);
+        self.table.set(id, Member { profile, incarnation, state: State::Alive, since, reachability });
+        if let Some(entry) = self.table.get_mut(id) {
+            let returned = old.state == State::Failed && !restarted;
+            entry.failure_notice = returned.then_some(FailureNotice {
+                incarnation: old.incarnation,
+                remaining: self.settings.transmissions,
+            });
+        }
+        let event = match old.state {
+            _ if restarted && old.state != State::Left => Event::Restarted { name },
+            State::Failed | State::Left => Event::Returned { name },
+            State::Suspect => Event::Refuted { name },
+            State::Alive => return,
+        };
+        if !old.is_live() {
+            self.probe_order.push_front(id);
+        }
+        out.push(Output::Event(event));
+    }
+
+    fn apply_left(
+        &mut self,
+        id: MemberId,
+        profile: Profile,
+        incarnation: u64,
+        now: Micros,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(reachability) = self.member(id).map(|member| member.reachability) else { return };
+        let name = profile.name.clone();
+        self.end_suspicion(id);
+        self.table.set(id, Member { profile, incarnation, state: State::Left, since: now, reachability });
+        out.push(Output::Event(Event::Left { name }));
+    }
+}
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,59 +1,68 @@
-//! Updates that wait to be sent: each a bounded number of times, the least sent first.
+//! The dissemination queue: updates that wait to be gossiped, each a bounded number of times, the least sent first.
 
 use std::collections::HashMap;
 
 use crate::member::MemberId;
 use crate::message::{Claim, Update};
 
-/// Sorts a member's updates: a newer one of the same kind replaces the older, and suspicions of several members
-/// go on beside each other.
-type Subject = (MemberId, Option<MemberId>);
+/// What a queued update is about. A newer update with the same subject replaces the older one; suspicions by several
+/// members are separate subjects.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Subject {
+    member: MemberId,
+    suspected_by: Option<MemberId>,
+}
 
 #[derive(Debug)]
 struct Queued {
     update: Update,
     sent: u32,
-    /// Later ones first among those sent equally often.
-    order: u64,
+    /// The position in the order of arrival.
+    arrival: u64,
 }
 
-/// Updates that wait to be sent.
+/// Updates that wait to be gossiped.
 #[derive(Debug, Default)]
-pub struct Gossip {
+pub(crate) struct Gossip {
     queue: HashMap<Subject, Queued>,
-    order: u64,
+    arrivals: u64,
 }
 
 impl Gossip {
-    /// Queues an update in place of what it outdates.
-    pub fn push(&mut self, update: Update) {
-        let suspect_by = match update.claim {
+    /// Queues an update in place of those that it makes obsolete.
+    pub(crate) fn push(&mut self, update: Update) {
+        let suspected_by = match update.claim {
             Claim::Suspect { by } => Some(by),
             _ => None,
         };
-        if suspect_by.is_none() {
-            self.queue.retain(|(id, _), _| *id != update.id);
+        if suspected_by.is_none() {
+            self.queue.retain(|subject, _| subject.member != update.id);
         }
-        self.order += 1;
-        self.queue.insert((update.id, suspect_by), Queued { update, sent: 0, order: self.order });
+        self.arrivals += 1;
+        let subject = Subject { member: update.id, suspected_by };
+        self.queue.insert(subject, Queued { update, sent: 0, arrival: self.arrivals });
     }
 
-    /// Whether there is anything to send.
-    pub fn is_empty(&self) -> bool {
+    /// Whether there is nothing to send.
+    pub(crate) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Up to so many updates, for one message; each is dropped after so many.
-    pub fn take(&mut self, most: usize, transmissions: u32) -> Vec<Update> {
-        let mut least: Vec<(u32, u64, Subject)> =
-            self.queue.iter().map(|(subject, q)| (q.sent, u64::MAX - q.order, *subject)).collect();
-        if least.len() > most {
-            least.select_nth_unstable(most);
-            least.truncate(most);
+    /// Takes at most `max` updates for one message: those sent least often, the latest first among equals. Each is
+    /// dropped after so many transmissions.
+    pub(crate) fn take(&mut self, max: usize, transmissions: u32) -> Vec<Update> {
+        let mut candidates: Vec<(u32, u64, Subject)> = self
+            .queue
+            .iter()
+            .map(|(subject, queued)| (queued.sent, u64::MAX - queued.arrival, *subject))
+            .collect();
+        if candidates.len() > max {
+            candidates.select_nth_unstable(max);
+            candidates.truncate(max);
         }
-        least.sort_unstable();
-        let mut taken = Vec::with_capacity(least.len());
-        for (_, _, subject) in least {
+        candidates.sort_unstable();
+        let mut taken = Vec::with_capacity(candidates.len());
+        for (_, _, subject) in candidates {
             let Some(queued) = self.queue.get_mut(&subject) else { continue };
             taken.push(queued.update.clone());
             queued.sent += 1;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,14 @@
-//! Which nodes are alive, failed, left, or unreachable from here: failure detection and membership for a fleet of
-//! nodes that share nothing but the network.
+//! Cluster membership and failure detection: which nodes are alive, failed, left, or unreachable from here.
 //!
 //! The protocol is SWIM (Das, Gupta, Motivala 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey
-//! 2017): random probes with indirect ones through others, suspicion that shortens with independent confirmations,
-//! refutation by incarnation, a local health score. Beside them, a digest in each message finds views that differ,
-//! and only a node's own timer, followed by its own last probe, declares a member failed. `docs/design/membership.md`
-//! says why.
+//! 2017): random probes with indirect ones through other members, suspicion timeouts that shorten with independent
+//! confirmations, refutation by incarnation, a local health score. Beyond them, a digest in each message finds views
+//! that differ, and only a node's own timer, followed by its own confirming probe, declares a member failed.
+//! `docs/design/membership.md` gives the reasons.
 //!
-//! [`Detector`] is the whole of it: messages, timers and the time go in, messages and typed events come out. It does
+//! [`Detector`] is the state machine: messages, timers and the time go in, messages and typed events come out. It does
 //! no I/O and reads no clock; the time is microseconds of one monotonic clock. The same code is driven by sockets
 //! and by a simulation in virtual time. [`Codec`] turns messages into authenticated datagrams.
-#![allow(unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
 
 mod codec;
 mod detector;
@@ -23,9 +21,9 @@
 mod suspicion;
 mod table;
 
-pub use codec::{Codec, CodecError, MAX_DATAGRAM};
+pub use codec::{Codec, CodecError, KEY_LEN, MAX_DATAGRAM};
 pub use detector::{Counters, Detector, Event, Output};
-pub use member::{Member, MemberId, Profile, Reach, State};
+pub use member::{Member, MemberId, Profile, Reachability, State};
 pub use message::{Body, Claim, Message, Update};
 pub use settings::Settings;
 
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,5 @@
-//! What nodes say to each other.
+//! The messages between nodes. Their encoding depends on the order of
+//! fields and variants, which must not change.
 
 use std::net::SocketAddr;
 
@@ -15,13 +16,13 @@
     pub instance: u64,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// Counts the sender's messages, so that a repeated one is found.
+    /// Counts the sender's messages, so that replays are detected.
     pub sequence: u64,
-    /// A hash of the sender's view, to find views that differ.
+    /// A hash of the sender's view, by which views that differ are found.
     pub digest: u32,
-    /// What it is for.
+    /// What the message is for.
     pub body: Body,
-    /// News of members, its own among them.
+    /// Updates about members, the sender among them.
     pub updates: Vec<Update>,
 }
 
@@ -38,11 +39,11 @@
         /// The ping's number.
         probe: u32,
     },
-    /// Asks to ping a member and to pass its answer on.
+    /// Asks the receiver to ping a member and to forward its answer: an indirect probe.
     PingRequest {
         /// The probe's number at its sender.
         probe: u32,
-        /// The member.
+        /// The member to ping.
         target: MemberId,
         /// Its address, as the sender knows it.
         address: SocketAddr,
@@ -56,45 +57,55 @@
     Gossip,
     /// The sender starts, and asks for members.
     Join,
-    /// Carries members as the sender knows them. They are taken in and not passed on.
-    Records,
-    /// Hashes of parts of the sender's view. Those that differ are answered with records.
-    Compare {
-        /// One hash for each part, by the first bits of members' ids.
-        parts: Vec<u32>,
-        /// Whether the receiver should compare in turn.
-        turn: bool,
+    /// Carries members as the sender knows them. They are applied and not disseminated further.
+    SyncRecords,
+    /// Digests of the sender's view. Buckets that differ are answered with [`SyncRecords`](Body::SyncRecords).
+    SyncDigests {
+        /// One digest for each bucket of member ids.
+        buckets: Vec<u32>,
+        /// Whether the receiver should answer with its own digests.
+        reply: bool,
     },
 }
 
-/// News of one member.
+/// An update about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The member.
     pub id: MemberId,
-    /// The incarnation that this is said of.
+    /// The incarnation that the claim is about.
     pub incarnation: u64,
-    /// What is said.
+    /// What is claimed.
     pub claim: Claim,
 }
 
-/// What is said of a member.
+/// What an update claims about its member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
-    /// It lives, by its own word.
+    /// It is alive, as stated by itself.
     Alive(Profile),
-    /// It did not answer a probe of this member.
+    /// It did not answer a probe.
     Suspect {
-        /// Who suspects it.
+        /// The member that suspects it.
         by: MemberId,
     },
-    /// This member has declared it failed.
+    /// It was declared failed.
     Failed {
-        /// Who declared it.
+        /// The member that declared it.
         by: MemberId,
-        /// For those who don't know it.
+        /// For nodes that don't know it.
         profile: Profile,
     },
-    /// It has left, by its own word.
+    /// It has left, as stated by itself.
     Left(Profile),
 }
+
+impl Claim {
+    /// The profile of the member, where the claim carries it.
+    pub(crate) fn profile(&self) -> Option<&Profile> {
+        match self {
+            Claim::Alive(profile) | Claim::Left(profile) | Claim::Failed { profile, .. } => Some(profile),
+            Claim::Suspect { .. } => None,
+        }
+    }
+}
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,4 +1,4 @@
-//! One probe of a member: pings that are repeated, and others who are asked to ping it.
+//! One probe of a member: repeated pings, and indirect probes through other members.
 
 use crate::Micros;
 use crate::member::MemberId;
@@ -6,62 +6,62 @@
 
 /// Why a member is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
-    /// Its turn has come.
-    Routine,
-    /// Its suspicion is over: the last chance before it is declared failed.
-    Last,
-    /// It is failed, and might be back.
-    Return,
+pub(crate) enum Purpose {
+    /// The probe of a protocol period.
+    Periodic,
+    /// A suspicion has expired: the last chance to answer before the member is declared failed.
+    Confirming,
+    /// The member is failed, and might be back.
+    Recovery,
 }
 
-/// A probe that is under way.
+/// A probe in progress.
 #[derive(Clone, Debug)]
-pub struct Probe {
-    /// Whom.
-    pub target: MemberId,
-    /// Why.
-    pub purpose: Purpose,
-    /// When it began.
-    pub began: Micros,
-    /// Whether the target has answered somebody who was asked.
-    pub through_others: bool,
+pub(crate) struct Probe {
+    /// The member that is probed.
+    pub(crate) target: MemberId,
+    pub(crate) purpose: Purpose,
+    /// When the probe began.
+    pub(crate) started: Micros,
+    /// Whether the target has answered an indirect probe.
+    pub(crate) indirectly_acked: bool,
     sent: u32,
     pings: u32,
-    /// When the next ping goes out, or the probe ends.
-    pub next_at: Micros,
+    /// When the next ping is due, or the probe ends.
+    pub(crate) next_step: Micros,
 }
 
-/// What is to be done next.
+/// What a probe does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Ping the target; ask others to do so too, if so told.
+pub(crate) enum Step {
+    /// Ping the target.
     Ping {
-        /// Whether others are asked.
-        ask_others: bool,
+        /// Whether to ask other members for an indirect probe too.
+        indirect: bool,
     },
-    /// The target has not answered this node.
-    Over,
+    /// The target has not answered this node in time.
+    TimedOut,
 }
 
 impl Probe {
     /// A probe whose first ping is due now.
-    pub fn new(target: MemberId, purpose: Purpose, now: Micros, settings: &Settings) -> Probe {
+    pub(crate) fn new(target: MemberId, purpose: Purpose, now: Micros, settings: &Settings) -> Probe {
         let pings = match purpose {
-            Purpose::Routine => settings.pings,
-            Purpose::Last => settings.last_pings,
-            Purpose::Return => 1,
+            Purpose::Periodic => settings.pings,
+            Purpose::Confirming => settings.confirming_pings,
+            Purpose::Recovery => 1,
         };
-        Probe { target, purpose, began: now, through_others: false, sent: 0, pings, next_at: now }
+        Probe { target, purpose, started: now, indirectly_acked: false, sent: 0, pings, next_step: now }
     }
 
-    /// The next step, when its time has come. The timeout is that of one ping.
-    pub fn step(&mut self, now: Micros, timeout: Micros) -> Step {
+    /// The next step, once it is due. `ping_timeout` is the time until the one after it.
+    pub(crate) fn step(&mut self, now: Micros, ping_timeout: Micros) -> Step {
         if self.sent >= self.pings {
-            return Step::Over;
+            return Step::TimedOut;
         }
         self.sent += 1;
-        self.next_at = now + timeout;
-        Step::Ping { ask_others: self.sent > 1 && self.purpose != Purpose::Return && !self.through_others }
+        self.next_step = now + ping_timeout;
+        let first = self.sent == 1;
+        Step::Ping { indirect: !first && self.purpose != Purpose::Recovery && !self.indirectly_acked }
     }
 }
--- a/crates/membership/src/replay.rs
+++ b/crates/membership/src/replay.rs
@@ -1,11 +1,11 @@
-//! Finds messages that were received before: a sliding window over a sender's sequence numbers (as RFC 4303 has it).
+//! Replay detection: a sliding window over a sender's sequence numbers, as in RFC 4303.
 
-/// Numbers behind the highest that are told apart.
-const WINDOW: u64 = 64;
+/// How many sequence numbers behind the highest are tracked.
+const WINDOW: u64 = u64::BITS as u64;
 
-/// What was received of one process.
+/// The sequence numbers received from one process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReplayWindow {
+pub(crate) struct ReplayWindow {
     instance: u64,
     highest: u64,
     /// Bit n: whether `highest - n` was received.
@@ -13,8 +13,8 @@
 }
 
 impl ReplayWindow {
-    /// Whether a message is new; it counts as received from then on. A new process begins anew.
-    pub fn accept(&mut self, instance: u64, sequence: u64) -> bool {
+    /// Whether a message is new; it counts as received from then on. A new process resets the window.
+    pub(crate) fn accept(&mut self, instance: u64, sequence: u64) -> bool {
         if self.instance != instance {
             *self = ReplayWindow { instance, highest: sequence, received: 1 };
             return true;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -2,58 +2,107 @@
 
 use crate::Micros;
 
+/// Microseconds in a millisecond.
 const MILLISECOND: Micros = 1_000;
+/// Microseconds in a second.
 const SECOND: Micros = 1_000 * MILLISECOND;
+/// Microseconds in an hour.
+const HOUR: Micros = 3_600 * SECOND;
+/// Milliseconds in an hour.
+const HOUR_MS: u64 = 3_600_000;
 
-/// Intervals and bounds of the protocol. All nodes of a fleet should have the same.
+/// Default of [`Settings::probe_interval`].
+const PROBE_INTERVAL: Micros = 2 * SECOND;
+/// Default of [`Settings::ping_timeout`].
+const PING_TIMEOUT: Micros = 500 * MILLISECOND;
+/// Default of [`Settings::pings`].
+const PINGS: u32 = 6;
+/// Default of [`Settings::indirect_probes`].
+const INDIRECT_PROBES: usize = 3;
+/// Default of [`Settings::confirming_pings`].
+const CONFIRMING_PINGS: u32 = 10;
+/// Default of [`Settings::max_confirming_probes`].
+const MAX_CONFIRMING_PROBES: usize = 8;
+/// Default of [`Settings::gossip_interval`].
+const GOSSIP_INTERVAL: Micros = 500 * MILLISECOND;
+/// Default of [`Settings::gossip_fanout`], in members.
+const GOSSIP_FANOUT: usize = 2;
+/// Default of [`Settings::transmissions`].
+const TRANSMISSIONS: u32 = 8;
+/// Default of [`Settings::updates_per_message`].
+const UPDATES_PER_MESSAGE: usize = 12;
+/// Default of [`Settings::min_suspicion`].
+const MIN_SUSPICION: Micros = 8 * SECOND;
+/// Default of [`Settings::max_suspicion_multiplier`].
+const MAX_SUSPICION_MULTIPLIER: u64 = 2;
+/// Default of [`Settings::confirmations`].
+const CONFIRMATIONS: usize = 3;
+/// Default of [`Settings::pause_threshold`].
+const PAUSE_THRESHOLD: Micros = 300 * MILLISECOND;
+/// Default of [`Settings::recovery_probe_interval`].
+const RECOVERY_PROBE_INTERVAL: Micros = 5 * SECOND;
+/// Default of [`Settings::sync_interval`].
+const SYNC_INTERVAL: Micros = 5 * SECOND;
+/// Default of [`Settings::reap_after`].
+const REAP_AFTER: Micros = 24 * HOUR;
+/// Default of [`Settings::reachability_interval`].
+const REACHABILITY_INTERVAL: Micros = 60 * SECOND;
+/// Default of [`Settings::startup_grace`].
+const STARTUP_GRACE: Micros = 30 * SECOND;
+/// Default of [`Settings::max_incarnation_lead_ms`], in milliseconds.
+const MAX_INCARNATION_LEAD_MS: u64 = HOUR_MS;
+/// Default of [`Settings::max_members`].
+const MAX_MEMBERS: usize = 4_096;
+
+/// Intervals and bounds of the protocol. All nodes of a fleet should have the same. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Each node probes one member this often.
+    /// Each node probes one member this often: SWIM's protocol period.
     pub probe_interval: Micros,
     /// An unanswered ping of a probe is repeated after this time, times the local health multiplier.
     pub ping_timeout: Micros,
-    /// Pings of one probe.
+    /// Pings of a periodic probe.
     pub pings: u32,
-    /// Members that are asked to ping a target in turn, from the second ping on.
-    pub helpers: usize,
-    /// Pings of the last probe, before a member is declared failed.
-    pub last_pings: u32,
-    /// Last probes that run at once; others wait their turn.
-    pub last_probes: usize,
+    /// Members that are asked for an indirect probe with each ping from the second on: SWIM's k.
+    pub indirect_probes: usize,
+    /// Pings of the confirming probe, before a member is declared failed.
+    pub confirming_pings: u32,
+    /// Confirming probes that run at once; other expired suspicions wait.
+    pub max_confirming_probes: usize,
     /// Queued updates are sent this often.
     pub gossip_interval: Micros,
     /// Members that queued updates are sent to each time.
     pub gossip_fanout: usize,
     /// How often one node sends one update.
     pub transmissions: u32,
-    /// Updates in one message at most.
+    /// Updates in one gossip message at most.
     pub updates_per_message: usize,
-    /// Suspicion lasts at least this time, times the decimal logarithm of the number of members (at least 1).
-    pub suspicion: Micros,
-    /// Unconfirmed suspicion lasts this many times longer.
-    pub unconfirmed_factor: u64,
-    /// Independent confirmations that shorten suspicion to its least.
+    /// The shortest suspicion timeout, times the decimal logarithm of the number of members (at least 1).
+    pub min_suspicion: Micros,
+    /// The timeout of an unconfirmed suspicion is this many times the shortest.
+    pub max_suspicion_multiplier: u64,
+    /// Independent confirmations that shorten a suspicion timeout to its minimum.
     pub confirmations: usize,
-    /// A timer that is later than this shows that the process was paused.
-    pub pause: Micros,
-    /// A failed member is probed this often, to find out that it is back.
-    pub failed_probe_interval: Micros,
-    /// Views that differ are compared at most this often.
+    /// A timer that fires later than this shows that the process was paused.
+    pub pause_threshold: Micros,
+    /// Mean interval of the probes that look for failed members which are back.
+    pub recovery_probe_interval: Micros,
+    /// Views that differ are synchronised at most this often.
     pub sync_interval: Micros,
-    /// Failed and left members are forgotten after this time.
-    pub forget_after: Micros,
+    /// Failed and left members are removed after this time.
+    pub reap_after: Micros,
     /// A change of a member's reachability is reported at most this often.
-    pub reach_interval: Micros,
-    /// A process younger than this takes news of another process under its name for its predecessor's.
-    pub settle: Micros,
-    /// Incarnations that lie further in the future are refused. Covers clocks that differ between nodes.
-    pub incarnation_ahead_ms: u64,
-    /// Members at most; others are refused.
+    pub reachability_interval: Micros,
+    /// A process younger than this attributes updates about another process of its name to its predecessor.
+    pub startup_grace: Micros,
+    /// Incarnations further in the future are rejected, in milliseconds. Covers clocks that differ between nodes.
+    pub max_incarnation_lead_ms: u64,
+    /// Members at most; others are rejected.
     pub max_members: usize,
 }
 
 impl Settings {
-    /// The defaults, with all that goes by the probe interval scaled to another one.
+    /// The defaults, with every duration that depends on the probe interval scaled to this one.
     pub fn with_probe_interval(probe_interval: Micros) -> Settings {
         let default = Settings::default();
         let scaled = |time: Micros| (time * probe_interval / default.probe_interval).max(MILLISECOND);
@@ -61,10 +110,10 @@
             probe_interval,
             ping_timeout: scaled(default.ping_timeout),
             gossip_interval: scaled(default.gossip_interval),
-            suspicion: scaled(default.suspicion),
-            failed_probe_interval: scaled(default.failed_probe_interval),
+            min_suspicion: scaled(default.min_suspicion),
+            recovery_probe_interval: scaled(default.recovery_probe_interval),
             sync_interval: scaled(default.sync_interval),
-            reach_interval: scaled(default.reach_interval),
+            reachability_interval: scaled(default.reachability_interval),
             ..default
         }
     }
@@ -73,27 +122,27 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            probe_interval: 2 * SECOND,
-            ping_timeout: 500 * MILLISECOND,
-            pings: 6,
-            helpers: 3,
-            last_pings: 10,
-            last_probes: 8,
-            gossip_interval: 500 * MILLISECOND,
-            gossip_fanout: 2,
-            transmissions: 8,
-            updates_per_message: 12,
-            suspicion: 8 * SECOND,
-            unconfirmed_factor: 2,
-            confirmations: 3,
-            pause: 300 * MILLISECOND,
-            failed_probe_interval: 5 * SECOND,
-            sync_interval: 5 * SECOND,
-            forget_after: 24 * 3_600 * SECOND,
-            reach_interval: 60 * SECOND,
-            settle: 30 * SECOND,
-            incarnation_ahead_ms: 3_600_000,
-            max_members: 4_096,
+            probe_interval: PROBE_INTERVAL,
+            ping_timeout: PING_TIMEOUT,
+            pings: PINGS,
+            indirect_probes: INDIRECT_PROBES,
+            confirming_pings: CONFIRMING_PINGS,
+            max_confirming_probes: MAX_CONFIRMING_PROBES,
+            gossip_interval: GOSSIP_INTERVAL,
+            gossip_fanout: GOSSIP_FANOUT,
+            transmissions: TRANSMISSIONS,
+            updates_per_message: UPDATES_PER_MESSAGE,
+            min_suspicion: MIN_SUSPICION,
+            max_suspicion_multiplier: MAX_SUSPICION_MULTIPLIER,
+            confirmations: CONFIRMATIONS,
+            pause_threshold: PAUSE_THRESHOLD,
+            recovery_probe_interval: RECOVERY_PROBE_INTERVAL,
+            sync_interval: SYNC_INTERVAL,
+            reap_after: REAP_AFTER,
+            reachability_interval: REACHABILITY_INTERVAL,
+            startup_grace: STARTUP_GRACE,
+            max_incarnation_lead_ms: MAX_INCARNATION_LEAD_MS,
+            max_members: MAX_MEMBERS,
         }
     }
 }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -6,23 +6,23 @@
 
 /// A suspicion of one member.
 #[derive(Clone, Debug)]
-pub struct Suspicion {
+pub(crate) struct Suspicion {
     /// When it began.
-    pub since: Micros,
-    /// Who suspects the member, the first first.
-    pub by: Vec<MemberId>,
-    /// Whether a last probe was begun since.
-    pub checked: bool,
+    pub(crate) since: Micros,
+    /// Who suspects the member, in the order in which this node learned of it.
+    pub(crate) by: Vec<MemberId>,
+    /// Whether its confirming probe has begun.
+    pub(crate) confirming: bool,
 }
 
 impl Suspicion {
     /// A suspicion by one member.
-    pub fn new(since: Micros, by: MemberId) -> Suspicion {
-        Suspicion { since, by: vec![by], checked: false }
+    pub(crate) fn new(since: Micros, by: MemberId) -> Suspicion {
+        Suspicion { since, by: vec![by], confirming: false }
     }
 
-    /// Another member suspects it too. Whether that was not known, and is worth telling others.
-    pub fn confirm(&mut self, by: MemberId, settings: &Settings) -> bool {
+    /// Records that another member suspects it too; returns whether that is new and should be disseminated.
+    pub(crate) fn confirm(&mut self, by: MemberId, settings: &Settings) -> bool {
         if self.by.contains(&by) || self.by.len() > settings.confirmations {
             return false;
         }
@@ -30,18 +30,25 @@
         true
     }
 
-    /// When it is over, among so many members.
-    pub fn ends(&self, members: usize, settings: &Settings) -> Micros {
-        self.since.saturating_add(duration(self.by.len() - 1, members, settings))
+    /// Starts the timeout anew, and with it the wait for a confirming probe.
+    pub(crate) fn restart(&mut self, now: Micros) {
+        self.since = now;
+        self.confirming = false;
+    }
+
+    /// When it expires in a cluster of this size.
+    pub(crate) fn expires(&self, cluster_size: usize, settings: &Settings) -> Micros {
+        self.since.saturating_add(timeout(self.by.len() - 1, cluster_size, settings))
     }
 }
 
-/// How long a suspicion with so many confirmations lasts, among so many members.
-fn duration(confirmations: usize, members: usize, settings: &Settings) -> Micros {
-    let least = settings.suspicion as f64 * (members.max(1) as f64).log10().max(1.0);
-    let most = least * settings.unconfirmed_factor as f64;
-    // Fewer than three members have nobody who could confirm.
-    let needed = settings.confirmations.min(members.saturating_sub(2)) as f64;
-    let part = if needed == 0.0 { 1.0 } else { (confirmations as f64 + 1.0).ln() / (needed + 1.0).ln() };
-    (most - (most - least) * part.min(1.0)) as Micros
+/// The timeout of a suspicion with so many confirmations. It falls from the maximum to the minimum with the logarithm
+/// of the confirmations.
+fn timeout(confirmations: usize, cluster_size: usize, settings: &Settings) -> Micros {
+    let min = settings.min_suspicion as f64 * (cluster_size.max(1) as f64).log10().max(1.0);
+    let max = min * settings.max_suspicion_multiplier as f64;
+    // Beside this node and the suspect, so many members can confirm.
+    let needed = settings.confirmations.min(cluster_size.saturating_sub(2)) as f64;
+    let progress = if needed == 0.0 { 1.0 } else { (confirmations as f64 + 1.0).ln() / (needed + 1.0).ln() };
+    (max - (max - min) * progress.min(1.0)) as Micros
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,124 +1,145 @@
-//! The members that are known, and hashes of them by parts.
+//! The member table, and the digests of its buckets that anti-entropy compares.
 
 use std::collections::BTreeMap;
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::Micros;
-use crate::member::{Member, MemberId, Reach, State};
+use crate::member::{Member, MemberId, Reachability, State};
 use crate::replay::ReplayWindow;
 use crate::suspicion::Suspicion;
 
-/// Parts of a view that are hashed by themselves.
-pub const PARTS: usize = 64;
-const PART_BITS: u32 = PARTS.trailing_zeros();
+/// Buckets of member ids, each with a digest of its own.
+pub(crate) const BUCKETS: usize = 64;
+/// The leading bits of a member's id that select its bucket.
+const BUCKET_BITS: u32 = BUCKETS.trailing_zeros();
+
+/// A failure that a returned member has still to be notified of.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FailureNotice {
+    /// The incarnation under which it was declared failed.
+    pub(crate) incarnation: u64,
+    /// How often the notice is still sent.
+    pub(crate) remaining: u32,
+}
+
+/// What was last reported about a member's reachability.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ReachabilityReport {
+    pub(crate) reachability: Reachability,
+    pub(crate) at: Micros,
+}
 
-/// A member and what this node keeps beside it.
+/// A member, and what this node notes about it.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    pub member: Member,
-    pub suspicion: Option<Suspicion>,
-    pub replay: ReplayWindow,
-    /// The incarnation under which it was failed before it returned, and how often it is still told so.
-    pub untold_failure: Option<(u64, u32)>,
+pub(crate) struct Entry {
+    pub(crate) member: Member,
+    pub(crate) suspicion: Option<Suspicion>,
+    pub(crate) replay: ReplayWindow,
+    /// Set while a member that has returned from failure is notified of it.
+    pub(crate) failure_notice: Option<FailureNotice>,
     /// When a message last came from it.
-    pub last_heard: Option<Micros>,
-    /// Probes in a row that others alone have answered.
-    pub direct_misses: u32,
-    /// What was last reported of its reachability, and when.
-    pub reach_reported: Option<(Reach, Micros)>,
+    pub(crate) last_received: Option<Micros>,
+    /// Probes in a row that only other members have seen answered.
+    pub(crate) indirect_only_probes: u32,
+    pub(crate) last_report: Option<ReachabilityReport>,
 }
 
 impl Entry {
-    pub fn new(member: Member) -> Entry {
+    fn new(member: Member) -> Entry {
         Entry {
             member,
             suspicion: None,
             replay: ReplayWindow::default(),
-            untold_failure: None,
-            last_heard: None,
-            direct_misses: 0,
-            reach_reported: None,
+            failure_notice: None,
+            last_received: None,
+            indirect_only_probes: 0,
+            last_report: None,
         }
     }
 }
 
-/// The members that are known, this node not among them.
-#[derive(Debug, Default)]
-pub struct Table {
+/// The known members, this node not among them.
+#[derive(Debug)]
+pub(crate) struct Table {
     entries: BTreeMap<MemberId, Entry>,
-    parts: Vec<u32>,
+    /// One digest for each bucket.
+    digests: Vec<u32>,
 }
 
 impl Table {
-    pub fn new() -> Table {
-        Table { entries: BTreeMap::new(), parts: vec![0; PARTS] }
+    /// A table without members.
+    pub(crate) fn new() -> Table {
+        Table { entries: BTreeMap::new(), digests: vec![0; BUCKETS] }
     }
 
-    pub fn get(&self, id: MemberId) -> Option<&Entry> {
+    pub(crate) fn get(&self, id: MemberId) -> Option<&Entry> {
         self.entries.get(&id)
     }
 
-    /// An entry, whose member must not be changed here but by [`set`](Table::set).
-    pub fn get_mut(&mut self, id: MemberId) -> Option<&mut Entry> {
+    /// An entry. Its member may be changed only through [`set`](Table::set), except for the reachability, which is no
+    /// part of the digests.
+    pub(crate) fn get_mut(&mut self, id: MemberId) -> Option<&mut Entry> {
         self.entries.get_mut(&id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&MemberId, &Entry)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&MemberId, &Entry)> {
         self.entries.iter()
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Puts a member in, or another record in place of its last. What is kept beside it stays.
-    pub fn set(&mut self, id: MemberId, member: Member) {
+    /// Inserts a member, or replaces its record. The other fields of its entry stay.
+    pub(crate) fn set(&mut self, id: MemberId, member: Member) {
+        let bucket = bucket(id);
         if let Some(old) = self.entries.get(&id) {
-            self.parts[part(id)] ^= hash(id, &old.member);
+            self.digests[bucket] ^= digest(id, &old.member);
         }
-        self.parts[part(id)] ^= hash(id, &member);
+        self.digests[bucket] ^= digest(id, &member);
         match self.entries.get_mut(&id) {
             Some(entry) => entry.member = member,
             None => _ = self.entries.insert(id, Entry::new(member)),
         }
     }
 
-    pub fn remove(&mut self, id: MemberId) {
+    pub(crate) fn remove(&mut self, id: MemberId) {
         if let Some(entry) = self.entries.remove(&id) {
-            self.parts[part(id)] ^= hash(id, &entry.member);
+            self.digests[bucket(id)] ^= digest(id, &entry.member);
         }
     }
 
-    /// Members that live as far as is known, suspects among them.
-    pub fn living(&self) -> impl Iterator<Item = MemberId> {
-        let lives = |entry: &Entry| matches!(entry.member.state, State::Alive | State::Suspect);
-        self.entries.iter().filter(move |(_, entry)| lives(entry)).map(|(id, _)| *id)
+    /// The members that are alive or suspected.
+    pub(crate) fn live(&self) -> impl Iterator<Item = MemberId> {
+        self.entries.iter().filter(|(_, entry)| entry.member.is_live()).map(|(id, _)| *id)
     }
 
-    /// Hashes of all parts, a member beside the known ones included.
-    pub fn parts_with(&self, id: MemberId, member: &Member) -> Vec<u32> {
-        let mut parts = self.parts.clone();
-        parts[part(id)] ^= hash(id, member);
-        parts
+    /// The digests of all buckets, with one more member included.
+    pub(crate) fn digests_with(&self, id: MemberId, member: &Member) -> Vec<u32> {
+        let mut digests = self.digests.clone();
+        digests[bucket(id)] ^= digest(id, member);
+        digests
     }
 }
 
-/// The part that a member belongs to.
-pub fn part(id: MemberId) -> usize {
-    (id.0 >> (u64::BITS - PART_BITS)) as usize
+/// The bucket that a member belongs to.
+pub(crate) fn bucket(id: MemberId) -> usize {
+    (id.0 >> (u64::BITS - BUCKET_BITS)) as usize
 }
 
-/// Of what all nodes should come to agree on: suspicion passes, and is left out.
-fn hash(id: MemberId, member: &Member) -> u32 {
+/// A hash of what all nodes should agree on. Suspicion is temporary, and left out.
+fn digest(id: MemberId, member: &Member) -> u32 {
+    /// The bytes of an id or an incarnation.
+    const U64_LEN: usize = size_of::<u64>();
     let state = match member.state {
         State::Alive | State::Suspect => 0,
         State::Failed => 1,
         State::Left => 2,
     };
-    let mut bytes = [0; 17];
-    bytes[..8].copy_from_slice(&id.0.to_le_bytes());
-    bytes[8..16].copy_from_slice(&member.incarnation.to_le_bytes());
-    bytes[16] = state;
+    let mut bytes = [0; 2 * U64_LEN + 1];
+    bytes[..U64_LEN].copy_from_slice(&id.0.to_le_bytes());
+    bytes[U64_LEN..2 * U64_LEN].copy_from_slice(&member.incarnation.to_le_bytes());
+    bytes[2 * U64_LEN] = state;
     xxh3_64(&bytes) as u32
 }
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -93,19 +93,23 @@
 }
 
 #[test]
-fn records() {
+fn sync_records() {
     let record = Update { id: NODE_3, incarnation: 2, claim: Claim::Alive(profile("node-3", v6())) };
-    check(include_bytes!("fixtures/records.bin"), Body::Records, vec![record]);
+    check(include_bytes!("fixtures/sync_records.bin"), Body::SyncRecords, vec![record]);
 }
 
 #[test]
-fn compare() {
-    let parts: Vec<u32> = (0..64).map(|part| part * 0x0101_0101).collect();
-    check(include_bytes!("fixtures/compare.bin"), Body::Compare { parts, turn: true }, vec![]);
+fn sync_digests() {
+    let buckets: Vec<u32> = (0..64).map(|bucket| bucket * 0x0101_0101).collect();
+    check(include_bytes!("fixtures/sync_digests.bin"), Body::SyncDigests { buckets, reply: true }, vec![]);
 }
 
 #[test]
-fn compare_in_turn() {
-    let parts = vec![0; 64];
-    check(include_bytes!("fixtures/compare_in_turn.bin"), Body::Compare { parts, turn: false }, vec![]);
+fn sync_digests_in_reply() {
+    let buckets = vec![0; 64];
+    check(
+        include_bytes!("fixtures/sync_digests_in_reply.bin"),
+        Body::SyncDigests { buckets, reply: false },
+        vec![],
+    );
 }
--- a/crates/membership/tests/sim/cases.rs
+++ b/crates/membership/tests/sim/cases.rs
@@ -1,23 +1,23 @@
-//! Cases that membership has to bear, each from a seed, with what breaks its rules.
+//! Scenarios that the membership has to handle, each from a seed; each returns the violations of its rules.
 
-use stonefold_membership::{Event, MemberId, Micros, Reach, State};
+use stonefold_membership::{Event, MemberId, Micros, Reachability, State};
 
 use crate::sim::{Fleet, MILLISECOND, Network, Planted, SECOND, name};
 
-/// A node that says nothing is failed at all others within this time, among at most 30 nodes.
-pub(crate) const DETECTED: Micros = 60 * SECOND;
-/// A pause shorter than this never marks a node failed.
-pub(crate) const BORNE_PAUSE: Micros = 10 * SECOND;
+/// A silent node is declared failed by all others within this time, among at most 30 nodes.
+pub(crate) const DETECTION_BOUND: Micros = 60 * SECOND;
+/// A pause shorter than this never gets a node declared failed.
+pub(crate) const TOLERATED_PAUSE: Micros = 10 * SECOND;
 /// After a heal all views agree within this time, among at most 30 nodes.
-pub(crate) const HEALED: Micros = 60 * SECOND;
+pub(crate) const CONVERGENCE_BOUND: Micros = 60 * SECOND;
 /// Nodes that start together know each other after this time, among at most 30.
-const SETTLED: Micros = 20 * SECOND;
+const STARTUP_TIME: Micros = 20 * SECOND;
 
 /// A case.
 pub(crate) struct Case {
-    pub name: &'static str,
-    /// Plays it with a seed and tells what broke a rule.
-    pub play: fn(u64, Option<Planted>) -> Vec<String>,
+    pub(crate) name: &'static str,
+    /// Plays it with a seed and returns the violations.
+    pub(crate) play: fn(u64, Option<Planted>) -> Vec<String>,
 }
 
 pub(crate) const CASES: &[Case] = &[
@@ -26,7 +26,7 @@
     Case { name: "pause with a suspicion", play: pause_with_a_suspicion },
     Case { name: "kill", play: kill },
     Case { name: "one-sided cut of two", play: one_sided_cut },
-    Case { name: "heard by none", play: heard_by_none },
+    Case { name: "nothing sent arrives", play: nothing_sent_arrives },
     Case { name: "partition", play: partition },
     Case { name: "restart", play: restart },
     Case { name: "two under one name", play: two_under_one_name },
@@ -46,7 +46,7 @@
     let mut fleet = Fleet::new(nodes, network, seed);
     fleet.planted = planted;
     (0..nodes).for_each(|node| fleet.start(node, 0));
-    fleet.run_for(SETTLED);
+    fleet.run_for(STARTUP_TIME);
     fleet
 }
 
@@ -65,27 +65,27 @@
     }
 }
 
-/// 30% loss, delays to 200 ms, doubled and reordered: nobody is declared failed.
+/// 30% loss, delays to 200 ms, duplicated and reordered: nobody is declared failed.
 fn rough_network(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let mut fleet = fleet(nodes(seed), Network::ROUGH, seed, planted);
     fleet.run_for(300 * SECOND);
     none_failed(&fleet, 0, &[], &mut found);
-    agree_in(&mut fleet, HEALED, &mut found);
+    agree_in(&mut fleet, CONVERGENCE_BOUND, &mut found);
     found
 }
 
-/// A node that was stopped blames nobody; one that was stopped briefly is blamed by nobody.
+/// A paused node declares nobody failed; one that was paused briefly is declared failed by nobody.
 fn pauses(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let mut fleet = fleet(nodes(seed), network(seed), seed, planted);
     let start = fleet.now;
-    let lengths = [200 * MILLISECOND, 2 * SECOND, BORNE_PAUSE, 30 * SECOND];
+    let lengths = [200 * MILLISECOND, 2 * SECOND, TOLERATED_PAUSE, 30 * SECOND];
     for length in lengths {
         fleet.pause(1, length);
         fleet.run_for(length + 40 * SECOND);
         for (at, by, of) in fleet.declared_failed(start) {
-            if by == 1 || of != 1 || length <= BORNE_PAUSE {
+            if by == 1 || of != 1 || length <= TOLERATED_PAUSE {
                 found.push(format!("{} declared {} failed at {at} us", name(by), name(of)));
             }
         }
@@ -102,26 +102,27 @@
     let since = fleet.now;
     fleet.run_for(60 * SECOND);
     none_failed(&fleet, since, &[], &mut found);
-    agree_in(&mut fleet, HEALED, &mut found);
+    agree_in(&mut fleet, CONVERGENCE_BOUND, &mut found);
     found
 }
 
-/// A node is stopped while it suspects another one, which refutes that meanwhile: it blames nobody when it wakes.
+/// A node is paused while it suspects another one, which refutes that in this time: it declares nobody failed when it
+/// resumes.
 fn pause_with_a_suspicion(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let mut fleet = fleet(nodes(seed), network(seed), seed, planted);
-    fleet.pause(2, BORNE_PAUSE);
+    fleet.pause(2, TOLERATED_PAUSE);
     let suspects = |fleet: &Fleet| fleet.state(1, 2) == Some(State::Suspect);
-    if fleet.run_until(BORNE_PAUSE, suspects).is_some() {
+    if fleet.run_until(TOLERATED_PAUSE, suspects).is_some() {
         let since = fleet.now;
         fleet.pause(1, 30 * SECOND);
         fleet.run_for(30 * SECOND + SECOND);
         found.extend(fleet.declared_failed(since).iter().filter(|(_, by, _)| *by == 1).map(|(at, _, of)| {
-            format!("the woken node declared {} failed at {} ms", name(*of), at / MILLISECOND)
+            format!("the resumed node declared {} failed at {} ms", name(*of), at / MILLISECOND)
         }));
     }
     fleet.run_for(60 * SECOND);
-    agree_in(&mut fleet, HEALED, &mut found);
+    agree_in(&mut fleet, CONVERGENCE_BOUND, &mut found);
     found
 }
 
@@ -131,18 +132,18 @@
     let mut fleet = fleet(nodes(seed), network(seed), seed, planted);
     fleet.kill(2);
     let failed = |fleet: &Fleet| fleet.running().all(|(node, _)| fleet.state(node, 2) == Some(State::Failed));
-    if fleet.run_until(DETECTED, failed).is_none() {
+    if fleet.run_until(DETECTION_BOUND, failed).is_none() {
         found.push("the dead node is not failed everywhere in time".into());
     }
     fleet.run_for(120 * SECOND);
     none_failed(&fleet, 0, &[2], &mut found);
     // It returns, and is taken in again.
     fleet.start(2, 0);
-    agree_in(&mut fleet, HEALED, &mut found);
+    agree_in(&mut fleet, CONVERGENCE_BOUND, &mut found);
     found
 }
 
-/// Two nodes don't hear each other, or one not the other; both reach the rest: alive, unreachable from there.
+/// Datagrams between two nodes are lost in one direction or both; both reach the rest: alive, reachable only indirectly.
 fn one_sided_cut(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let mut fleet = fleet(nodes(seed), network(seed), seed, planted);
@@ -151,25 +152,27 @@
     let start = fleet.now;
     fleet.run_for(180 * SECOND);
     none_failed(&fleet, start, &[], &mut found);
-    let told = fleet.events.iter().any(|(at, node, event)| {
-        let cut = Event::ReachChanged { name: name(1), reach: Reach::OthersOnly };
+    let reported = fleet.events.iter().any(|(at, node, event)| {
+        let cut = Event::ReachabilityChanged { name: name(1), reachability: Reachability::IndirectOnly };
         *at >= start && *node == 0 && *event == cut
     });
-    if !told {
+    if !reported {
         found.push("the cut is not reported".into());
     }
     fleet.cut = Box::new(|_, _| false);
     fleet.run_for(180 * SECOND);
     let id = MemberId::of(&name(1));
-    let reach = fleet.processes[0].detector.as_ref().and_then(|d| d.member(id)).map(|member| member.reach);
-    if reach != Some(Reach::Direct) {
+    let reach =
+        fleet.processes[0].detector.as_ref().and_then(|d| d.member(id)).map(|member| member.reachability);
+    if reach != Some(Reachability::Direct) {
         found.push(format!("after the heal the member is {reach:?}"));
     }
     found
 }
 
-/// One node hears all and is heard by none: failed everywhere, declares nobody, and learns of it.
-fn heard_by_none(seed: u64, planted: Option<Planted>) -> Vec<String> {
+/// One node receives everything and nothing of it arrives: declared failed everywhere, it declares nobody failed, and
+/// learns of it.
+fn nothing_sent_arrives(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let mut fleet = fleet(nodes(seed), network(seed), seed, planted);
     fleet.cut = Box::new(|from, _| from == 3);
@@ -180,7 +183,7 @@
             .filter(|(node, _)| *node != 3)
             .all(|(node, _)| fleet.state(node, 3) == Some(State::Failed))
     };
-    if fleet.run_until(DETECTED, failed).is_none() {
+    if fleet.run_until(DETECTION_BOUND, failed).is_none() {
         found.push("it is not failed everywhere in time".into());
     }
     fleet.run_for(60 * SECOND);
@@ -192,11 +195,11 @@
         found.push("it does not learn of it".into());
     }
     fleet.cut = Box::new(|_, _| false);
-    agree_in(&mut fleet, HEALED, &mut found);
+    agree_in(&mut fleet, CONVERGENCE_BOUND, &mut found);
     found
 }
 
-/// Both sides go on, each knows what it lost; a heal merges them with nobody declared failed anew.
+/// Both sides go on, each declares the other failed; a heal merges them with nobody declared failed anew.
 fn partition(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let nodes = nodes(seed);
@@ -211,18 +214,18 @@
             })
         })
     };
-    if fleet.run_until(2 * DETECTED, split).is_none() {
+    if fleet.run_until(2 * DETECTION_BOUND, split).is_none() {
         found.push("the sides do not know what they lost in time".into());
     }
     fleet.cut = Box::new(|_, _| false);
     let healed = fleet.now;
-    agree_in(&mut fleet, HEALED, &mut found);
+    agree_in(&mut fleet, CONVERGENCE_BOUND, &mut found);
     fleet.run_for(60 * SECOND);
     none_failed(&fleet, healed, &[], &mut found);
     found
 }
 
-/// A new process replaces the old one at once, also where the clock went back and the old one's last word is late.
+/// A new process replaces the old one at once, also where the clock went back and the old one's leave arrives late.
 fn restart(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let mut fleet = fleet(nodes(seed), network(seed), seed, planted);
@@ -231,23 +234,23 @@
         if seed.is_multiple_of(3) {
             fleet.kill(1);
         } else {
-            fleet.leave(1); // its word of that is on its way while the next process starts
+            fleet.leave(1); // its leave is in flight while the next process starts
         }
         fleet.start(1, clock_ms);
         agree_in(&mut fleet, 30 * SECOND, &mut found);
         fleet.run_for(30 * SECOND);
         none_failed(&fleet, since, &[], &mut found);
         for node in (0..fleet.processes.len()).filter(|node| *node != 1) {
-            if old_word_wins(&fleet, node, since) {
-                found.push(format!("{} takes the old process's word for the new one's", name(node)));
+            if old_leave_wins(&fleet, node, since) {
+                found.push(format!("{} attributes the old process's leave to the new one", name(node)));
             }
         }
     }
     found
 }
 
-/// Whether a node that had heard of node 1's new process took it for gone later.
-fn old_word_wins(fleet: &Fleet, node: usize, since: Micros) -> bool {
+/// Whether a node that knew of node 1's new process saw it leave later.
+fn old_leave_wins(fleet: &Fleet, node: usize, since: Micros) -> bool {
     let here = fleet.events.iter().filter(|(at, by, _)| *at > since && *by == node);
     let mut new_is_known = false;
     for (_, _, event) in here {
@@ -262,7 +265,7 @@
     false
 }
 
-/// Two processes run under one name: the older one says so and falls silent.
+/// Two processes run under one name: the older one reports that and falls silent.
 fn two_under_one_name(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let nodes = nodes(seed);
@@ -271,11 +274,11 @@
     (0..nodes).for_each(|node| fleet.start(node, 0));
     fleet.run_for(40 * SECOND);
     fleet.start_as(nodes, 1);
-    let told = |fleet: &Fleet| {
+    let reported = |fleet: &Fleet| {
         let conflict = |event: &Event| matches!(event, Event::NameConflict { .. });
         fleet.events.iter().any(|(_, node, event)| *node == 1 && conflict(event))
     };
-    if fleet.run_until(30 * SECOND, told).is_none() {
+    if fleet.run_until(30 * SECOND, reported).is_none() {
         found.push("the older process does not report the other".into());
     }
     fleet.run_for(60 * SECOND);
@@ -287,7 +290,7 @@
     found
 }
 
-/// A node that says that it ends has left, and is never failed.
+/// A node that announces its leave has left, and is never declared failed.
 fn leave(seed: u64, planted: Option<Planted>) -> Vec<String> {
     let mut found = Vec::new();
     let mut fleet = fleet(nodes(seed), network(seed), seed, planted);
@@ -314,7 +317,7 @@
     }
     none_failed(&fleet, start, &[], &mut found);
     let reach = |(at, _, event): &&(Micros, usize, Event)| {
-        *at >= start && matches!(event, Event::ReachChanged { .. })
+        *at >= start && matches!(event, Event::ReachabilityChanged { .. })
     };
     let events = fleet.events.iter().filter(reach).count();
     if events > 3 * 2 * EVENTS_A_MINUTE {
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet in virtual time: detectors, a network that loses, delays, doubles and cuts, and what they reported.
+//! A fleet in virtual time: detectors, a network that loses, delays, duplicates and cuts, and the reported events.
 //! The same seed plays the same run.
-#![allow(dead_code, unreachable_pub)] // each program uses its own part
+#![allow(dead_code)] // each program uses its own part
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,56 +10,61 @@
     Claim, Codec, Detector, Event, MemberId, Message, Micros, Output, Profile, Settings, State,
 };
 
-pub const MILLISECOND: Micros = 1_000;
-pub const SECOND: Micros = 1_000_000;
+pub(crate) const MILLISECOND: Micros = 1_000;
+pub(crate) const SECOND: Micros = 1_000_000;
 /// The Unix time of a run's start, in milliseconds.
-pub const EPOCH_MS: u64 = 1_790_000_000_000;
-/// What a datagram has beside its payload: IP and UDP headers.
-const HEADERS: u64 = 28;
-/// Datagrams that a paused process's socket holds.
-const SOCKET: usize = 400;
+pub(crate) const EPOCH_MS: u64 = 1_790_000_000_000;
+/// Bytes of the IP and UDP headers.
+const HEADER_BYTES: u64 = 28;
+/// Datagrams that fit in the socket buffer of a paused process.
+const SOCKET_BUFFER: usize = 400;
 
-/// Rules broken on purpose, which the checker has to find.
+/// Faults injected on purpose, which the checks have to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// A node blames others after its pause: it doesn't notice that, and trusts its timers without a last probe.
-    BlamesAfterPause,
-    /// No fault: the same without a last probe, by which one sees that noticing the pause is enough.
-    NoLastProbe,
-    /// A refutation does not count.
+pub(crate) enum Planted {
+    /// A node does not detect its own pause, and declares members failed without a confirming probe.
+    SuspectsAfterPause,
+    /// No fault: the confirming probe alone is missing, which shows that detecting the pause suffices.
+    NoConfirmingProbe,
+    /// A refutation is ignored.
     IgnoresRefutation,
-    /// News of an outdated incarnation counts as current.
-    StaleWins,
+    /// An update about an outdated incarnation counts as current.
+    StaleIncarnationWins,
 }
 
-/// What every link does.
+/// The behaviour of every link.
 #[derive(Clone, Copy, Debug)]
-pub struct Network {
-    pub loss: f64,
-    pub doubled: f64,
-    pub delay: (Micros, Micros),
+pub(crate) struct Network {
+    pub(crate) loss: f64,
+    pub(crate) duplicated: f64,
+    pub(crate) delay: (Micros, Micros),
 }
 
 impl Network {
-    pub const CALM: Network = Network { loss: 0.0, doubled: 0.0, delay: (100, 2 * MILLISECOND) };
-    pub const ROUGH: Network = Network { loss: 0.3, doubled: 0.05, delay: (100, 200 * MILLISECOND) };
+    pub(crate) const CALM: Network = Network { loss: 0.0, duplicated: 0.0, delay: (100, 2 * MILLISECOND) };
+    pub(crate) const ROUGH: Network =
+        Network { loss: 0.3, duplicated: 0.05, delay: (100, 200 * MILLISECOND) };
 
-    pub fn losing(loss: f64) -> Network {
+    pub(crate) fn losing(loss: f64) -> Network {
         Network { loss, ..Network::ROUGH }
     }
 }
 
-enum Happening {
+enum Occurrence {
     Deliver { to: usize, from: usize, bytes: Vec<u8> },
     Wake { node: usize, generation: u64 },
     Resume { node: usize },
 }
 
-struct Queued(Micros, u64, Happening);
+struct Queued {
+    at: Micros,
+    order: u64,
+    occurrence: Occurrence,
+}
 
 impl PartialEq for Queued {
     fn eq(&self, other: &Self) -> bool {
-        self.1 == other.1
+        self.order == other.order
     }
 }
 impl Eq for Queued {}
@@ -70,32 +75,32 @@
 }
 impl Ord for Queued {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.0, self.1).cmp(&(other.0, other.1))
+        (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
 /// One node's process, if it runs.
-pub struct Process {
-    pub detector: Option<Detector>,
+pub(crate) struct Process {
+    pub(crate) detector: Option<Detector>,
     /// Bytes and datagrams, sent and received, since they were last looked at.
-    pub bytes: u64,
-    pub packets: u64,
+    pub(crate) bytes: u64,
+    pub(crate) packets: u64,
     generation: u64,
     paused: bool,
     inbox: Vec<(usize, Vec<u8>)>,
 }
 
 /// A fleet.
-pub struct Fleet {
-    pub now: Micros,
-    pub processes: Vec<Process>,
-    pub network: Network,
-    pub planted: Option<Planted>,
-    /// What was reported: when, by whom, what.
-    pub events: Vec<(Micros, usize, Event)>,
-    pub settings: Settings,
+pub(crate) struct Fleet {
+    pub(crate) now: Micros,
+    pub(crate) processes: Vec<Process>,
+    pub(crate) network: Network,
+    pub(crate) planted: Option<Planted>,
+    /// The reported events: when, by which node, and the event.
+    pub(crate) events: Vec<(Micros, usize, Event)>,
+    pub(crate) settings: Settings,
     /// Whether a datagram from one node to another is cut off.
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
+    pub(crate) cut: Box<dyn Fn(usize, usize) -> bool>,
     rng: fastrand::Rng,
     queue: BinaryHeap<Reverse<Queued>>,
     count: u64,
@@ -104,17 +109,17 @@
     ids: BTreeMap<MemberId, usize>,
 }
 
-pub fn name(node: usize) -> String {
+pub(crate) fn name(node: usize) -> String {
     format!("node-{node}")
 }
 
-pub fn address(node: usize) -> SocketAddr {
+pub(crate) fn address(node: usize) -> SocketAddr {
     (Ipv4Addr::from(0x7f01_0000 + node as u32), 7946).into()
 }
 
 impl Fleet {
     /// So many places for nodes; none runs yet.
-    pub fn new(nodes: usize, network: Network, seed: u64) -> Fleet {
+    pub(crate) fn new(nodes: usize, network: Network, seed: u64) -> Fleet {
         let process = |_| Process {
             detector: None,
             bytes: 0,
@@ -142,7 +147,7 @@
 
     /// A fleet whose nodes all start within a second, the first of them their only seed, and know each other after
     /// so long.
-    pub fn started(nodes: usize, network: Network, seed: u64, settle: Micros) -> Fleet {
+    pub(crate) fn started(nodes: usize, network: Network, seed: u64, settle: Micros) -> Fleet {
         let mut fleet = Fleet::new(nodes, network, seed);
         (0..nodes).for_each(|node| fleet.start(node, 0));
         fleet.run_for(settle);
@@ -150,12 +155,12 @@
     }
 
     /// Starts a node, whose machine's clock is off by so many milliseconds.
-    pub fn start(&mut self, node: usize, clock_ms: i64) {
+    pub(crate) fn start(&mut self, node: usize, clock_ms: i64) {
         self.start_named(node, name(node), clock_ms);
     }
 
     /// Starts a process in one node's place under another one's name.
-    pub fn start_as(&mut self, node: usize, other: usize) {
+    pub(crate) fn start_as(&mut self, node: usize, other: usize) {
         self.start_named(node, name(other), 0);
     }
 
@@ -163,11 +168,11 @@
         self.instances += 1;
         let profile = Profile { name, address: address(node), instance: self.instances };
         let mut settings = self.settings.clone();
-        if matches!(self.planted, Some(Planted::BlamesAfterPause | Planted::NoLastProbe)) {
-            settings.last_pings = 0;
+        if matches!(self.planted, Some(Planted::SuspectsAfterPause | Planted::NoConfirmingProbe)) {
+            settings.confirming_pings = 0;
         }
-        if self.planted == Some(Planted::BlamesAfterPause) {
-            settings.pause = Micros::MAX;
+        if self.planted == Some(Planted::SuspectsAfterPause) {
+            settings.pause_threshold = Micros::MAX;
         }
         let unix_ms = (EPOCH_MS + self.now / 1_000).saturating_add_signed(clock_ms);
         let seed = self.rng.u64(..);
@@ -180,14 +185,14 @@
         self.wake(node, at);
     }
 
-    /// Kills a node: it says nothing.
-    pub fn kill(&mut self, node: usize) {
+    /// Kills a node: it sends nothing any more.
+    pub(crate) fn kill(&mut self, node: usize) {
         self.processes[node].detector = None;
         self.processes[node].generation += 1;
     }
 
-    /// Ends a node, which says so.
-    pub fn leave(&mut self, node: usize) {
+    /// Ends a node, which announces its leave.
+    pub(crate) fn leave(&mut self, node: usize) {
         let mut out = Vec::new();
         if let Some(detector) = &mut self.processes[node].detector {
             detector.leave(self.now, &mut out);
@@ -197,44 +202,44 @@
     }
 
     /// Stops a node's process for so long.
-    pub fn pause(&mut self, node: usize, duration: Micros) {
+    pub(crate) fn pause(&mut self, node: usize, duration: Micros) {
         self.processes[node].paused = true;
-        self.push(self.now + duration, Happening::Resume { node });
+        self.push(self.now + duration, Occurrence::Resume { node });
     }
 
-    pub fn running(&self) -> impl Iterator<Item = (usize, &Detector)> {
+    pub(crate) fn running(&self) -> impl Iterator<Item = (usize, &Detector)> {
         self.processes.iter().enumerate().filter_map(|(node, p)| Some((node, p.detector.as_ref()?)))
     }
 
-    /// What one node holds of another.
-    pub fn state(&self, node: usize, of: usize) -> Option<State> {
+    /// The state of a member in a node's view.
+    pub(crate) fn state(&self, node: usize, of: usize) -> Option<State> {
         let detector = self.processes[node].detector.as_ref()?;
         Some(detector.member(MemberId::of(&name(of)))?.state)
     }
 
-    /// Whether all running nodes hold all running ones alive, at the incarnation that they have.
-    pub fn agreed(&self) -> bool {
+    /// Whether every running node sees every other one alive, at its current incarnation.
+    pub(crate) fn agreed(&self) -> bool {
         let running: Vec<(usize, &Detector)> = self.running().collect();
         running.iter().all(|(of, subject)| {
             running.iter().filter(|(node, _)| node != of).all(|(_, detector)| {
                 detector.member(MemberId::of(&name(*of))).is_some_and(|member| {
                     matches!(member.state, State::Alive | State::Suspect)
-                        && member.incarnation == subject.me().incarnation
+                        && member.incarnation == subject.local_member().incarnation
                 })
             })
         })
     }
 
-    pub fn run_for(&mut self, duration: Micros) {
+    pub(crate) fn run_for(&mut self, duration: Micros) {
         let until = self.now + duration;
-        while self.queue.peek().is_some_and(|Reverse(next)| next.0 <= until) {
+        while self.queue.peek().is_some_and(|Reverse(next)| next.at <= until) {
             self.step();
         }
         self.now = until;
     }
 
-    /// Runs until something holds, looked at each half second; tells after what time, or nothing if it did not.
-    pub fn run_until(&mut self, most: Micros, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds, checked each half second; returns after what time, or `None` if it never held.
+    pub(crate) fn run_until(&mut self, most: Micros, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let start = self.now;
         while !holds(self) {
             if self.now >= start + most {
@@ -246,18 +251,18 @@
     }
 
     fn step(&mut self) {
-        let Some(Reverse(Queued(at, _, happening))) = self.queue.pop() else { return };
+        let Some(Reverse(Queued { at, occurrence, .. })) = self.queue.pop() else { return };
         self.now = at;
-        match happening {
-            Happening::Deliver { to, from, bytes } => {
+        match occurrence {
+            Occurrence::Deliver { to, from, bytes } => {
                 let process = &mut self.processes[to];
-                if process.paused && process.inbox.len() < SOCKET {
+                if process.paused && process.inbox.len() < SOCKET_BUFFER {
                     process.inbox.push((from, bytes));
                 } else if !process.paused {
                     self.deliver(to, from, &bytes);
                 }
             }
-            Happening::Wake { node, generation } => {
+            Occurrence::Wake { node, generation } => {
                 let process = &mut self.processes[node];
                 if process.generation != generation || process.paused {
                     return;
@@ -268,7 +273,7 @@
                 }
                 self.carry_out(node, out);
             }
-            Happening::Resume { node } => {
+            Occurrence::Resume { node } => {
                 let process = &mut self.processes[node];
                 process.paused = false;
                 process.generation += 1;
@@ -289,12 +294,12 @@
 
     fn deliver(&mut self, to: usize, from: usize, bytes: &[u8]) {
         let process = &mut self.processes[to];
-        process.bytes += bytes.len() as u64 + HEADERS;
+        process.bytes += bytes.len() as u64 + HEADER_BYTES;
         process.packets += 1;
         let Some(detector) = &mut process.detector else { return };
         let Ok(mut message) = self.codec.decode(bytes) else { panic!("a datagram that cannot be read") };
         if let Some(planted) = self.planted {
-            spoil(planted, &mut message, detector);
+            inject_fault(planted, &mut message, detector);
         }
         let mut out = Vec::new();
         detector.on_message(self.now, address(from), message, &mut out);
@@ -318,32 +323,32 @@
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        self.processes[from].bytes += bytes.len() as u64 + HEADERS;
+        self.processes[from].bytes += bytes.len() as u64 + HEADER_BYTES;
         self.processes[from].packets += 1;
-        let copies = 1 + usize::from(self.rng.f64() < self.network.doubled);
+        let copies = 1 + usize::from(self.rng.f64() < self.network.duplicated);
         for _ in 0..copies {
             if (self.cut)(from, to) || self.rng.f64() < self.network.loss {
                 continue;
             }
             let (least, most) = self.network.delay;
             let at = self.now + self.rng.u64(least..=most);
-            self.push(at, Happening::Deliver { to, from, bytes: bytes.clone() });
+            self.push(at, Occurrence::Deliver { to, from, bytes: bytes.clone() });
         }
     }
 
     fn wake(&mut self, node: usize, at: Micros) {
         self.processes[node].generation += 1;
         let generation = self.processes[node].generation;
-        self.push(at.max(self.now), Happening::Wake { node, generation });
+        self.push(at.max(self.now), Occurrence::Wake { node, generation });
     }
 
-    fn push(&mut self, at: Micros, happening: Happening) {
+    fn push(&mut self, at: Micros, occurrence: Occurrence) {
         self.count += 1;
-        self.queue.push(Reverse(Queued(at, self.count, happening)));
+        self.queue.push(Reverse(Queued { at, order: self.count, occurrence }));
     }
 
     /// Reports of failed members after a time: when, by whom, of whom.
-    pub fn declared_failed(&self, since: Micros) -> Vec<(Micros, usize, usize)> {
+    pub(crate) fn declared_failed(&self, since: Micros) -> Vec<(Micros, usize, usize)> {
         let failed = |(at, node, event): &(Micros, usize, Event)| match event {
             Event::Failed { name, .. } if *at > since => {
                 Some((*at, *node, *self.ids.get(&MemberId::of(name))?))
@@ -354,11 +359,11 @@
     }
 }
 
-/// Breaks a rule on purpose, by what a node is given to read.
-fn spoil(planted: Planted, message: &mut Message, detector: &Detector) {
+/// Breaks a rule on purpose, by changing the message that a node receives.
+fn inject_fault(planted: Planted, message: &mut Message, detector: &Detector) {
     let known = |id: MemberId| detector.member(id).map_or(0, |member| member.incarnation);
     match planted {
-        Planted::BlamesAfterPause | Planted::NoLastProbe => {}
+        Planted::SuspectsAfterPause | Planted::NoConfirmingProbe => {}
         Planted::IgnoresRefutation => {
             let refutes = |update: &stonefold_membership::Update| {
                 matches!(update.claim, Claim::Alive(_)) && known(update.id) > 0
@@ -366,7 +371,7 @@
             message.updates.retain(|update| !refutes(update));
             message.incarnation = message.incarnation.min(known(message.from));
         }
-        Planted::StaleWins => {
+        Planted::StaleIncarnationWins => {
             for update in &mut message.updates {
                 update.incarnation = update.incarnation.max(known(update.id));
             }
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Cases in virtual time, from seeds: 50 of each here, more by `examples/simulate.rs`.
+//! Scenarios in virtual time, 50 seeds of each; `examples/membership_simulate.rs` plays more.
 
 #[path = "sim/cases.rs"]
 mod cases;
@@ -40,7 +40,7 @@
     a_pause_with_a_suspicion: "pause with a suspicion",
     a_kill: "kill",
     a_one_sided_cut: "one-sided cut of two",
-    a_node_heard_by_none: "heard by none",
+    a_node_whose_datagrams_are_lost: "nothing sent arrives",
     a_partition: "partition",
     a_restart: "restart",
     two_processes_under_one_name: "two under one name",
@@ -55,19 +55,19 @@
 }
 
 #[test]
-fn a_node_that_blames_after_its_pause_is_found() {
+fn a_node_that_declares_others_failed_after_its_pause_is_detected() {
     let case = "pause with a suspicion";
-    assert!(!found(Planted::BlamesAfterPause, case).is_empty());
-    let without = found(Planted::NoLastProbe, case);
-    assert!(without.is_empty(), "noticing the pause is enough: {without:#?}");
+    assert!(!found(Planted::SuspectsAfterPause, case).is_empty());
+    let without = found(Planted::NoConfirmingProbe, case);
+    assert!(without.is_empty(), "detecting the pause suffices: {without:#?}");
 }
 
 #[test]
-fn a_refutation_that_is_ignored_is_found() {
+fn an_ignored_refutation_is_detected() {
     assert!(!found(Planted::IgnoresRefutation, "partition").is_empty());
 }
 
 #[test]
-fn a_stale_incarnation_that_wins_is_found() {
-    assert!(!found(Planted::StaleWins, "restart").is_empty());
+fn a_stale_incarnation_that_wins_is_detected() {
+    assert!(!found(Planted::StaleIncarnationWins, "restart").is_empty());
 }
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use stonefold_membership::{
-    Codec, Detector, Event, MAX_DATAGRAM, Member, MemberId, Micros, Output, Profile, Reach, Settings, State,
+    Codec, Detector, Event, MAX_DATAGRAM, Member, MemberId, Micros, Output, Profile, Reachability, Settings,
+    State,
 };
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
@@ -202,7 +203,7 @@
     fn name_of(&self, id: MemberId) -> String {
         match self.detector.member(id) {
             Some(member) => member.profile.name.clone(),
-            None if id == MemberId::of(&self.detector.me().profile.name) => "this node".into(),
+            None if id == MemberId::of(&self.detector.local_member().profile.name) => "this node".into(),
             None => id.to_string(),
         }
     }
@@ -235,15 +236,15 @@
                 info!(event = "member_restarted", member = name, "a node runs in a new process");
             }
             Event::Left { name } => info!(event = "member_left", member = name, "a node has ended"),
-            Event::ReachChanged { name, reach } => {
+            Event::ReachabilityChanged { name, reachability } => {
                 warn!(
                     event = "member_reach",
                     member = name,
-                    reach = reach_word(*reach),
+                    reach = reach_word(*reachability),
                     "whether a node is reached from here has changed"
                 );
             }
-            Event::Forgotten { name } => {
+            Event::Reaped { name } => {
                 info!(event = "member_forgotten", member = name, "a node that is gone is no longer listed");
             }
             Event::DeclaredFailed { by } => {
@@ -261,7 +262,7 @@
                 );
             }
             Event::NameConflict { address } => {
-                warn!(event = "name_conflict", name = self.detector.me().profile.name, other = %address,
+                warn!(event = "name_conflict", name = self.detector.local_member().profile.name, other = %address,
                     "a later process runs under this node's name; this one no longer takes part");
             }
         }
@@ -272,7 +273,7 @@
         let now = self.now();
         let mut members: Vec<&Member> = self.detector.members().map(|(_, member)| member).collect();
         members.sort_by(|a, b| a.profile.name.cmp(&b.profile.name));
-        let all = std::iter::once(self.detector.me()).chain(members);
+        let all = std::iter::once(self.detector.local_member()).chain(members);
         all.map(|member| line(member, now)).collect()
     }
 }
@@ -287,15 +288,15 @@
     };
     let Profile { name, address, .. } = &member.profile;
     let since = now.saturating_sub(member.since) as f64 / 1e6;
-    let reach = reach_word(member.reach);
+    let reach = reach_word(member.reachability);
     format!("{name} {state} incarnation={} for_s={since:.1} reach={reach} at={address}\n", member.incarnation)
 }
 
-fn reach_word(reach: Reach) -> &'static str {
+fn reach_word(reach: Reachability) -> &'static str {
     match reach {
-        Reach::Unknown => "untried",
-        Reach::Direct => "direct",
-        Reach::OthersOnly => "others-only",
+        Reachability::Unknown => "untried",
+        Reachability::Direct => "direct",
+        Reachability::IndirectOnly => "others-only",
     }
 }
 
--- a/crates/node/src/membership/figures.rs
+++ b/crates/node/src/membership/figures.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use stonefold_membership::{CodecError, Counters, Member, Reach, State};
+use stonefold_membership::{CodecError, Counters, Member, Reachability, State};
 
 use crate::metrics::Figure;
 
@@ -45,22 +45,22 @@
     /// A datagram was refused.
     pub fn refused(&self, error: CodecError) {
         let reason = match error {
-            CodecError::Short => 0,
-            CodecError::Long => 1,
-            CodecError::Version => 2,
-            CodecError::Cluster => 3,
-            CodecError::Key => 4,
-            CodecError::Mac => 5,
+            CodecError::TooShort => 0,
+            CodecError::TooLong => 1,
+            CodecError::UnknownVersion => 2,
+            CodecError::WrongCluster => 3,
+            CodecError::UnknownKey => 4,
+            CodecError::BadMac => 5,
             CodecError::Malformed => 6,
-            CodecError::Name => 7,
+            CodecError::BadName => 7,
         };
         self.refused[reason].fetch_add(1, Ordering::Relaxed);
     }
 
     /// What the detector has dropped so far.
     pub fn dropped(&self, counters: Counters) {
-        let Counters { repeated, far_future, stale, members_full, .. } = counters;
-        for (figure, value) in self.dropped.iter().zip([repeated, far_future, stale, members_full]) {
+        let Counters { replayed, far_future, stale, members_full, .. } = counters;
+        for (figure, value) in self.dropped.iter().zip([replayed, far_future, stale, members_full]) {
             figure.store(value, Ordering::Relaxed);
         }
     }
@@ -77,7 +77,7 @@
             };
             counts[state] += 1;
             let lives = matches!(member.state, State::Alive | State::Suspect);
-            counts[4] += u64::from(lives && member.reach == Reach::OthersOnly);
+            counts[4] += u64::from(lives && member.reachability == Reachability::IndirectOnly);
         }
         for (figure, count) in self.members.iter().zip(counts) {
             figure.store(count, Ordering::Relaxed);
--- a/crates/node/src/membership/tests.rs
+++ b/crates/node/src/membership/tests.rs
@@ -6,10 +6,16 @@
 fn a_member_is_one_line() {
     let profile = Profile { name: "n2".into(), address: "[fd00::12]:7946".parse().unwrap(), instance: 5 };
     let states = [State::Alive, State::Suspect, State::Failed, State::Left];
-    let reaches = [Reach::Unknown, Reach::Direct, Reach::OthersOnly, Reach::Direct];
-    let lines = states.into_iter().zip(reaches).map(|(state, reach)| {
-        let member =
-            Member { profile: profile.clone(), incarnation: 1_790_000_000_123, state, since: 500_000, reach };
+    let reachabilities =
+        [Reachability::Unknown, Reachability::Direct, Reachability::IndirectOnly, Reachability::Direct];
+    let lines = states.into_iter().zip(reachabilities).map(|(state, reachability)| {
+        let member = Member {
+            profile: profile.clone(),
+            incarnation: 1_790_000_000_123,
+            state,
+            since: 500_000,
+            reachability,
+        };
         line(&member, 12_840_000)
     });
     assert_eq!(
--- a/crates/node/src/metrics/tests.rs
+++ b/crates/node/src/metrics/tests.rs
@@ -118,7 +118,7 @@
     membership.sent(61);
     membership.received(63);
     membership.received(64);
-    membership.refused(stonefold_membership::CodecError::Key);
+    membership.refused(stonefold_membership::CodecError::UnknownKey);
     membership.send_errors.add_one();
     metrics.show_membership(membership);
     metrics
