--- /dev/null
+++ b/crates/node/src/discovery/tests/notification_deadline.rs
@@ -0,0 +1,227 @@
+//! A change that discovery has, and for which it can be reached, is at the node within 6 s, whatever became of the poll
+//! in flight: real connections, paused time, polls that queue for 1.5 s.
+
+use std::time::Duration;
+
+use socket2::SockRef;
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::{Instant, sleep, timeout};
+
+use super::{BUSY, CHANGE, Harness, MAX_WAIT, full_backlog, read_poll};
+use crate::message::Message;
+
+/// How long discovery queues a poll.
+const QUEUEING: Duration = Duration::from_millis(1_500);
+const DEADLINE: Duration = Duration::from_secs(6);
+const NO_CHANGES: &str =
+    "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{\"version\":41,\"full\":false,\"servers\":[]}";
+
+/// One way of following lists in one fleet, and the seed of its jitter.
+#[derive(Clone, Copy, Debug)]
+struct Case {
+    watch_required: bool,
+    nodes: usize,
+    seed: u64,
+}
+
+fn cases() -> impl Iterator<Item = Case> {
+    let fleets = [4, 30, 300, 900].into_iter();
+    let seeded = fleets.flat_map(|nodes| (0..5).map(move |seed| (nodes, seed)));
+    seeded.flat_map(|(nodes, seed)| [true, false].map(|watch_required| Case { watch_required, nodes, seed }))
+}
+
+impl Case {
+    async fn start(self) -> Harness {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        Harness::seeded(self.watch_required, self.nodes, self.seed, listener.local_addr().unwrap(), listener)
+    }
+}
+
+impl Harness {
+    /// The watch that is open, and how long it waits for changes.
+    async fn accept_watch(&mut self) -> (TcpStream, Duration) {
+        let (mut stream, mut wait) = self.accept_poll().await;
+        if wait.is_zero() {
+            stream.write_all(NO_CHANGES.as_bytes()).await.unwrap();
+            wait = read_poll(&mut stream).await;
+            assert!(matches!(self.messages.recv().await, Some(Message::EndpointList(_))));
+        }
+        (stream, wait)
+    }
+
+    /// Discovery answers every poll with the change, after so much queueing, until the node has it.
+    async fn answer_with_change(&mut self, queueing: Duration) {
+        let answers = async {
+            loop {
+                let mut stream = self.listener.accept().await.unwrap().0;
+                tokio::spawn(async move {
+                    read_poll(&mut stream).await;
+                    sleep(queueing).await;
+                    let _ = stream.write_all(CHANGE.as_bytes()).await;
+                    sleep(MAX_WAIT).await;
+                });
+            }
+        };
+        tokio::select! {
+            received = timeout(MAX_WAIT, change_received(&mut self.messages)) => received.expect("the change"),
+            () = answers => {}
+        }
+    }
+
+    /// Answers with the change as above; it has to be at the node in less than `deadline` after `since`.
+    async fn assert_notified(
+        &mut self,
+        queueing: Duration,
+        since: Instant,
+        deadline: Duration,
+        case: impl std::fmt::Debug,
+    ) {
+        self.answer_with_change(queueing).await;
+        assert!(since.elapsed() < deadline, "{case:?}: {:?}", since.elapsed());
+    }
+
+    /// Discovery moves to a new address, from when on the time counts.
+    async fn move_discovery(&mut self) -> Instant {
+        self.listener = unused_listener().await;
+        self.address.send(self.listener.local_addr().unwrap()).unwrap();
+        Instant::now()
+    }
+}
+
+/// Waits until the change has reached the node.
+async fn change_received(messages: &mut UnboundedReceiver<Message>) {
+    loop {
+        match messages.recv().await.expect("the watcher goes on") {
+            Message::EndpointList(list) if list.version == 42 => return,
+            _ => {}
+        }
+    }
+}
+
+async fn unused_listener() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").await.unwrap()
+}
+
+fn reset(stream: TcpStream) {
+    SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
+    drop(stream);
+}
+
+#[tokio::test(start_paused = true)]
+async fn after_a_watch_that_has_fallen_silent() {
+    for case in cases() {
+        let mut harness = case.start().await;
+        let (_silent, wait) = harness.accept_watch().await;
+        let since = Instant::now();
+        // A watch of a shared discovery may wait for long, and what it misses is due 2 s after its wait.
+        let (queueing, deadline) = if case.watch_required {
+            (Duration::from_millis(900), DEADLINE.max(wait + Duration::from_secs(2)))
+        } else {
+            (QUEUEING, DEADLINE)
+        };
+        harness.assert_notified(queueing, since, deadline, (case, wait)).await;
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn after_rejected_polls() {
+    for case in cases() {
+        let mut harness = case.start().await;
+        let (mut stream, _) = harness.accept_watch().await;
+        for rejected in 0..6 {
+            stream.write_all(BUSY.as_bytes()).await.unwrap();
+            if rejected < 5 {
+                stream = harness.accept_poll().await.0;
+            }
+        }
+        harness.assert_notified(QUEUEING, Instant::now(), DEADLINE, case).await;
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn after_polls_whose_connections_were_reset() {
+    for case in cases() {
+        let mut harness = case.start().await;
+        let mut stream = harness.accept_watch().await.0;
+        for _ in 0..5 {
+            reset(stream);
+            stream = harness.accept_poll().await.0;
+        }
+        reset(stream);
+        harness.assert_notified(QUEUEING, Instant::now(), DEADLINE, case).await;
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn after_connects_that_timed_out() {
+    for case in cases() {
+        let (listener, filler) = full_backlog().await;
+        let address = listener.local_addr().unwrap();
+        let mut harness = Harness::seeded(case.watch_required, case.nodes, case.seed, address, listener);
+        for _ in 0..4 {
+            assert!(matches!(harness.messages.recv().await, Some(Message::EndpointListFailed)));
+        }
+        // The backlog holds one connection at a time from now on; the connect in flight has been dropped by then.
+        sleep(Duration::from_millis(10)).await;
+        reset(filler);
+        drop(harness.listener.accept().await.unwrap());
+        harness.assert_notified(QUEUEING, Instant::now(), DEADLINE, case).await;
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn after_an_answer_that_was_cut_off_in_its_body() {
+    for case in cases() {
+        for closed in [true, false] {
+            let mut harness = case.start().await;
+            let (mut stream, wait) = harness.accept_watch().await;
+            // The change itself ends the watch, shortly after it was opened or shortly before its end.
+            sleep(if case.seed % 2 == 0 { wait / 20 } else { wait - wait / 20 }).await;
+            let since = Instant::now();
+            stream.write_all(&CHANGE.as_bytes()[..CHANGE.len() - 5]).await.unwrap();
+            let _open = if closed { None } else { Some(stream) };
+            harness.assert_notified(QUEUEING, since, DEADLINE, (case, closed)).await;
+        }
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn after_discovery_was_down_and_is_back() {
+    for case in cases() {
+        let mut harness = case.start().await;
+        let stream = harness.accept_watch().await.0;
+        let address = harness.listener.local_addr().unwrap();
+        drop(std::mem::replace(&mut harness.listener, unused_listener().await));
+        reset(stream);
+        sleep(Duration::from_secs(8)).await;
+        harness.listener = TcpListener::bind(address).await.unwrap();
+        harness.assert_notified(QUEUEING, Instant::now(), DEADLINE, case).await;
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn after_a_new_address_whose_first_poll_is_never_answered() {
+    for case in cases() {
+        let mut harness = case.start().await;
+        let _old = harness.accept_watch().await;
+        let since = harness.move_discovery().await;
+        let _silent = harness.accept_poll().await;
+        assert!(since.elapsed() < Duration::from_millis(100), "polled there at once: {:?}", since.elapsed());
+        harness.assert_notified(QUEUEING, since, DEADLINE, case).await;
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn at_a_new_address_that_rejects_two_polls_within_four_seconds() {
+    for case in cases() {
+        let mut harness = case.start().await;
+        let _old = harness.accept_watch().await;
+        let since = harness.move_discovery().await;
+        for _ in 0..2 {
+            harness.accept_poll().await.0.write_all(BUSY.as_bytes()).await.unwrap();
+        }
+        harness.assert_notified(QUEUEING, since, Duration::from_secs(4), case).await;
+    }
+}
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -46,7 +46,7 @@
     let known = (!config.known.servers.is_empty()).then_some(config.known.version);
     let (_address, address) = watch::channel(config.discovery);
     let (_terms, terms) = watch::channel(SharedSettings::from(&config.setup));
-    let watching = discovery::Watch::new(subscribe.clone(), known, terms, config.seed, to_driver);
+    let watching = discovery::EndpointWatcher::new(subscribe.clone(), known, terms, config.seed, to_driver);
     let (control, directions) = mpsc::channel(CONTROLS);
     let store = Arc::new(OrderStore::File(OrderFile::of_node()));
     store.changed();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -73,7 +73,7 @@
     let (bounds, servers_limit) = (config.client_bounds(to_servers.clone()), config.server_connections());
     let (new_terms, terms) = watch::channel(SharedSettings::from(&config.setup));
     let watching =
-        discovery::Watch::new(subscribe.clone(), known, terms.clone(), config.seed, sender.clone());
+        discovery::EndpointWatcher::new(subscribe.clone(), known, terms.clone(), config.seed, sender.clone());
     let metrics = Arc::new(Metrics::new(log));
     terms.borrow().class_names.iter().for_each(|class| _ = metrics.class(class));
     let (control, directions) = mpsc::channel(CONTROLS);
