--- a/crates/cli/src/followed.rs
+++ b/crates/cli/src/followed.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use stonefold_node::orders::{Order, Orders};
+use stonefold_node::overrides::{Override, Overrides};
 use stonefold_node::shared::{Later, Shared};
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::feed::frame::{Item, Key};
@@ -58,16 +58,16 @@
         Box::pin(async move { _ = ready.wait_for(|ready| *ready).await }) // one that has ended keeps nobody waiting
     }
 
-    fn orders(&self) -> Orders {
+    fn overrides(&self) -> Overrides {
         let view = self.follower.feed.view();
         let keys: Vec<&Key> = view.items().keys().filter(|key| matches!(key, Key::Order(_))).collect();
-        let order = |key: &Key| match view.item(key) {
+        let server_override = |key: &Key| match view.item(key) {
             Some((_, Item::Order { server, order })) => {
-                Some((server, Order { out: order.out, since_ms: order.since_ms }))
+                Some((server, Override { disabled: order.out, since_ms: order.since_ms }))
             }
             _ => None,
         };
-        keys.into_iter().filter_map(order).collect()
+        keys.into_iter().filter_map(server_override).collect()
     }
 
     fn changed(&self) -> bool {
@@ -76,7 +76,7 @@
         self.seen.swap(now, Ordering::Relaxed) != now
     }
 
-    fn order(&self, _: String, _: Order) -> Later<'_, Result<(), String>> {
+    fn set_override(&self, _: String, _: Override) -> Later<'_, Result<(), String>> {
         Box::pin(async {
             Err("this node follows the store, and can't change it: order at a member's node".into())
         })
--- a/crates/cli/src/shared.rs
+++ b/crates/cli/src/shared.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use stonefold_node::orders::{Order, Orders};
+use stonefold_node::overrides::{Override, Overrides};
 use stonefold_node::shared::{Later, Shared};
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::daemon::Daemon;
@@ -115,12 +115,12 @@
         Box::pin(async move { _ = ready.wait_for(|ready| *ready).await }) // a store that has ended keeps nobody waiting
     }
 
-    fn orders(&self) -> Orders {
+    fn overrides(&self) -> Overrides {
         let applied = self.daemon.replica.shared().read();
-        let order = |(id, order): (&String, &state::Order)| {
-            (id.clone(), Order { out: order.out, since_ms: order.since_ms })
+        let server_override = |(id, order): (&String, &state::Order)| {
+            (id.clone(), Override { disabled: order.out, since_ms: order.since_ms })
         };
-        applied.state.orders().iter().map(order).collect()
+        applied.state.orders().iter().map(server_override).collect()
     }
 
     fn changed(&self) -> bool {
@@ -128,8 +128,8 @@
         self.seen.swap(now, Ordering::Relaxed) != now
     }
 
-    fn order(&self, server: String, order: Order) -> Later<'_, Result<(), String>> {
-        let order = state::Order { out: order.out, since_ms: order.since_ms };
+    fn set_override(&self, server: String, server_override: Override) -> Later<'_, Result<(), String>> {
+        let order = state::Order { out: server_override.disabled, since_ms: server_override.since_ms };
         Box::pin(async move {
             let change = Change::Order { server: server.clone(), order };
             let until = Instant::now() + ORDER;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -17,7 +17,7 @@
 use crate::handover;
 use crate::membership::MembershipConfig;
 use crate::momentary::{Momentary, until_done_blocking};
-use crate::operator::CALLERS;
+use crate::operator::MAX_CONNECTIONS;
 use crate::relay::Budget;
 use crate::shared::Shared;
 
@@ -26,7 +26,7 @@
 
 /// Descriptors that are neither clients' nor servers' connections: the standard streams, the
 /// listeners, discovery, the runtimes' own, operators, and one to spare for a connection that is turned away.
-const RESERVED: usize = 22 + CALLERS;
+const RESERVED: usize = 22 + MAX_CONNECTIONS;
 /// Where the configuration sets no limit.
 const SOCKETS: usize = 1024;
 const MEMORY_MB: usize = 192;
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -26,7 +26,7 @@
 use crate::config::Config;
 use crate::message::{Control, Message, SharedSettings};
 use crate::metrics::Metrics;
-use crate::orders::Orders;
+use crate::overrides::Overrides;
 use crate::relay::Budget;
 use crate::request::Response;
 use crate::shared::Ledger;
@@ -99,14 +99,14 @@
     to_self: UnboundedSender<Message>,
     inbox: UnboundedReceiver<Message>,
     control: Receiver<Control>,
-    orders: Orders,
+    overrides: Overrides,
     /// The list for the others; nothing where nothing is kept together.
     ledger: Option<Ledger>,
 }
 
 impl Driver {
     /// A driver that holds so many connections to servers at most.
-    pub fn new(config: Config, connections: usize, wiring: Wiring, orders: Orders) -> Self {
+    pub fn new(config: Config, connections: usize, wiring: Wiring, overrides: Overrides) -> Self {
         let Wiring { stalls, budget, metrics, held, subscribe, to_self, inbox, control } = wiring;
         let (clock, now, settings) = (Clock::new(), Instant::now(), config.setup.settings.clone());
         let directory = Directory::new(Duration::from_micros(settings.idle_timeout), metrics.clone());
@@ -131,12 +131,12 @@
             to_self,
             inbox,
             control,
-            orders: Orders::new(),
+            overrides: Overrides::new(),
             ledger: config.shared.map(Ledger::new),
         };
         driver.timers.insert(Due::Sweep, SWEEP);
         driver.count_later();
-        driver.apply_orders(orders, None);
+        driver.apply_overrides(overrides, None);
         let known = EndpointList { full: true, ..config.known };
         if driver.ledger.as_mut().is_none_or(|ledger| ledger.enter(&known)) {
             driver.list(known);
@@ -202,10 +202,10 @@
                 self.decide();
                 let _ = answer.send(terms);
             }
-            Control::Orders(orders, done) => {
-                self.apply_orders(orders, Some(self.clock.at(self.now)));
+            Control::Overrides { overrides, applied } => {
+                self.apply_overrides(overrides, Some(self.clock.at(self.now)));
                 self.decide();
-                let _ = done.map(|done| done.send(()));
+                let _ = applied.map(|applied| applied.send(()));
             }
         }
     }
@@ -219,31 +219,30 @@
         SharedSettings::from(&self.setup)
     }
 
-    /// Brings into force what differs from the orders so far. Those given while the process runs count from when they
-    /// were told; of others the wall clock alone tells when it was.
-    fn apply_orders(&mut self, orders: Orders, told: Option<Micros>) {
-        for (name, order) in &orders {
-            let before = self.orders.get(name);
-            if before == Some(order) {
+    /// Applies the overrides that differ from those in force. One that is set while the process runs counts from `now`;
+    /// an older one from its time on the wall clock.
+    fn apply_overrides(&mut self, overrides: Overrides, now: Option<Micros>) {
+        for (name, server_override) in &overrides {
+            if self.overrides.get(name) == Some(server_override) {
                 continue;
             }
-            // An order that was never seen in between took the server out and put it back.
-            let server = self.directory.ban(name, order.out);
-            let event = match order.out {
+            let disabled = server_override.disabled;
+            let server = self.directory.ban(name, disabled);
+            let event = match disabled {
                 true => Event::Disable(server),
                 false => {
-                    let since = told.unwrap_or(micros_from_millis(order.since_ms as f64));
+                    let since = now.unwrap_or(micros_from_millis(server_override.since_ms as f64));
                     Event::Enable { server, since }
                 }
             };
-            let (event_name, words) = match order.out {
+            let (event_name, words) = match disabled {
                 true => ("server_out", "out of use by hand"),
                 false => ("server_back", "back in use by hand"),
             };
             info!(event = event_name, server = name, words);
             self.events.push_back(event);
         }
-        self.orders = orders;
+        self.overrides = overrides;
     }
 
     fn on_message(&mut self, message: Message) {
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -13,8 +13,7 @@
 use crate::driver::{Driver, Wiring};
 use crate::message::{Message, SharedSettings};
 use crate::metrics::Metrics;
-use crate::order_store::{self, OrderStore};
-use crate::orders::{OrderFile, Orders};
+use crate::overrides::{self, OverrideFile, OverrideStore, Overrides};
 use crate::stall::StallMonitor;
 use crate::{CONTROLS, discovery};
 
@@ -48,7 +47,7 @@
     let (_terms, terms) = watch::channel(SharedSettings::from(&config.setup));
     let watching = discovery::EndpointWatcher::new(subscribe.clone(), known, terms, config.seed, to_driver);
     let (control, directions) = mpsc::channel(CONTROLS);
-    let store = Arc::new(OrderStore::File(OrderFile::of_node()));
+    let store = Arc::new(OverrideStore::File(OverrideFile::of_node()));
     store.changed();
     config.file = Default::default();
     let version = config.known.version;
@@ -66,9 +65,9 @@
         control: directions,
     };
     let limit = config.server_connections();
-    let mut driver = Driver::new(config, limit, wiring, store.load().unwrap_or_else(|_| Orders::new()));
+    let mut driver = Driver::new(config, limit, wiring, store.load().unwrap_or_else(|_| Overrides::new()));
     let _following =
-        AbortOnDropHandle::new(tokio::spawn(order_store::follow(store, false, control, sender.clone())));
+        AbortOnDropHandle::new(tokio::spawn(overrides::follow(store, false, control, sender.clone())));
     let _watching = AbortOnDropHandle::new(tokio::spawn(watching.run(address)));
     acted(Acted { version, driver: &driver });
     loop {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,9 +14,7 @@
 mod metrics;
 mod momentary;
 mod operator;
-mod operator_handler;
-mod order_store;
-pub mod orders;
+pub mod overrides;
 mod presence;
 mod relay;
 mod reload;
@@ -43,9 +41,8 @@
 use membership::Membership;
 use message::{Control, SharedSettings};
 use metrics::Metrics;
-use operator_handler::OperatorHandler;
-use order_store::OrderStore;
-use orders::OrderFile;
+use operator::NodeHandler;
+use overrides::{OverrideFile, OverrideStore};
 use reload::Follower;
 use stall::StallMonitor;
 use stopping::Plan;
@@ -77,11 +74,11 @@
     let metrics = Arc::new(Metrics::new(log));
     terms.borrow().class_names.iter().for_each(|class| _ = metrics.class(class));
     let (control, directions) = mpsc::channel(CONTROLS);
-    let in_file = || OrderStore::File(OrderFile::of_node());
-    let store = Arc::new(shared.clone().map_or_else(in_file, OrderStore::Shared));
+    let in_file = || OverrideStore::File(OverrideFile::of_node());
+    let store = Arc::new(shared.clone().map_or_else(in_file, OverrideStore::Shared));
     store.changed();
-    let (orders, unread) = store.load_at_start().await;
-    tokio::spawn(order_store::follow(store.clone(), unread, control.clone(), sender.clone()));
+    let initial = store.load_at_start().await;
+    tokio::spawn(overrides::follow(store.clone(), initial.unread, control.clone(), sender.clone()));
     let (operator, membership) = (config.operator, config.membership.take());
     let (budget, started) = (config.relay_budget(), config.started);
     let file = std::mem::take(&mut config.file);
@@ -97,13 +94,13 @@
         inbox,
         control: directions,
     };
-    let driver = Driver::new(config, servers_limit, wiring, orders);
+    let driver = Driver::new(config, servers_limit, wiring, initial.overrides);
     let membership = membership.map(Membership::start);
     if let Some(membership) = &membership {
         metrics.show_membership(membership.figures());
     }
     if let Some(at) = operator {
-        let handler = OperatorHandler {
+        let handler = NodeHandler {
             serving: serving.clone(),
             control: control.clone(),
             store,
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::orders::Orders;
+use crate::overrides::Overrides;
 use crate::presence::Presence;
 use crate::relay::Stream;
 use crate::request::{ClientRequest, Response};
@@ -46,8 +46,8 @@
     IsKnownServer { name: String, reply: oneshot::Sender<bool> },
     /// New settings; the reply is what they mean for the other parts of the node.
     Reload(Box<SettingsDocument>, oneshot::Sender<Result<SharedSettings, SettingsError>>),
-    /// The operators' orders for servers, as they are now. The sender is notified once they are in force.
-    Orders(Orders, Option<oneshot::Sender<()>>),
+    /// The operators' overrides for servers, as they are now. The sender is notified once they are in force.
+    Overrides { overrides: Overrides, applied: Option<oneshot::Sender<()>> },
 }
 
 /// What the settings mean for the parts of the node around the driver.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -10,7 +10,7 @@
 use stonefold_proto::endpoints::{EndpointList, ListedServer, ServerState};
 use tracing::warn;
 
-use crate::orders::{Order, Orders};
+use crate::overrides::{Override, Overrides};
 
 /// A future of a trait object.
 pub type Later<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
@@ -19,12 +19,12 @@
 pub trait Shared: Send + Sync + 'static {
     /// Waits until it is known what is committed, or was waited for long enough.
     fn ready(&self) -> Later<'_, ()>;
-    /// The orders in force.
-    fn orders(&self) -> Orders;
+    /// The overrides in force.
+    fn overrides(&self) -> Overrides;
     /// Whether anything may have changed since this was last asked.
     fn changed(&self) -> bool;
-    /// Gives an order to all nodes, durably.
-    fn order(&self, server: String, order: Order) -> Later<'_, Result<(), String>>;
+    /// Sets a server's override at all nodes, durably.
+    fn set_override(&self, server: String, server_override: Override) -> Later<'_, Result<(), String>>;
     /// The committed list, if it is newer than the one acted on.
     fn newer_list(&self) -> Option<EndpointList>;
     /// Whether a list of this version may be acted on; it is from then on. An error tells the version that is known.
--- a/crates/node/src/shared/tests.rs
+++ b/crates/node/src/shared/tests.rs
@@ -18,13 +18,13 @@
     fn ready(&self) -> Later<'_, ()> {
         Box::pin(async {})
     }
-    fn orders(&self) -> Orders {
-        Orders::new()
+    fn overrides(&self) -> Overrides {
+        Overrides::new()
     }
     fn changed(&self) -> bool {
         false
     }
-    fn order(&self, _: String, _: Order) -> Later<'_, Result<(), String>> {
+    fn set_override(&self, _: String, _: Override) -> Later<'_, Result<(), String>> {
         Box::pin(async { Ok(()) })
     }
     fn newer_list(&self) -> Option<EndpointList> {
