--- a/crates/cli/tests/membership.rs
+++ b/crates/cli/tests/membership.rs
@@ -271,7 +271,7 @@
     fleet.signal(1, "-CONT");
     fleet.wait("it is back", |fleet| fleet.all_hold(|_, _| "alive"));
     assert!(fleet.node(1).logged("member_failed").is_empty());
-    assert!(!fleet.node(1).logged("paused").is_empty());
+    assert!(!fleet.node(1).logged("process_paused").is_empty());
     fleet.wait("it has learned of it", |fleet| !fleet.node(1).logged("declared_failed").is_empty());
 }
 
--- a/crates/node/src/clients/owed.rs
+++ b/crates/node/src/clients/owed.rs
@@ -84,7 +84,7 @@
     /// Checks an answer whose last byte was written now.
     pub fn check(&self, violations: &Violations) {
         if Instant::now() > self.at + ANSWER_SLACK {
-            violations.note(Invariant::AnswerInTime, &self.request);
+            violations.record(Invariant::AnswerInTime, &self.request);
         }
     }
 }
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -137,20 +137,20 @@
             );
             return;
         }
-        let figures = &self.shared.metrics.closed_owing;
+        let figures = &self.shared.metrics.unanswered_closes;
         match ended {
-            Ok(_) => figures.by_client.add_one(),
+            Ok(_) => figures.by_client.increment(),
             Err(error)
                 if matches!(
                     SocketErrorKind::of(error),
                     SocketErrorKind::PeerClosed | SocketErrorKind::Unreachable
                 ) =>
             {
-                figures.by_client.add_one();
+                figures.by_client.increment();
             }
             Err(_) => {
-                figures.by_node.add_one();
-                self.shared.metrics.violations.note(Invariant::NoCloseOwing, &[]);
+                figures.by_node.increment();
+                self.shared.metrics.violations.record(Invariant::NoUnansweredClose, &[]);
             }
         }
         debug!(
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -100,12 +100,12 @@
         let id = RequestId(self.shared.next_id.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = oneshot::channel();
         if self.shared.stalls.earliest_arrival(self.read_at) < self.read_at {
-            self.shared.metrics.read_after_stall.add_one();
+            self.shared.metrics.read_after_stall.increment();
         }
         trace!(event = "taken", request = %String::from_utf8_lossy(&command.id), wait_us = command.timeout,
             came_us_ago = self.came_at.elapsed().as_micros() as u64, "a request is taken");
         if self.shared.closing.silent.is_cancelled() {
-            self.shared.metrics.violations.note(Invariant::NoLateStart, &command.id);
+            self.shared.metrics.violations.record(Invariant::NoLateRequest, &command.id);
         }
         let due =
             Due { at: self.came_at + Duration::from_micros(command.timeout), request: command.id.clone() };
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -35,7 +35,7 @@
         let repeats = open.must_not_repeat();
         open.starts.push(conditions.start.clone());
         if repeats {
-            self.metrics.violations.note(Invariant::NoUnsafeRepeat, &open.command.id);
+            self.metrics.violations.record(Invariant::NoUnsafeRetry, &open.command.id);
             open.attempts.push(None);
             return self.report_end(id, attempt, Outcome::NotSent, Duration::ZERO, None);
         }
@@ -175,7 +175,7 @@
     /// Counts how a value ended that had begun to come.
     fn count_end(&self, id: RequestId, whole: bool) {
         if let Some(outcomes) = self.open.get(&id).and_then(|open| open.outcomes.as_ref()) {
-            if whole { outcomes.served.add_one() } else { outcomes.failed.add_one() }
+            if whole { outcomes.succeeded.increment() } else { outcomes.failed.increment() }
         }
     }
 
@@ -196,7 +196,7 @@
             begun = open.starts.get(attempt).is_none_or(SendStart::is_set);
             open.may_have_run |= begun && outcome.may_have_run();
             if open.began_after_end(attempt) {
-                self.metrics.violations.note(Invariant::NoSendAfterEnd, &open.command.id);
+                self.metrics.violations.record(Invariant::NoSendAfterEnd, &open.command.id);
             }
             trace!(event = "attempt_ended", request = %open.name(), attempt, ?outcome, elapsed_us = elapsed,
                 "an attempt has ended");
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -261,7 +261,7 @@
                 self.answered = true;
             }
             // The watch comes again by itself; the list stays as it was.
-            Message::EndpointListFailed => self.metrics.list_failures.add_one(),
+            Message::EndpointListFailed => self.metrics.failed_polls.increment(),
         }
     }
 
@@ -314,8 +314,8 @@
     /// Copies what the module alone knows into the figures.
     fn count(&self) {
         let caches = self.balancer.cache_counts();
-        self.metrics.listed.set(caches.listed);
-        self.metrics.avoided.set(caches.avoided);
+        self.metrics.listed_servers.set(caches.listed as u64);
+        self.metrics.unavailable_servers.set(caches.avoided as u64);
     }
 
     fn count_later(&mut self) {
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -54,7 +54,7 @@
         let class = surplus.class.as_deref();
         let index = class.and_then(|name| self.setup.class(name));
         if let Some(name) = class.filter(|_| index.is_some()) {
-            self.metrics.class(name).refused.add_one();
+            self.metrics.class(name).rejected.increment();
         }
         let pause = self.balancer.retry_after(index);
         debug!(event = "refused", class, retry_after_us = pause, "a connection has too many requests open");
@@ -67,7 +67,7 @@
                 && let Some(ended_at) = open.client.ended_at()
             {
                 let late = open.starts.iter().filter(|start| start.after(ended_at)).count();
-                self.metrics.note_client_end(ended_at.elapsed(), late);
+                self.metrics.record_disconnect(ended_at.elapsed(), late);
             }
             self.events.push_back(Event::ClientDisconnected(id));
             self.stop_unwritten(id);
@@ -88,11 +88,11 @@
         if let Some(sender) = open.answer.take() {
             if let Some(outcomes) = &open.outcomes {
                 let figure = match &answer {
-                    Response::Value(_) | Response::Stream(_) => &outcomes.served,
-                    Response::Rejected { retry_after: _ } => &outcomes.refused,
+                    Response::Value(_) | Response::Stream(_) => &outcomes.succeeded,
+                    Response::Rejected { retry_after: _ } => &outcomes.rejected,
                     Response::Failed => &outcomes.failed,
                 };
-                figure.add_one();
+                figure.increment();
             }
             open.note_end(&answer);
             open.answered_at = Some(Instant::now());
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -1,76 +1,70 @@
-//! The rules that every request keeps, each checked at one place while the node runs, and counted when it is broken.
+//! The invariants of every request. Each is checked at one place while the node runs, and its violations are counted.
 //!
 //! A guard stands before the act where the act can still be left undone: [`SendPermit`](crate::upstream::send_permit)
-//! for the first byte of an attempt, `Driver::send` for a repeat, `Session::serve` for a close. The checks here look at
-//! what was done, by times that were noted apart from the guards.
+//! for the first byte of an attempt, `Driver::send` for a retry, `Session::serve` for a close. The checks counted here
+//! look at what was done, by times that were recorded apart from the guards.
 
-use std::fmt::Write;
 use std::time::Duration;
 
 use tracing::error;
 
-use crate::metrics::Figure;
+use crate::counter::Counter;
 
-/// An answer that is later than its client's time by more than this breaks a rule.
-pub const ANSWER_SLACK: Duration = Duration::from_millis(50);
+/// An answer violates [`Invariant::AnswerInTime`] if it is later than its client's deadline by more than this.
+pub(crate) const ANSWER_SLACK: Duration = Duration::from_millis(50);
 
 /// A rule that holds for every request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Invariant {
-    /// The last byte of an answer is written in its client's time and [`ANSWER_SLACK`].
+pub(crate) enum Invariant {
+    /// The last byte of an answer is written within its client's deadline and [`ANSWER_SLACK`].
     AnswerInTime,
-    /// No attempt begins after its request's final answer, or after its client's end was seen.
+    /// No attempt begins after its request's final answer, or after its client's disconnect was seen.
     NoSendAfterEnd,
-    /// What may have run is sent again only where its class allows that, and in its window.
-    NoUnsafeRepeat,
-    /// The node ends no connection on which answers are owed.
-    NoCloseOwing,
-    /// A process that is to stop takes nothing once the last connections are to have closed.
-    NoLateStart,
+    /// An attempt that may have taken effect is retried only if its class allows that, and within its window.
+    NoUnsafeRetry,
+    /// The node closes no connection with requests unanswered.
+    NoUnansweredClose,
+    /// A process that shuts down accepts no request after its last connections should have closed.
+    NoLateRequest,
 }
 
 impl Invariant {
-    /// All of them, in the order of their counts.
-    pub const ALL: [Invariant; 5] = [
+    /// All invariants, in the order of their counts.
+    pub(crate) const ALL: [Invariant; 5] = [
         Invariant::AnswerInTime,
         Invariant::NoSendAfterEnd,
-        Invariant::NoUnsafeRepeat,
-        Invariant::NoCloseOwing,
-        Invariant::NoLateStart,
+        Invariant::NoUnsafeRetry,
+        Invariant::NoUnansweredClose,
+        Invariant::NoLateRequest,
     ];
 
-    /// The name that figures and logs show.
-    pub fn name(self) -> &'static str {
+    /// The name in metrics and logs.
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Invariant::AnswerInTime => "answer_in_time",
             Invariant::NoSendAfterEnd => "no_send_after_end",
-            Invariant::NoUnsafeRepeat => "no_unsafe_repeat",
-            Invariant::NoCloseOwing => "no_close_owing",
-            Invariant::NoLateStart => "no_late_start",
+            Invariant::NoUnsafeRetry => "no_unsafe_repeat",
+            Invariant::NoUnansweredClose => "no_close_owing",
+            Invariant::NoLateRequest => "no_late_start",
         }
     }
 }
 
-/// How often each rule was broken.
+/// How often each invariant was violated.
 #[derive(Debug, Default)]
-pub struct Violations([Figure; Invariant::ALL.len()]);
+pub(crate) struct Violations([Counter; Invariant::ALL.len()]);
 
 impl Violations {
-    /// Counts and logs a broken rule. `request` is its id as the client gave it, or empty.
-    pub fn note(&self, broken: Invariant, request: &[u8]) {
-        self.0[broken as usize].add_one();
+    /// Counts and logs a violation. `request` is the request's id as the client gave it, or empty.
+    pub(crate) fn record(&self, violated: Invariant, request: &[u8]) {
+        self.0[violated as usize].increment();
         let request = String::from_utf8_lossy(request);
-        error!(event = "invariant_violated", invariant = broken.name(), %request, "a rule is broken");
+        error!(event = "invariant_violated", invariant = violated.name(), %request, "an invariant is violated");
     }
 
-    /// Appends the counts in the text format of Prometheus. Writing to a string can't fail.
-    pub fn text(&self, text: &mut String) {
-        const NAME: &str = "svc_invariant_violations_total";
-        let _ = writeln!(text, "# TYPE {NAME} counter");
-        for invariant in Invariant::ALL {
-            let count = self.0[invariant as usize].get();
-            let _ = writeln!(text, "{NAME}{{invariant=\"{}\"}} {count}", invariant.name());
-        }
+    /// The count of each invariant, by its name.
+    pub(crate) fn counts(&self) -> impl Iterator<Item = (&str, &Counter)> {
+        Invariant::ALL.into_iter().map(|invariant| (invariant.name(), &self.0[invariant as usize]))
     }
 }
 
--- a/crates/node/src/invariants/tests.rs
+++ b/crates/node/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! A broken rule that is planted is counted, under its own name alone.
+//! A violation is counted under its own invariant alone.
 
 use tokio::time::Instant;
 
@@ -10,20 +10,20 @@
 }
 
 #[test]
-fn each_rule_has_a_count_of_its_own_which_is_shown() {
-    for (place, broken) in Invariant::ALL.into_iter().enumerate() {
+fn each_invariant_has_a_count_of_its_own() {
+    for (index, violated) in Invariant::ALL.into_iter().enumerate() {
         let violations = Violations::default();
-        violations.note(broken, b"id");
-        let expected: Vec<u64> = (0..Invariant::ALL.len()).map(|n| u64::from(n == place)).collect();
+        violations.record(violated, b"id");
+        let expected: Vec<u64> = (0..Invariant::ALL.len()).map(|other| u64::from(other == index)).collect();
         assert_eq!(counts(&violations), expected);
-        let mut text = String::new();
-        violations.text(&mut text);
-        assert!(text.contains(&format!("invariant=\"{}\"}} 1\n", broken.name())), "{text}");
+        let shown: Vec<&str> =
+            violations.counts().filter(|(_, count)| count.get() == 1).map(|(name, _)| name).collect();
+        assert_eq!(shown, [violated.name()]);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_is_late_beyond_the_slack_alone() {
+async fn an_answer_is_late_only_beyond_the_slack() {
     let violations = Violations::default();
     let due = Due { at: Instant::now() + Duration::from_millis(100), request: "id".into() };
     tokio::time::advance(Duration::from_millis(100) + ANSWER_SLACK).await;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,6 +4,7 @@
 mod bounds;
 mod clients;
 pub mod config;
+mod counter;
 mod discovery;
 mod driver;
 mod handover;
@@ -97,7 +98,7 @@
     let driver = Driver::new(config, servers_limit, wiring, initial.overrides);
     let membership = membership.map(Membership::start);
     if let Some(membership) = &membership {
-        metrics.show_membership(membership.figures());
+        metrics.show_membership(membership.metrics());
     }
     if let Some(at) = operator {
         let handler = NodeHandler {
@@ -127,7 +128,7 @@
     let front = Front::start(wiring, Listener::new(listener));
     serving.store(true, Ordering::Relaxed);
     let took = started.elapsed();
-    metrics.ready(took);
+    metrics.set_ready(took);
     info!(event = "ready", took_ms = took.as_millis() as u64, "requests are served");
     tokio::select! {
         _ = stop.recv() => {}
--- /dev/null
+++ b/crates/node/src/membership/logging.rs
@@ -0,0 +1,60 @@
+//! The detector's events in the log.
+
+use stonefold_membership::{Detector, Event, MemberId, Micros};
+use tracing::{info, warn};
+
+use super::listing::reachability_label;
+
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLISECOND: Micros = 1_000;
+
+/// Logs one event.
+pub(super) fn log_event(detector: &Detector, event: &Event) {
+    match event {
+        Event::Joined { name } => info!(event = "member_joined", member = name, "a node has joined"),
+        Event::Suspected { name, by } => {
+            let by = name_of(detector, *by);
+            info!(event = "member_suspected", member = name, by, "a node did not answer");
+        }
+        Event::Refuted { name } => info!(event = "member_refuted", member = name, "a suspect is alive"),
+        Event::Failed { name, suspected_by } => {
+            let names: Vec<String> = suspected_by.iter().map(|id| name_of(detector, *id)).collect();
+            let suspected_by = names.join(",");
+            warn!(event = "member_failed", member = name, suspected_by, "a node has answered nobody");
+        }
+        Event::Returned { name } => info!(event = "member_returned", member = name, "a node is back"),
+        Event::Restarted { name } => {
+            info!(event = "member_restarted", member = name, "a node runs in a new process");
+        }
+        Event::Left { name } => info!(event = "member_left", member = name, "a node has left"),
+        Event::ReachabilityChanged { name, reachability } => {
+            let reach = reachability_label(*reachability);
+            warn!(event = "member_reachability_changed", member = name, reach, "as seen from this node");
+        }
+        Event::Reaped { name } => {
+            info!(event = "member_reaped", member = name, "a failed or left node is no longer listed");
+        }
+        Event::DeclaredFailed { by } => {
+            let by = name_of(detector, *by);
+            warn!(event = "declared_failed", by, "this node was declared failed; it has refuted that");
+        }
+        Event::Paused { duration } => {
+            let ms = duration / MICROS_PER_MILLISECOND;
+            warn!(event = "process_paused", ms, "this process was stopped or starved; it suspects nobody");
+        }
+        Event::NameConflict { address } => {
+            let name = &detector.local_member().profile.name;
+            warn!(event = "name_conflict", name, other = %address,
+                "a later process runs under this node's name; this one no longer takes part");
+        }
+    }
+}
+
+/// A member's name, or its id if it is not known.
+fn name_of(detector: &Detector, id: MemberId) -> String {
+    match detector.member(id) {
+        Some(member) => member.profile.name.clone(),
+        None if id == MemberId::of(&detector.local_member().profile.name) => "this node".into(),
+        None => id.to_string(),
+    }
+}
--- /dev/null
+++ b/crates/node/src/metrics/prometheus.rs
@@ -0,0 +1,35 @@
+//! The text format of Prometheus. Writing to a string can't fail, so that results of `write!` are ignored.
+
+use std::fmt::Write;
+
+use crate::counter::Counter;
+
+/// Appends the line that states a metric's type.
+pub(crate) fn write_type(text: &mut String, name: &str, kind: &str) {
+    let _ = writeln!(text, "# TYPE {name} {kind}");
+}
+
+/// Appends a metric with one value.
+pub(super) fn write_value(text: &mut String, name: &str, kind: &str, value: u64) {
+    write_type(text, name, kind);
+    let _ = writeln!(text, "{name} {value}");
+}
+
+/// Appends a metric with one value for each of a label's values.
+pub(crate) fn write_labelled<'a>(
+    text: &mut String,
+    name: &str,
+    kind: &str,
+    label: &str,
+    rows: impl Iterator<Item = (&'a str, &'a Counter)>,
+) {
+    write_type(text, name, kind);
+    for (value, counter) in rows {
+        let _ = writeln!(text, "{name}{{{label}=\"{}\"}} {}", escape(value), counter.get());
+    }
+}
+
+/// A label's value with its special characters escaped.
+fn escape(value: &str) -> String {
+    value.replace('\\', r"\\").replace('"', "\\\"").replace('\n', r"\n")
+}
--- a/crates/node/src/metrics/tests.rs
+++ b/crates/node/src/metrics/tests.rs
@@ -1,11 +1,15 @@
+//! The metrics in the text format of Prometheus.
+
 use super::*;
+use crate::invariants::Invariant;
+use summary::MAX_RECORDED;
 
 #[test]
-fn a_class_is_shown_from_nought_and_keeps_its_counts() {
+fn a_class_is_shown_from_zero_and_keeps_its_counts() {
     let metrics = Metrics::default();
-    metrics.class("read").served.add_one();
+    metrics.class("read").succeeded.increment();
     metrics.class("put");
-    metrics.class("read").served.add_one();
+    metrics.class("read").succeeded.increment();
     let text = metrics.text();
     for line in [
         "svc_success_total{tier=\"read\"} 2",
@@ -41,12 +45,12 @@
 }
 
 #[test]
-fn late_ends_of_clients_show_as_a_quantile_in_seconds_and_as_a_count_of_attempts() {
+fn disconnect_delays_show_as_a_quantile_in_seconds_and_as_a_count_of_attempts() {
     let metrics = Metrics::default();
     for ms in 1..=100 {
-        metrics.note_client_end(Duration::from_millis(ms), usize::from(ms > 98));
+        metrics.record_disconnect(Duration::from_millis(ms), usize::from(ms > 98));
     }
-    metrics.loop_lag.record(2 * LONGEST); // told apart no further than this
+    metrics.loop_lag.record(2 * MAX_RECORDED); // recorded as the maximum
     let text = metrics.text();
     for line in [
         "svc_attempts_after_leave_total 2",
@@ -67,8 +71,8 @@
 fn the_time_to_ready_is_shown_once_it_is_known_and_stays() {
     let metrics = Metrics::default();
     assert!(!metrics.text().contains("svc_ready_seconds"));
-    metrics.ready(Duration::from_millis(1_234));
-    metrics.ready(Duration::from_secs(60));
+    metrics.set_ready(Duration::from_millis(1_234));
+    metrics.set_ready(Duration::from_secs(60));
     assert!(metrics.text().contains("# TYPE svc_ready_seconds gauge\nsvc_ready_seconds 1.234\n"));
 }
 
@@ -89,37 +93,51 @@
     assert!(text.contains("svc_deadline_excess_seconds_count 5\n"));
 }
 
-/// Figures with every row, each of another value where it can have one.
+#[test]
+fn each_violated_invariant_shows_under_its_name() {
+    for violated in Invariant::ALL {
+        let metrics = Metrics::default();
+        metrics.violations.record(violated, b"id");
+        let text = metrics.text();
+        for invariant in Invariant::ALL {
+            let count = u64::from(invariant == violated);
+            let row = format!("svc_invariant_violations_total{{invariant=\"{}\"}} {count}", invariant.name());
+            assert!(text.lines().any(|line| line == row), "{row} in {text}");
+        }
+    }
+}
+
+/// Metrics with every row, each of another value where it can have one.
 fn filled() -> Metrics {
     let metrics = Metrics::default();
     let class = metrics.class("read");
-    (0..3).for_each(|_| class.served.add_one());
-    (0..2).for_each(|_| class.refused.add_one());
-    class.failed.add_one();
+    (0..3).for_each(|_| class.succeeded.increment());
+    (0..2).for_each(|_| class.rejected.increment());
+    class.failed.increment();
     metrics.class("put");
-    metrics.note_client_end(Duration::from_millis(20), 7);
+    metrics.record_disconnect(Duration::from_millis(20), 7);
     metrics.loop_lag.record(Duration::from_millis(3));
     metrics.stalls.record(Duration::from_millis(300));
     metrics.deadline_excess.record(Duration::from_millis(60));
-    metrics.calls.set(101);
+    metrics.attempts_written.set(101);
     metrics.read_after_stall.set(102);
-    metrics.closed_owing.by_client.set(103);
-    metrics.closed_owing.by_node.set(104);
-    metrics.unasked.set(105);
-    metrics.reused_soon.set(106);
-    metrics.listed.set(107);
-    metrics.avoided.set(108);
-    metrics.list_failures.set(109);
+    metrics.unanswered_closes.by_client.set(103);
+    metrics.unanswered_closes.by_node.set(104);
+    metrics.unsolicited_replies.set(105);
+    metrics.early_reuses.set(106);
+    metrics.listed_servers.set(107);
+    metrics.unavailable_servers.set(108);
+    metrics.failed_polls.set(109);
     metrics.reloads.set(110);
-    metrics.reloads_refused.set(111);
-    metrics.violations.note(crate::invariants::Invariant::NoUnsafeRepeat, b"id");
-    metrics.ready(Duration::from_millis(1_500));
-    let membership = Arc::new(MembershipFigures::default());
-    membership.sent(61);
-    membership.received(63);
-    membership.received(64);
-    membership.refused(stonefold_membership::CodecError::UnknownKey);
-    membership.send_errors.add_one();
+    metrics.rejected_reloads.set(111);
+    metrics.violations.record(Invariant::NoUnsafeRetry, b"id");
+    metrics.set_ready(Duration::from_millis(1_500));
+    let membership = Arc::new(MembershipMetrics::default());
+    membership.record_sent(61);
+    membership.record_received(63);
+    membership.record_received(64);
+    membership.record_rejected(stonefold_membership::CodecError::UnknownKey);
+    membership.send_errors.increment();
     metrics.show_membership(membership);
     metrics
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -62,7 +62,7 @@
     async fn reload(&mut self) -> Option<SharedSettings> {
         let taken = self.take().instrument(info_span!("reload")).await;
         let refused = |error: &ConfigError| {
-            self.metrics.reloads_refused.add_one();
+            self.metrics.rejected_reloads.increment();
             error!(event = "reload_refused", %error, "configuration kept as it was");
         };
         taken.inspect_err(refused).ok()
@@ -85,7 +85,7 @@
         let at = new.discovery;
         self.new_address.send_if_modified(|now| std::mem::replace(now, at) != at);
         info!(event = "reloaded", discovery = %at, classes = terms.class_names.len(), "new configuration in force");
-        self.metrics.reloads.add_one();
+        self.metrics.reloads.increment();
         Ok(terms)
     }
 }
--- a/crates/node/src/upstream/caches.rs
+++ b/crates/node/src/upstream/caches.rs
@@ -65,7 +65,7 @@
         if write.await.is_err() {
             return (Reply::of(Outcome::ConnectFailed), None);
         }
-        metrics.calls.add_one();
+        metrics.attempts_written.increment();
         metrics.deadline_excess.record(stated.excess(Instant::now()));
         let mut buffer = BytesMut::new();
         loop {
--- a/crates/node/src/upstream/directory.rs
+++ b/crates/node/src/upstream/directory.rs
@@ -250,7 +250,7 @@
             let (since, connection) = server.idle.remove(place);
             if now < since + limit && is_live(&server.name, now - since, &connection, &self.metrics) {
                 if now < since + SOON {
-                    self.metrics.reused_soon.add_one();
+                    self.metrics.early_reuses.increment();
                 }
                 pooled = Some(connection);
                 break;
@@ -319,7 +319,7 @@
 fn is_live(server: &str, idle: Duration, connection: &Connection, metrics: &Metrics) -> bool {
     let live = connection.is_live();
     if !live && connection.has_unasked() {
-        metrics.unasked.add_one();
+        metrics.unsolicited_replies.increment();
         trace!(
             event = "unasked",
             server,
--- a/crates/node/src/upstream/origin.rs
+++ b/crates/node/src/upstream/origin.rs
@@ -91,7 +91,7 @@
             return (Reply::of(Outcome::NotSent), Some(self));
         };
         // The whole request is at hand, and the connection writes it as soon as it has its turn.
-        metrics.calls.add_one();
+        metrics.attempts_written.increment();
         let answer = self.sender.try_send_request(request).await;
         match answer {
             // A request that is handed back was never begun.
