--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -45,8 +45,8 @@
 pub fn run(args: NodeArgs) -> Result<(), Failure> {
     let started = Instant::now();
     let Some(path) = args.config.clone() else {
-        let config = Config::from_source(Source::Platform).map_err(Failure::unusable)?;
-        let config = Config { started, ..config };
+        let mut config = Config::from_source(Source::Platform).map_err(Failure::unusable)?;
+        config.started = started;
         return serve(config, &logging(Options::default(), &args)?);
     };
     let layers = Layers::new(Some(path.clone()), args.set.clone());
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -168,7 +168,7 @@
 
     std::fs::write(&file, text.replace("\"read\"", "\"other\"").replace("300ms", "none")).unwrap();
     node.hang_up();
-    assert!(node.event("reload_refused").contains("class[0].aim"));
+    assert!(node.event("reload_rejected").contains("class[0].aim"));
     std::fs::write(&file, text.replace("\"read\"", "\"other\"")).unwrap();
     node.hang_up();
     node.event("reloaded");
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -17,7 +17,7 @@
 use stonefold_model::site::{DiscoveryKind, Site};
 use stonefold_model::{Listed, Listing, Micros, State};
 use stonefold_node::config::{Config, ConfigError, Document, DocumentError, Source};
-use stonefold_node::hollow::{self, Acted};
+use stonefold_node::hollow::{self, AppliedList};
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
 use tokio_util::sync::{CancellationToken, DropGuard};
@@ -131,7 +131,7 @@
         if started == 0 { 0 } else { self.clock.unix_ms(started) }
     }
 
-    fn acted(&self, node: usize, acted: &Acted<'_>) {
+    fn acted(&self, node: usize, acted: &AppliedList<'_>) {
         let now = self.clock.now();
         let has = |server: usize| -> Standing {
             let (state, started_ms) = acted.listed(&Site::id(server))?;
--- /dev/null
+++ b/crates/node/src/config/source.rs
@@ -0,0 +1,132 @@
+//! Where the configuration is read, at the start and at each reload.
+
+use std::env::{self, VarError};
+use std::error::Error;
+use std::net::SocketAddr;
+
+use serde_json::Value;
+use stonefold_balancer::settings_document::SettingsDocument;
+
+use super::ConfigError;
+use super::document::{PlatformDocument, missing_key, read_json};
+
+/// Why another source has no document to give.
+pub type DocumentError = Box<dyn Error + Send + Sync>;
+
+/// Another source of the platform's document: read at the start, and at each reload.
+pub trait Document: Send + Sync {
+    /// The current document.
+    ///
+    /// # Errors
+    /// If it can't be read or used; the node then keeps its configuration.
+    fn read(&self) -> Result<Value, DocumentError>;
+}
+
+/// Where the configuration is read.
+#[derive(Default)]
+pub enum Source {
+    /// The file that `EDGE_CONFIG` names; `EDGE_LISTEN`, `EDGE_DISCOVERY` and `EDGE_OPERATOR` override what it states.
+    #[default]
+    Platform,
+    /// Another document, which the environment does not override.
+    Document(Box<dyn Document>),
+}
+
+impl Source {
+    /// Reads and checks the document.
+    pub(super) fn read(&self) -> Result<(PlatformDocument, Value), ConfigError> {
+        let (name, value) = match self {
+            Source::Platform => {
+                let path = variable("EDGE_CONFIG")?.ok_or(ConfigError::Missing("EDGE_CONFIG"))?;
+                let value = read_json(&path)?;
+                (path, value)
+            }
+            Source::Document(document) => {
+                (String::from("document"), document.read().map_err(ConfigError::Document)?)
+            }
+        };
+        Ok((PlatformDocument::parse(name, &value)?, value))
+    }
+
+    /// An address that has to be stated.
+    pub(super) fn required_address(
+        &self,
+        name: &'static str,
+        stated: Option<String>,
+    ) -> Result<SocketAddr, ConfigError> {
+        self.address(name, stated)?.ok_or(ConfigError::Missing(name))
+    }
+
+    /// An address from the environment, where that overrides the document, or else as the document states it.
+    pub(super) fn address(
+        &self,
+        name: &'static str,
+        stated: Option<String>,
+    ) -> Result<Option<SocketAddr>, ConfigError> {
+        let text = match self {
+            Source::Platform => variable(name)?.or(stated),
+            Source::Document(_) => stated,
+        };
+        text.map(|text| parse_address(name, text)).transpose()
+    }
+}
+
+/// The part of a configuration that a reload can change.
+pub(crate) struct ReloadedConfig {
+    /// Where discovery is polled.
+    pub(crate) discovery: SocketAddr,
+    /// The balancer's settings.
+    pub(crate) settings: SettingsDocument,
+}
+
+/// A document that was read and is not yet in force.
+pub(crate) struct PendingDocument(Value);
+
+/// The source of the configuration, and the document in force.
+#[derive(Default)]
+pub(crate) struct ConfigSource {
+    source: Source,
+    current: Value,
+}
+
+impl ConfigSource {
+    /// A source, and the document that was read from it.
+    pub(super) fn new(source: Source, current: Value) -> ConfigSource {
+        ConfigSource { source, current }
+    }
+
+    /// Reads and checks the document again; it is not in force yet. Discovery's address in the document overrides the
+    /// environment's, which is as old as the process.
+    ///
+    /// # Errors
+    /// If the document can't be read or used, or lacks a key of the one in force.
+    pub(crate) fn read(&self) -> Result<(ReloadedConfig, PendingDocument), ConfigError> {
+        let (document, value) = self.source.read()?;
+        if let Some(key) = missing_key(&self.current, &value) {
+            return Err(ConfigError::MissingKey(key));
+        }
+        let discovery = match document.discovery {
+            Some(text) => parse_address("discovery", text)?,
+            None => self.source.required_address("EDGE_DISCOVERY", None)?,
+        };
+        Ok((ReloadedConfig { discovery, settings: document.settings }, PendingDocument(value)))
+    }
+
+    /// Notes that a document that was read is in force.
+    pub(crate) fn commit(&mut self, document: PendingDocument) {
+        self.current = document.0;
+    }
+}
+
+/// A variable of the environment, if it is set.
+fn variable(name: &'static str) -> Result<Option<String>, ConfigError> {
+    match env::var(name) {
+        Ok(text) => Ok(Some(text)),
+        Err(VarError::NotPresent) => Ok(None),
+        Err(VarError::NotUnicode(text)) => Err(ConfigError::Address(name, text.to_string_lossy().into())),
+    }
+}
+
+fn parse_address(name: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| ConfigError::Address(name, text))
+}
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use stonefold_balancer::Settings;
+use stonefold_balancer::settings_document::SettingsDocument;
 
-/// Guards against: no pause at all between failed calls for the list, where the settings don't state how often
-/// it has to be asked for.
+/// A missing or zero interval must not make nodes poll without a pause between failed polls.
 #[test]
-fn a_time_for_asking_that_is_not_stated_is_the_usual_one() {
+fn a_poll_interval_that_is_not_stated_is_the_default() {
     for rules in ["{}", r#"{"MustAskIn":0}"#] {
         let class = r#"{"Name":"read","Aim":1,"HardLimit":2,"Effect":"safe"}"#;
         let text = format!(r#"{{"Classes":[{class}],"Guarantees":{rules},"RegistryMode":"subscribe"}}"#);
-        let stated: SettingsDocument = serde_json::from_str(&text).unwrap();
-        let setup = ResolvedSettings::try_from(stated).unwrap();
-        assert_eq!(setup.settings.max_poll_interval, Settings::default().max_poll_interval);
+        let document: SettingsDocument = serde_json::from_str(&text).unwrap();
+        let resolved = ResolvedSettings::try_from(document).unwrap();
+        assert_eq!(resolved.settings.max_poll_interval, Settings::default().max_poll_interval);
     }
 }
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -108,13 +108,13 @@
     /// A driver that holds so many connections to servers at most.
     pub fn new(config: Config, connections: usize, wiring: Wiring, overrides: Overrides) -> Self {
         let Wiring { stalls, budget, metrics, held, subscribe, to_self, inbox, control } = wiring;
-        let (clock, now, settings) = (Clock::new(), Instant::now(), config.setup.settings.clone());
+        let (clock, now, settings) = (Clock::new(), Instant::now(), config.settings.settings.clone());
         let directory = Directory::new(Duration::from_micros(settings.idle_timeout), metrics.clone());
         let mut driver = Driver {
             balancer: Balancer::new(settings, config.seed, clock.at(now)),
             metrics,
             stalls,
-            setup: config.setup,
+            setup: config.settings,
             clock,
             now,
             directory,
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -1,86 +1,128 @@
-//! A node's control without its request path: the watch on discovery, the list, the module, the orders that are kept.
-//! Clients, operators, signals and the configuration's source are left out; what is left is the node's own code.
+//! A hollow node: a node's control code without its request path, for experiments with large fleets. It watches
+//! discovery, applies endpoint lists to the driver and the balancer, and follows the overrides; clients, operators,
+//! signals and reloads are left out.
 
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 
 use stonefold_balancer::EndpointState;
 use stonefold_observe::Dropped;
+use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::config::Config;
+use crate::CONTROLS;
+use crate::config::{Config, ConfigSource};
+use crate::discovery::EndpointWatcher;
 use crate::driver::{Driver, Wiring};
 use crate::message::{Message, SharedSettings};
 use crate::metrics::Metrics;
 use crate::overrides::{self, OverrideFile, OverrideStore, Overrides};
 use crate::stall::StallMonitor;
-use crate::{CONTROLS, discovery};
 
-/// What a node goes by: at its start, and right after it took over a list.
-pub struct Acted<'a> {
+/// The endpoint list that a node has applied: at its start, and after each new one.
+pub struct AppliedList<'a> {
     /// The version of the list.
     pub version: u64,
     driver: &'a Driver,
 }
 
-impl Acted<'_> {
-    /// How a server was last listed, and since when it runs in ms of Unix time; nothing if it is not listed.
+impl AppliedList<'_> {
+    /// How a server was last listed, and when it started in milliseconds of Unix time; `None` if it is not listed.
     pub fn listed(&self, name: &str) -> Option<(EndpointState, f64)> {
         self.driver.directory().listed(name)
     }
 
-    /// How many servers are listed, as the node has it and as the module does.
+    /// How many servers are listed, as the node has it and as the balancer does.
     pub fn servers(&self) -> (usize, usize) {
         (self.driver.directory().len(), self.driver.cache_counts().listed)
     }
 }
 
-/// Runs a node's control until it is dropped; tells what it goes by at its start, and after each list.
-pub async fn run(mut config: Config, mut acted: impl FnMut(Acted<'_>)) {
-    let (sender, inbox) = mpsc::unbounded_channel();
-    // What the watch tells passes through here, so that it is known when it is in force.
-    let (to_driver, mut heard) = mpsc::unbounded_channel();
-    let subscribe = Arc::new(Notify::new());
-    let known = (!config.known.servers.is_empty()).then_some(config.known.version);
-    let (_address, address) = watch::channel(config.discovery);
-    let (_terms, terms) = watch::channel(SharedSettings::from(&config.setup));
-    let watching = discovery::EndpointWatcher::new(subscribe.clone(), known, terms, config.seed, to_driver);
-    let (control, directions) = mpsc::channel(CONTROLS);
-    let store = Arc::new(OverrideStore::File(OverrideFile::of_node()));
-    store.changed();
-    config.file = Default::default();
-    let version = config.known.version;
-    let metrics = Arc::new(Metrics::new(Dropped::default()));
-    let stalls = StallMonitor::new();
-    let _heartbeat = AbortOnDropHandle::new(tokio::spawn(stalls.clone().run(metrics.clone())));
-    let wiring = Wiring {
-        stalls,
-        budget: config.relay_budget(),
-        metrics: metrics.clone(),
-        held: Arc::new(AtomicUsize::new(0)),
-        subscribe,
-        to_self: sender.clone(),
-        inbox,
-        control: directions,
-    };
-    let limit = config.server_connections();
-    let mut driver = Driver::new(config, limit, wiring, store.load().unwrap_or_else(|_| Overrides::new()));
-    let _following =
-        AbortOnDropHandle::new(tokio::spawn(overrides::follow(store, false, control, sender.clone())));
-    let _watching = AbortOnDropHandle::new(tokio::spawn(watching.run(address)));
-    acted(Acted { version, driver: &driver });
+/// A running hollow node. Its tasks end when it is dropped.
+struct HollowNode {
+    driver: Driver,
+    /// The watcher's messages, which are forwarded to the driver here, so that it is known when a list is applied.
+    watcher_messages: UnboundedReceiver<Message>,
+    /// The version of the list that was last applied.
+    version: u64,
+    /// Kept open: the watcher ends without them.
+    _address: watch::Sender<SocketAddr>,
+    _settings: watch::Sender<SharedSettings>,
+    _tasks: [AbortOnDropHandle<()>; 3],
+}
+
+impl HollowNode {
+    fn start(mut config: Config) -> HollowNode {
+        let (to_self, inbox) = mpsc::unbounded_channel();
+        let (to_driver, watcher_messages) = mpsc::unbounded_channel();
+        let (control_sender, control) = mpsc::channel(CONTROLS);
+        let (address_sender, address) = watch::channel(config.discovery);
+        let (settings_sender, settings) = watch::channel(SharedSettings::from(&config.settings));
+        let subscribe = Arc::new(Notify::new());
+        let version = config.known.version;
+        let known_version = (!config.known.servers.is_empty()).then_some(version);
+        let watcher =
+            EndpointWatcher::new(subscribe.clone(), known_version, settings, config.seed, to_driver);
+        let store = Arc::new(OverrideStore::File(OverrideFile::of_node()));
+        store.changed(); // what is loaded below is no change
+        config.source = ConfigSource::default();
+        let metrics = Arc::new(Metrics::new(Dropped::default()));
+        let stalls = StallMonitor::new();
+        let heartbeat = stalls.clone().run(metrics.clone());
+        let wiring = Wiring {
+            stalls,
+            budget: config.relay_budget(),
+            metrics,
+            held: Arc::new(AtomicUsize::new(0)),
+            subscribe,
+            to_self: to_self.clone(),
+            inbox,
+            control,
+        };
+        let max_connections = config.server_connections();
+        let overrides = store.load().unwrap_or_else(|_| Overrides::new());
+        let driver = Driver::new(config, max_connections, wiring, overrides);
+        let overrides = overrides::follow(store, false, control_sender, to_self);
+        HollowNode {
+            driver,
+            watcher_messages,
+            version,
+            _address: address_sender,
+            _settings: settings_sender,
+            _tasks: [spawn(heartbeat), spawn(overrides), spawn(watcher.run(address))],
+        }
+    }
+
+    fn applied_list(&self) -> AppliedList<'_> {
+        AppliedList { version: self.version, driver: &self.driver }
+    }
+}
+
+fn spawn(task: impl Future<Output = ()> + Send + 'static) -> AbortOnDropHandle<()> {
+    AbortOnDropHandle::new(tokio::spawn(task))
+}
+
+/// Runs a hollow node until it is dropped; reports the list that it starts with, and each one that it applies.
+///
+/// # Cancel safety
+/// When it is cancelled, the node and all its tasks end.
+pub async fn run(config: Config, mut on_list: impl FnMut(AppliedList<'_>)) {
+    let mut node = HollowNode::start(config);
+    on_list(node.applied_list());
     loop {
         tokio::select! {
             biased;
-            Some(message) = heard.recv() => {
+            Some(message) = node.watcher_messages.recv() => {
                 let version = if let Message::EndpointList(list) = &message { Some(list.version) } else { None };
-                driver.take(message);
+                node.driver.take(message);
                 if let Some(version) = version {
-                    acted(Acted { version, driver: &driver });
+                    node.version = version;
+                    on_list(node.applied_list());
                 }
             }
-            going = driver.step() => if !going { return },
+            running = node.driver.step() => if !running { return },
         }
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -44,7 +44,7 @@
 use metrics::Metrics;
 use operator::NodeHandler;
 use overrides::{OverrideFile, OverrideStore};
-use reload::Follower;
+use reload::ConfigReloader;
 use stall::StallMonitor;
 use stopping::Plan;
 
@@ -69,7 +69,7 @@
     let (new_address, address) = watch::channel(config.discovery);
     let to_servers = Arc::new(AtomicUsize::new(0));
     let (bounds, servers_limit) = (config.client_bounds(to_servers.clone()), config.server_connections());
-    let (new_terms, terms) = watch::channel(SharedSettings::from(&config.setup));
+    let (new_terms, terms) = watch::channel(SharedSettings::from(&config.settings));
     let watching =
         discovery::EndpointWatcher::new(subscribe.clone(), known, terms.clone(), config.seed, sender.clone());
     let metrics = Arc::new(Metrics::new(log));
@@ -82,7 +82,7 @@
     tokio::spawn(overrides::follow(store.clone(), initial.unread, control.clone(), sender.clone()));
     let (operator, membership) = (config.operator, config.membership.take());
     let (budget, started) = (config.relay_budget(), config.started);
-    let file = std::mem::take(&mut config.file);
+    let source = std::mem::take(&mut config.source);
     let serving = Arc::new(AtomicBool::new(false));
     let stalls = StallMonitor::new();
     let wiring = Wiring {
@@ -112,9 +112,15 @@
     }
     let driver = tokio::spawn(driver.run());
     tokio::spawn(watching.run(address));
-    let follower =
-        Follower { file, control: control.clone(), metrics: metrics.clone(), new_address, new_terms, shared };
-    tokio::spawn(follower.run(reload));
+    let reloader = ConfigReloader {
+        source,
+        control: control.clone(),
+        metrics: metrics.clone(),
+        discovery_address: new_address,
+        settings: new_terms,
+        shared,
+    };
+    tokio::spawn(reloader.run(reload));
 
     tokio::spawn(stalls.clone().run(metrics.clone()));
     let wiring = clients::Wiring {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,5 @@
-//! A new configuration while the node runs: at each SIGHUP the file is taken whole, or not at all.
+//! Reloads: at each SIGHUP, and at each new revision of a shared configuration, the configuration is read again and
+//! takes effect completely, or not at all.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,49 +10,61 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{Instrument, error, info, info_span};
 
-use crate::config::{ConfigError, Followed};
+use crate::config::{ConfigError, ConfigSource};
 use crate::message::{Control, SharedSettings};
 use crate::metrics::Metrics;
 use crate::momentary::until_done;
 use crate::shared::Shared;
 
-/// A class that the settings have dropped is still taken for so long: its last requests are on their way.
-const LAST_REQUESTS: Duration = Duration::from_secs(1);
+/// Requests of a class that a reload has removed are still accepted for this time, since some are in flight.
+const REMOVED_CLASS_GRACE: Duration = Duration::from_secs(1);
 
-/// Follows the configuration file.
-pub struct Follower {
-    pub file: Followed,
-    pub control: mpsc::Sender<Control>,
-    pub metrics: Arc<Metrics>,
-    pub new_address: watch::Sender<SocketAddr>,
-    pub new_terms: watch::Sender<SharedSettings>,
-    pub shared: Option<Arc<dyn Shared>>,
+/// Reloads the configuration.
+pub(crate) struct ConfigReloader {
+    /// Where the configuration is read.
+    pub(crate) source: ConfigSource,
+    /// The driver's control channel.
+    pub(crate) control: mpsc::Sender<Control>,
+    /// Counts the reloads.
+    pub(crate) metrics: Arc<Metrics>,
+    /// Takes discovery's address.
+    pub(crate) discovery_address: watch::Sender<SocketAddr>,
+    /// Takes the settings of the parts around the driver.
+    pub(crate) settings: watch::Sender<SharedSettings>,
+    /// The store that all nodes share, if there is one.
+    pub(crate) shared: Option<Arc<dyn Shared>>,
 }
 
-impl Follower {
-    /// Goes on until the process ends.
-    pub async fn run(mut self, mut reload: Signal) {
-        // When dropped classes are no longer taken, and what holds then.
-        let mut settled: Option<(Instant, SharedSettings)> = None;
-        let (shared, mut seen) = (self.shared.clone(), 0);
+/// The settings without removed classes, and when they take effect.
+struct PendingSettings {
+    at: Instant,
+    settings: SharedSettings,
+}
+
+impl ConfigReloader {
+    /// Runs until the process ends.
+    pub(crate) async fn run(mut self, mut reload: Signal) {
+        let mut pending: Option<PendingSettings> = None;
+        let shared = self.shared.clone();
+        let mut seen_revision = 0;
         loop {
-            let at = settled.as_ref().map(|(at, _)| *at);
+            let pending_at = pending.as_ref().map(|pending| pending.at);
             tokio::select! {
                 Some(()) = reload.recv() => {
-                    if let Some(terms) = self.reload().await {
-                        settled = Some((Instant::now() + LAST_REQUESTS, terms));
-                    }
+                    pending = self.reload().await.or(pending);
                 }
-                revision = committed(&shared, seen) => {
-                    seen = revision;
-                    if let Some(terms) = self.reload().await {
-                        settled = Some((Instant::now() + LAST_REQUESTS, terms));
-                        shared.iter().for_each(|shared| shared.config_taken(revision));
+                revision = next_revision(&shared, seen_revision) => {
+                    seen_revision = revision;
+                    if let Some(reloaded) = self.reload().await {
+                        pending = Some(reloaded);
+                        if let Some(shared) = &shared {
+                            shared.config_taken(revision);
+                        }
                     }
                 }
-                () = sleep_until(at.unwrap_or_else(Instant::now)), if at.is_some() => {
-                    if let Some((_, terms)) = settled.take() {
-                        self.new_terms.send_replace(terms);
+                () = sleep_until(pending_at.unwrap_or_else(Instant::now)), if pending_at.is_some() => {
+                    if let Some(pending) = pending.take() {
+                        self.settings.send_replace(pending.settings);
                     }
                 }
                 else => return,
@@ -59,39 +72,45 @@
         }
     }
 
-    async fn reload(&mut self) -> Option<SharedSettings> {
-        let taken = self.take().instrument(info_span!("reload")).await;
-        let refused = |error: &ConfigError| {
-            self.metrics.rejected_reloads.increment();
-            error!(event = "reload_refused", %error, "configuration kept as it was");
-        };
-        taken.inspect_err(refused).ok()
+    /// Reloads once; counts and logs a failure.
+    async fn reload(&mut self) -> Option<PendingSettings> {
+        match self.try_reload().instrument(info_span!("reload")).await {
+            Ok(settings) => Some(PendingSettings { at: Instant::now() + REMOVED_CLASS_GRACE, settings }),
+            Err(error) => {
+                self.metrics.rejected_reloads.increment();
+                error!(event = "reload_rejected", %error, "the configuration stays as it was");
+                None
+            }
+        }
     }
 
-    /// Brings the file as it is now into force. An error leaves all as it was.
-    async fn take(&mut self) -> Result<SharedSettings, ConfigError> {
-        let (new, file) = until_done(|| self.file.read()).await?;
+    /// Puts the configuration as it is now into force; returns the settings without removed classes. An
+    /// error leaves everything as it was.
+    async fn try_reload(&mut self) -> Result<SharedSettings, ConfigError> {
+        let (config, document) = until_done(|| self.source.read()).await?;
         let (sender, answer) = oneshot::channel();
-        let told = self.control.send(Control::Reload(Box::new(new.settings), sender)).await;
-        told.map_err(|_| ConfigError::Ending)?;
-        let terms = answer.await.map_err(|_| ConfigError::Ending)?.map_err(ConfigError::Settings)?;
-        self.file.follow(file);
-        terms.class_names.iter().for_each(|class| _ = self.metrics.class(class));
-        self.new_terms.send_modify(|now| {
-            now.class_names.extend(terms.class_names.iter().cloned());
-            now.max_deadline = now.max_deadline.max(terms.max_deadline);
-            now.discovery = terms.discovery;
+        let sent = self.control.send(Control::Reload(Box::new(config.settings), sender)).await;
+        sent.map_err(|_| ConfigError::ShuttingDown)?;
+        let settings = answer.await.map_err(|_| ConfigError::ShuttingDown)?.map_err(ConfigError::Settings)?;
+        self.source.commit(document);
+        for class in &settings.class_names {
+            self.metrics.class(class);
+        }
+        self.settings.send_modify(|current| {
+            current.class_names.extend(settings.class_names.iter().cloned());
+            current.max_deadline = current.max_deadline.max(settings.max_deadline);
+            current.discovery = settings.discovery;
         });
-        let at = new.discovery;
-        self.new_address.send_if_modified(|now| std::mem::replace(now, at) != at);
-        info!(event = "reloaded", discovery = %at, classes = terms.class_names.len(), "new configuration in force");
+        let discovery = config.discovery;
+        self.discovery_address.send_if_modified(|current| std::mem::replace(current, discovery) != discovery);
+        info!(event = "reloaded", %discovery, classes = settings.class_names.len(), "the new configuration is in force");
         self.metrics.reloads.increment();
-        Ok(terms)
+        Ok(settings)
     }
 }
 
-/// The revision of a shared configuration later than the one seen; never where nothing is shared.
-async fn committed(shared: &Option<Arc<dyn Shared>>, seen: u64) -> u64 {
+/// Waits for a revision of the shared configuration later than the one seen; forever where nothing is shared.
+async fn next_revision(shared: &Option<Arc<dyn Shared>>, seen: u64) -> u64 {
     match shared {
         Some(shared) => shared.config_after(seen).await,
         None => std::future::pending().await,
--- a/crates/node/src/stall.rs
+++ b/crates/node/src/stall.rs
@@ -1,7 +1,7 @@
-//! Stalls: times in which the process did not look at its sockets, because it was stopped, starved or busy.
+//! Stalls of the event loop: times in which it polled no socket, because the process was stopped, starved or busy.
 //!
-//! What a stall held back is read at its end, and the kernel doesn't tell when it came. A heartbeat bounds how long
-//! that may have been: it is due every [`HEARTBEAT`], so that a late one tells since when nothing has been looked at.
+//! Bytes that arrive during a stall are read at its end, and the kernel does not report when they arrived. A heartbeat
+//! bounds that: one is due every [`HEARTBEAT_INTERVAL`], and a late one shows since when no socket was polled.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,20 +12,20 @@
 
 use crate::metrics::Metrics;
 
-/// How often the event loop shows that it looks at its sockets.
-const HEARTBEAT: Duration = Duration::from_millis(25);
-/// A heartbeat that is later than this is the end of a stall.
-const TOLERANCE: Duration = Duration::from_millis(10);
-/// Stalls from this length on are logged.
-const LOGGED: Duration = Duration::from_millis(50);
+/// The interval of heartbeats, each of which shows that the event loop runs.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(25);
+/// A heartbeat that is later than this ends a stall.
+const HEARTBEAT_TOLERANCE: Duration = Duration::from_millis(10);
+/// Stalls of at least this duration are logged.
+const MIN_LOGGED_STALL: Duration = Duration::from_millis(50);
 
-/// What is known of the event loop's stalls. Clones share it.
+/// Detects stalls of the event loop. Clones share one state.
 #[derive(Clone)]
-pub struct StallMonitor(Arc<Mutex<State>>);
+pub(crate) struct StallMonitor(Arc<Mutex<State>>);
 
 struct State {
     last_heartbeat: Instant,
-    /// Since when nothing was looked at before the last heartbeat, if that one was late.
+    /// The start of the stall that the last heartbeat has ended, if it was late.
     stalled_since: Option<Instant>,
 }
 
@@ -37,24 +37,24 @@
 
 impl StallMonitor {
     /// A monitor whose first heartbeat is now.
-    pub fn new() -> StallMonitor {
+    pub(crate) fn new() -> StallMonitor {
         StallMonitor(Arc::new(Mutex::new(State { last_heartbeat: Instant::now(), stalled_since: None })))
     }
 
-    /// The earliest time at which bytes that are read now may have come, though their socket was watched all the time.
-    pub fn earliest_arrival(&self, now: Instant) -> Instant {
+    /// The earliest time at which bytes that are read now may have arrived, on a socket that is polled all the time.
+    pub(crate) fn earliest_arrival(&self, now: Instant) -> Instant {
         let state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if is_late(state.last_heartbeat, now) {
-            return state.last_heartbeat; // the heartbeat that is due has not had its turn yet
+            return state.last_heartbeat; // the overdue heartbeat has not run yet
         }
         state.stalled_since.unwrap_or(now)
     }
 
-    /// Waits until the loop has looked at its sockets, if it has not for too long: what has come in a stall, a client's
-    /// end say, is seen first. Returns at once otherwise.
-    pub async fn over(&self) {
+    /// Lets the event loop poll its sockets first if it is in a stall, so that what has arrived in it, such as a client's
+    /// disconnect, is seen. Returns at once otherwise.
+    pub(crate) async fn over(&self) {
         if self.is_overdue(Instant::now()) {
-            yield_now().await; // the runtime looks at all sockets before this goes on, and wakes who waits for them first
+            yield_now().await; // the runtime polls all sockets and wakes their tasks before this one
         }
     }
 
@@ -62,7 +62,7 @@
         is_late(self.0.lock().unwrap_or_else(PoisonError::into_inner).last_heartbeat, now)
     }
 
-    /// Notes a heartbeat; returns how long the loop has stalled if that is over the tolerance.
+    /// Records a heartbeat; returns the duration of the stall that it ends, if there was one.
     fn heartbeat(&self, now: Instant) -> Option<Duration> {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let last = std::mem::replace(&mut state.last_heartbeat, now);
@@ -70,23 +70,27 @@
         state.stalled_since.map(|since| now.saturating_duration_since(since))
     }
 
-    /// Keeps the heartbeat until it is dropped; counts and logs stalls.
-    pub async fn run(self, metrics: Arc<Metrics>) {
+    /// Runs the heartbeat until it is dropped; counts and logs stalls.
+    pub(crate) async fn run(self, metrics: Arc<Metrics>) {
         loop {
             let now = Instant::now();
             if let Some(stalled) = self.heartbeat(now) {
                 metrics.stalls.record(stalled);
-                if stalled >= LOGGED {
-                    info!(event = "stalled", ms = stalled.as_millis() as u64, "nothing was read or written");
+                if stalled >= MIN_LOGGED_STALL {
+                    info!(
+                        event = "stalled",
+                        ms = stalled.as_millis() as u64,
+                        "the event loop polled no socket"
+                    );
                 }
             }
-            sleep_until(now + HEARTBEAT).await;
+            sleep_until(now + HEARTBEAT_INTERVAL).await;
         }
     }
 }
 
 fn is_late(last: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(last) > HEARTBEAT + TOLERANCE
+    now.saturating_duration_since(last) > HEARTBEAT_INTERVAL + HEARTBEAT_TOLERANCE
 }
 
 #[cfg(test)]
