--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -74,17 +74,17 @@
 
 /// Starts the store that a file names, or follows it.
 fn keep(store: Store) -> Result<Arc<dyn Committed>, Failure> {
-    let bound = Duration::from_millis(store.wait.ms());
+    let startup_timeout = Duration::from_millis(store.wait.ms());
     let cluster = store.cluster_id();
     let Store { role, dir, listen, key_file, publishers, .. } = store;
     // What is committed is known before any of it is read. What a role needs is there: the file is checked.
     match (role, listen, cluster) {
         (Role::Subscriber, listen, Some(cluster)) => {
-            let settings = follower::Settings { dir, listen, key_file, cluster, publishers, bound };
+            let settings = follower::Settings { dir, listen, key_file, cluster, publishers, startup_timeout };
             Ok(Followed::start(settings).map_err(Failure::unusable)?)
         }
         (Role::Member, Some(listen), _) => {
-            let settings = daemon::Settings { dir, listen, key_file, bound };
+            let settings = daemon::Settings { dir, listen, key_file, startup_timeout };
             let daemon = daemon::start(settings).map_err(Failure::unusable)?;
             daemon.wait();
             Ok(Stored::new(daemon))
@@ -102,7 +102,7 @@
         listen: of.listen,
         advertise: of.advertise,
         seeds: of.seeds,
-        codec: Codec::new(&of.cluster, &keys.of_membership()),
+        codec: Codec::new(&of.cluster, &keys.membership_keys()),
         settings,
     })
 }
--- a/crates/cli/src/commands/store.rs
+++ b/crates/cli/src/commands/store.rs
@@ -8,11 +8,11 @@
 use stonefold_config::{Config as Tree, Layers, SharedDocument, load};
 use stonefold_store::client::Client;
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::machine::open_snapshot;
-use stonefold_store::message::{Request, Status};
+use stonefold_store::message::{MemberStatus, Request, Status};
 use stonefold_store::replica::bootstrap;
+use stonefold_store::snapshot::open_snapshot;
 use stonefold_store::state::{Change, Reply, Revision};
-use stonefold_store::wire::{Keys, MESSAGE};
+use stonefold_store::wire::{Keys, MAX_MESSAGE_BYTES};
 use tokio::time::{Instant, sleep};
 
 use crate::args::{ConfigCommand, Format, ReachArgs, StoreCommand};
@@ -30,7 +30,7 @@
         StoreCommand::Verify { dir } => verify(&dir),
         StoreCommand::SubscriberKey { key_file, out } => {
             let keys = Keys::read(&key_file).map_err(Failure::unusable)?;
-            keys.make_subscribers(&out).map_err(Failure::failed)
+            keys.write_subscriber_keys(&out).map_err(Failure::failed)
         }
         command => blocking(remote(command)),
     }
@@ -69,7 +69,7 @@
         None => fastrand::u128(1..),
     };
     if !key_file.exists() {
-        Keys::make(key_file).map_err(Failure::failed)?;
+        Keys::generate(key_file).map_err(Failure::failed)?;
     }
     Keys::read(key_file).map_err(Failure::unusable)?;
     let disk = Disk::create(dir, Identity { cluster, member }).map_err(Failure::failed)?;
@@ -99,12 +99,13 @@
         StoreCommand::Status(reach) => status(&reach).await,
         StoreCommand::Members(reach) => members(&reach).await,
         StoreCommand::Add { member, address, reach } => {
-            let add = Request::Add { member, addr: address.to_string() };
-            client(&reach)?.members(add).await.map_err(Failure::failed)
-        }
-        StoreCommand::Remove { member, force, reach } => {
-            client(&reach)?.members(Request::Remove { member, force }).await.map_err(Failure::failed)
+            let add = Request::AddMember { member, addr: address.to_string() };
+            client(&reach)?.change_members(add).await.map_err(Failure::failed)
         }
+        StoreCommand::Remove { member, force, reach } => client(&reach)?
+            .change_members(Request::RemoveMember { member, force })
+            .await
+            .map_err(Failure::failed),
         StoreCommand::Get { name, reach } => {
             let latest = latest(&mut client(&reach)?, &name).await?;
             match reach.format {
@@ -153,9 +154,9 @@
 
 async fn made(client: &mut Client, change: Change) -> Result<u64, Failure> {
     match client.change(change).await.map_err(Failure::failed)? {
-        Reply::Done(revision) => Ok(revision),
-        Reply::Refused(why) => Err(Failure::failed(why)),
-        Reply::Nothing => Ok(0),
+        Reply::Applied(revision) => Ok(revision),
+        Reply::Rejected(why) => Err(Failure::failed(why)),
+        Reply::Empty => Ok(0),
     }
 }
 
@@ -197,7 +198,7 @@
     let client = client(reach)?;
     let first = client.status(&reach.at.to_string()).await.map_err(Failure::failed)?;
     let mut all = Vec::new();
-    for (member, addr, _) in first.members {
+    for MemberStatus { member, addr, .. } in first.members {
         let status = client.status(&addr).await.map_err(|error| error.to_string());
         all.push((member, addr, status));
     }
@@ -212,10 +213,10 @@
                 out,
                 "member {member} at {addr}: {}, entry {} of {}, list {}, configuration {}, stale for {} ms{}",
                 if status.leader == Some(member) { "leads" } else { "follows" },
-                status.applied,
-                status.last,
-                status.list,
-                status.acted.1,
+                status.applied_index,
+                status.last_index,
+                status.list_version,
+                status.in_use.config,
                 status.stale_ms,
                 status.stopped.as_ref().map_or(String::new(), |why| format!(", STOPPED: {why}")),
             )?,
@@ -229,9 +230,9 @@
 fn status_json(member: u64, addr: &str, status: &Result<Status, String>) -> Value {
     match status {
         Ok(status) => json!({"member": member, "at": addr, "cluster": format!("{:032x}", status.cluster),
-            "leader": status.leader, "term": status.term, "last": status.last, "applied": status.applied,
-            "snapshot": status.snapshot, "list": status.list, "acted_list": status.acted.0,
-            "acted_config": status.acted.1, "stale_ms": status.stale_ms, "stopped": status.stopped}),
+            "leader": status.leader, "term": status.term, "last": status.last_index, "applied": status.applied_index,
+            "snapshot": status.snapshot_index, "list": status.list_version, "acted_list": status.in_use.list,
+            "acted_config": status.in_use.config, "stale_ms": status.stale_ms, "stopped": status.stopped}),
         Err(why) => json!({"member": member, "at": addr, "error": why}),
     }
 }
@@ -239,17 +240,17 @@
 async fn members(reach: &ReachArgs) -> Result<(), Failure> {
     let status = client(reach)?.status(&reach.at.to_string()).await.map_err(Failure::failed)?;
     let mut out = io::stdout().lock();
-    for (member, addr, votes) in status.members {
+    for MemberStatus { member, addr, is_voter } in status.members {
         match reach.format {
-            Format::Text => writeln!(out, "{member}  {addr}  {}", if votes { "votes" } else { "learns" })?,
-            Format::Json => writeln!(out, "{}", json!({"member": member, "at": addr, "votes": votes}))?,
+            Format::Text => writeln!(out, "{member}  {addr}  {}", if is_voter { "votes" } else { "learns" })?,
+            Format::Json => writeln!(out, "{}", json!({"member": member, "at": addr, "votes": is_voter}))?,
         }
     }
     Ok(())
 }
 
 async fn snapshot(file: &Path, reach: &ReachArgs) -> Result<(), Failure> {
-    let sealed = client(reach)?.export().await.map_err(Failure::failed)?;
+    let sealed = client(reach)?.export_snapshot().await.map_err(Failure::failed)?;
     let failed = |error: io::Error| Failure::failed(format!("{}: {error}", file.display()));
     let mut out = OpenOptions::new().write(true).create_new(true).open(file).map_err(failed)?;
     out.write_all(&sealed).and_then(|()| out.sync_all()).map_err(failed)
@@ -258,7 +259,11 @@
 async fn restore(file: &Path, reach: &ReachArgs) -> Result<(), Failure> {
     let failed = |error: io::Error| Failure::unusable(format!("{}: {error}", file.display()));
     let mut sealed = Vec::new();
-    fs::File::open(file).map_err(failed)?.take(MESSAGE as u64).read_to_end(&mut sealed).map_err(failed)?;
+    fs::File::open(file)
+        .map_err(failed)?
+        .take(MAX_MESSAGE_BYTES as u64)
+        .read_to_end(&mut sealed)
+        .map_err(failed)?;
     let kept = open_snapshot(&sealed).map_err(Failure::unusable)?;
     let change = Change::Restore { state: Box::new(kept.state) };
     made(&mut client(reach)?, change).await.map(drop)
@@ -292,8 +297,8 @@
 
 fn behind((member, addr, status): &(u64, String, Result<Status, String>), revision: u64) -> Option<String> {
     match status {
-        Ok(status) if status.acted.1 >= revision => None,
-        Ok(status) => Some(format!("member {member} at {addr}, which has revision {}", status.acted.1)),
+        Ok(status) if status.in_use.config >= revision => None,
+        Ok(status) => Some(format!("member {member} at {addr}, which has revision {}", status.in_use.config)),
         Err(why) => Some(format!("member {member} at {addr}: {why}")),
     }
 }
--- a/crates/cli/src/followed.rs
+++ b/crates/cli/src/followed.rs
@@ -6,7 +6,7 @@
 use stonefold_node::overrides::{Override, Overrides};
 use stonefold_node::shared::{Later, Shared};
 use stonefold_proto::endpoints::EndpointList;
-use stonefold_store::feed::frame::{Item, Key};
+use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::subscriber::Event;
 use stonefold_store::follower::{self, Follower, FollowerError, Settings};
 use stonefold_store::freshness::{Freshness, Verdict};
@@ -27,7 +27,7 @@
     pub fn start(settings: Settings) -> Result<Arc<Followed>, FollowerError> {
         let follower = follower::start(settings, Box::new(purged))?;
         follower.wait();
-        let freshness = Mutex::new(Freshness::new(0, 0, follower.acted));
+        let freshness = Mutex::new(Freshness::new(0, 0, follower.list_in_use));
         Ok(Arc::new(Followed { follower, seen: AtomicU64::new(0), freshness }))
     }
 
@@ -45,7 +45,7 @@
 
 impl Committed for Followed {
     fn config(&self) -> Option<(u64, String)> {
-        match self.follower.feed.view().item(&Key::Document(CONFIG.into())) {
+        match self.follower.feed.view().item(&ItemKey::Document(CONFIG.into())) {
             Some((revision, Item::Document { text, .. })) => Some((revision, text)),
             _ => None,
         }
@@ -60,11 +60,13 @@
 
     fn overrides(&self) -> Overrides {
         let view = self.follower.feed.view();
-        let keys: Vec<&Key> = view.items().keys().filter(|key| matches!(key, Key::Order(_))).collect();
-        let server_override = |key: &Key| match view.item(key) {
-            Some((_, Item::Order { server, order })) => {
-                Some((server, Override { disabled: order.out, since_ms: order.since_ms }))
-            }
+        let keys: Vec<&ItemKey> =
+            view.items().keys().filter(|key| matches!(key, ItemKey::Override(_))).collect();
+        let server_override = |key: &ItemKey| match view.item(key) {
+            Some((_, Item::Override { server, admin_override })) => Some((
+                server,
+                Override { disabled: admin_override.out_of_service, since_ms: admin_override.since_ms },
+            )),
             _ => None,
         };
         keys.into_iter().filter_map(server_override).collect()
@@ -72,7 +74,7 @@
 
     fn changed(&self) -> bool {
         // One more than the count: the first look is always a change.
-        let now = *self.follower.feed.items().borrow() + 1;
+        let now = *self.follower.feed.view_changes().borrow() + 1;
         self.seen.swap(now, Ordering::Relaxed) != now
     }
 
@@ -83,24 +85,24 @@
     }
 
     fn newer_list(&self) -> Option<EndpointList> {
-        let (acted, _) = self.freshness(|freshness| freshness.acted());
+        let in_use = self.freshness(|freshness| freshness.in_use());
         let view = self.follower.feed.view();
-        if view.list_version() <= acted {
+        if view.list_version() <= in_use.list {
             return None;
         }
-        match view.item(&Key::List)?.1 {
+        match view.item(&ItemKey::List)?.1 {
             Item::List { version, text } => readable(version, &text),
             _ => None,
         }
     }
 
     fn may_act(&self, version: u64) -> Result<(), u64> {
-        match self.freshness(|freshness| freshness.list(version)) {
-            Verdict::Act | Verdict::Same => {
-                self.follower.feed.acts_on(version);
+        match self.freshness(|freshness| freshness.use_list(version)) {
+            Verdict::Newer | Verdict::Current => {
+                self.follower.feed.use_list(version);
                 Ok(())
             }
-            Verdict::Old { known } => Err(known),
+            Verdict::Stale { known } => Err(known),
         }
     }
 
@@ -109,7 +111,7 @@
 
     fn config_after(&self, revision: u64) -> Later<'_, u64> {
         Box::pin(async move {
-            let mut items = self.follower.feed.items();
+            let mut items = self.follower.feed.view_changes();
             loop {
                 if let Some((latest, _)) = self.config().filter(|(latest, _)| *latest > revision) {
                     return latest;
@@ -122,6 +124,6 @@
     }
 
     fn config_taken(&self, revision: u64) {
-        self.freshness(|freshness| freshness.config(revision));
+        self.freshness(|freshness| freshness.use_config(revision));
     }
 }
--- a/crates/cli/src/shared.rs
+++ b/crates/cli/src/shared.rs
@@ -9,7 +9,7 @@
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::daemon::Daemon;
 use stonefold_store::freshness::Verdict;
-use stonefold_store::state::{self, Change, Proposal, Refusal, Reply};
+use stonefold_store::state::{AdminOverride, Change, Proposal, Rejection, Reply};
 use tokio::time::{Instant, sleep};
 use tracing::warn;
 
@@ -87,8 +87,8 @@
                 continue;
             }
             match self.propose(change, Instant::now() + LIST).await {
-                Ok(Reply::Done(_) | Reply::Nothing | Reply::Refused(Refusal::OldList { .. })) => {}
-                Ok(Reply::Refused(error)) => {
+                Ok(Reply::Applied(_) | Reply::Empty | Reply::Rejected(Rejection::StaleList { .. })) => {}
+                Ok(Reply::Rejected(error)) => {
                     warn!(event = "list_refused", version, %error, "the others are not told of the list");
                 }
                 Err(error) => {
@@ -117,10 +117,10 @@
 
     fn overrides(&self) -> Overrides {
         let applied = self.daemon.replica.shared().read();
-        let server_override = |(id, order): (&String, &state::Order)| {
-            (id.clone(), Override { disabled: order.out, since_ms: order.since_ms })
+        let server_override = |(id, stored): (&String, &AdminOverride)| {
+            (id.clone(), Override { disabled: stored.out_of_service, since_ms: stored.since_ms })
         };
-        applied.state.orders().iter().map(server_override).collect()
+        applied.state.overrides().iter().map(server_override).collect()
     }
 
     fn changed(&self) -> bool {
@@ -129,16 +129,18 @@
     }
 
     fn set_override(&self, server: String, server_override: Override) -> Later<'_, Result<(), String>> {
-        let order = state::Order { out: server_override.disabled, since_ms: server_override.since_ms };
+        let admin_override =
+            AdminOverride { out_of_service: server_override.disabled, since_ms: server_override.since_ms };
         Box::pin(async move {
-            let change = Change::Order { server: server.clone(), order };
+            let change = Change::Override { server: server.clone(), admin_override };
             let until = Instant::now() + ORDER;
             match self.propose(change, until).await? {
-                Reply::Refused(why) => return Err(why.to_string()),
-                Reply::Done(_) | Reply::Nothing => {}
+                Reply::Rejected(why) => return Err(why.to_string()),
+                Reply::Applied(_) | Reply::Empty => {}
             }
             // Committed by whoever leads; here it may be applied a moment later.
-            while self.daemon.replica.shared().read().state.orders().get(&server) != Some(&order) {
+            while self.daemon.replica.shared().read().state.overrides().get(&server) != Some(&admin_override)
+            {
                 if Instant::now() >= until {
                     return Err("kept, but not in force here yet: ask again".into());
                 }
@@ -149,16 +151,16 @@
     }
 
     fn newer_list(&self) -> Option<EndpointList> {
-        let (acted, _) = self.daemon.replica.freshness(|freshness, _| freshness.acted());
+        let in_use = self.daemon.replica.freshness(|freshness, _| freshness.in_use());
         let applied = self.daemon.replica.shared().read();
-        let list = applied.state.list().filter(|list| list.version > acted)?;
+        let list = applied.state.list().filter(|list| list.version > in_use.list)?;
         readable(list.version, &list.text)
     }
 
     fn may_act(&self, version: u64) -> Result<(), u64> {
-        match self.daemon.replica.freshness(|freshness, _| freshness.list(version)) {
-            Verdict::Act | Verdict::Same => Ok(()),
-            Verdict::Old { known } => Err(known),
+        match self.daemon.replica.freshness(|freshness, _| freshness.use_list(version)) {
+            Verdict::Newer | Verdict::Current => Ok(()),
+            Verdict::Stale { known } => Err(known),
         }
     }
 
@@ -187,7 +189,7 @@
     }
 
     fn config_taken(&self, revision: u64) {
-        self.daemon.replica.freshness(|freshness, _| freshness.config(revision));
+        self.daemon.replica.freshness(|freshness, _| freshness.use_config(revision));
     }
 }
 
--- a/crates/lab/src/measure/store.rs
+++ b/crates/lab/src/measure/store.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use stonefold_store::disk::{Disk, DiskError, Identity};
-use stonefold_store::message::{Party, Request, Response, Unavailable};
+use stonefold_store::message::{Caller, Request, RequestError, Response};
 use stonefold_store::replica::{Options, Replica, StartError};
 use stonefold_store::wire::{Key, Keys, Tcp, serve};
 use tokio::net::TcpListener;
@@ -44,7 +44,7 @@
         /// Its number.
         member: u64,
         /// Why.
-        why: Unavailable,
+        why: RequestError,
     },
     /// An answer to something else.
     #[error("an answer to another question: {0}")]
@@ -54,7 +54,7 @@
     Stopped,
     /// Nobody leads a store of one.
     #[error("no leader: {0}")]
-    Leader(Unavailable),
+    Leader(RequestError),
 }
 
 struct Member {
@@ -155,7 +155,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), CLUSTER, member, addr.clone());
-    let replica = Replica::start(disk, Options::at(addr.clone()), tcp.clone()).await?;
+    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     Ok(Member { replica, addr })
 }
@@ -164,12 +164,12 @@
 async fn add(first: &Replica<Tcp>, member: u64, addr: &str) -> Result<(), StoreError> {
     let until = Instant::now() + IN_TIME;
     loop {
-        match first.answer(Party::Client, Request::Add { member, addr: addr.into() }).await {
-            Response::Changed(Ok(())) => return Ok(()),
-            Response::Changed(Err(why)) if Instant::now() > until => {
+        match first.answer(Caller::Client, Request::AddMember { member, addr: addr.into() }).await {
+            Response::MembersChanged(Ok(())) => return Ok(()),
+            Response::MembersChanged(Err(why)) if Instant::now() > until => {
                 return Err(StoreError::Add { member, why });
             }
-            Response::Changed(Err(_)) => sleep(ASK / 10).await,
+            Response::MembersChanged(Err(_)) => sleep(ASK / 10).await,
             other => return Err(StoreError::Other(format!("{other:?}"))),
         }
     }
--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -2,22 +2,24 @@
 //!
 //!     cargo run --release -p stonefold-store --example commits -- [FOLDER]
 
+mod support;
+
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::message::{Party, Request, Response};
+use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Options, Replica};
 use stonefold_store::state::{Change, Proposal};
 use stonefold_store::wire::{Key, Keys, Tcp, serve};
+use support::{Failure, cpu_seconds, resident_kib};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
-
-const LONG: Duration = Duration::from_secs(60);
+/// How long a change, or the election of the first leader, may take.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Member {
     replica: Replica<Tcp>,
@@ -32,15 +34,15 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
-    let replica = Replica::start(disk, Options::at(addr.clone()), tcp.clone()).await?;
+    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     Ok(Member { replica, addr, stop, dir })
 }
 
 async fn add(first: &Replica<Tcp>, member: u64, addr: &str) -> Result<(), Failure> {
-    match first.answer(Party::Client, Request::Add { member, addr: addr.into() }).await {
-        Response::Changed(done) => Ok(done?),
+    match first.answer(Caller::Client, Request::AddMember { member, addr: addr.into() }).await {
+        Response::MembersChanged(done) => Ok(done?),
         other => Err(format!("{other:?}").into()),
     }
 }
@@ -49,7 +51,7 @@
     let (name, text) = (format!("d{}", n % 100), "x".repeat(bytes));
     let change = Change::Document { name, text, author: "me".into(), at_ms: 0, after: None };
     let proposal = Proposal { client: n, sequence: 1, change };
-    replica.propose(proposal, Instant::now() + LONG).await?;
+    replica.propose(proposal, Instant::now() + TIMEOUT).await?;
     Ok(())
 }
 
@@ -75,21 +77,13 @@
     Ok(((clients * each) as f64 / start.elapsed().as_secs_f64(), all))
 }
 
-fn cpu() -> Result<f64, Failure> {
-    let text = std::fs::read_to_string("/proc/self/stat")?;
-    let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks: u64 =
-        fields.get(11).ok_or("stat")?.parse::<u64>()? + fields.get(12).ok_or("stat")?.parse::<u64>()?;
-    Ok(ticks as f64 / 100.0)
-}
-
 async fn play(folder: &Path, number: u64) -> Result<(), Failure> {
     let mut members = Vec::new();
     for member in 1..=number {
         members.push(start(folder, member).await?);
     }
     members[0].replica.bootstrap().await?;
-    members[0].replica.confirm(Instant::now() + LONG).await?;
+    members[0].replica.confirm(Instant::now() + TIMEOUT).await?;
     for member in 2..=number {
         add(&members[0].replica, member, &members[member as usize - 1].addr).await?;
     }
@@ -102,9 +96,9 @@
             ms(0.99)
         );
     }
-    let (before, start_idle) = (cpu()?, Instant::now());
+    let (before, start_idle) = (cpu_seconds()?, Instant::now());
     sleep(Duration::from_secs(5)).await;
-    let idle = (cpu()? - before) / start_idle.elapsed().as_secs_f64() / number as f64;
+    let idle = (cpu_seconds()? - before) / start_idle.elapsed().as_secs_f64() / number as f64;
     println!("{number} members: idle, each takes {:.2}% of a core", idle * 100.0);
 
     // Many more entries, then a new member: it catches up by a snapshot and the rest of the log.
@@ -121,8 +115,8 @@
     println!(
         "{number} members: {} KiB on disk at entry {}, snapshot up to {}",
         size >> 10,
-        entries.last,
-        entries.snapshot
+        entries.last_index,
+        entries.snapshot_index
     );
     let late = start(folder, number + 1).await?;
     let begun = Instant::now();
@@ -149,17 +143,11 @@
     Ok(())
 }
 
-fn resident_kib() -> Result<u64, Failure> {
-    let text = std::fs::read_to_string("/proc/self/status")?;
-    let line = text.lines().find(|line| line.starts_with("VmRSS")).ok_or("status")?;
-    Ok(line.split_whitespace().nth(1).ok_or("status")?.parse()?)
-}
-
 /// What 10,000 servers and 1,000 documents take of memory at one member.
 async fn memory(folder: &Path) -> Result<(), Failure> {
     let member = start(folder, 1).await?;
     member.replica.bootstrap().await?;
-    member.replica.confirm(Instant::now() + LONG).await?;
+    member.replica.confirm(Instant::now() + TIMEOUT).await?;
     let before = resident_kib()?;
     let server = |n: u64| {
         format!(
@@ -174,12 +162,12 @@
     drop(servers);
     let list = Change::List { version: 1, text, learned_by: 1, started };
     let proposal = Proposal { client: 1, sequence: 1, change: list };
-    member.replica.propose(proposal, Instant::now() + LONG).await?;
+    member.replica.propose(proposal, Instant::now() + TIMEOUT).await?;
     for n in 0..1_000u64 {
         let (name, text) = (format!("document-{n}"), "x".repeat(1_000));
         let change = Change::Document { name, text, author: "me".into(), at_ms: 0, after: None };
         let proposal = Proposal { client: 2, sequence: n + 1, change };
-        member.replica.propose(proposal, Instant::now() + LONG).await?;
+        member.replica.propose(proposal, Instant::now() + TIMEOUT).await?;
     }
     println!(
         "10,000 servers and 1,000 documents: {} KiB more in memory",
--- a/crates/store/examples/feed_simulate.rs
+++ b/crates/store/examples/feed_simulate.rs
@@ -4,36 +4,27 @@
 
 #[path = "../tests/feed_sim/mod.rs"]
 mod feed_sim;
+mod support;
 
+use std::process::exit;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::thread;
 
 use feed_sim::{Broken, run};
 
 fn main() {
-    let mut numbers = std::env::args().skip(1).map(|word| word.parse().expect("a number"));
-    let (first, count, workers) =
-        (numbers.next().unwrap_or(0), numbers.next().unwrap_or(1_000), numbers.next().unwrap_or(2));
-    let [next, changes, purges, kills, cut, wrong] = [first, 0, 0, 0, 0, 0].map(AtomicU64::new);
-    thread::scope(|scope| {
-        for _ in 0..workers {
-            scope.spawn(|| {
-                loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= first + count {
-                        return;
-                    }
-                    let report = run(seed, Broken::Nothing);
-                    changes.fetch_add(report.changes as u64, Ordering::Relaxed);
-                    purges.fetch_add(report.purges, Ordering::Relaxed);
-                    kills.fetch_add(report.kills, Ordering::Relaxed);
-                    cut.fetch_add(report.cut, Ordering::Relaxed);
-                    if let Err(what) = report.verdict {
-                        wrong.fetch_add(1, Ordering::Relaxed);
-                        println!("seed {seed}: {what}");
-                    }
-                }
-            });
+    let mut numbers = support::number_args::<u64>().expect("numbers").into_iter();
+    let (first, count) = (numbers.next().unwrap_or(0), numbers.next().unwrap_or(1_000));
+    let workers = numbers.next().unwrap_or(2) as usize;
+    let [changes, purges, kills, disconnected, failed] = [0; 5].map(AtomicU64::new);
+    support::run_seeds(first..first + count, workers, |seed| {
+        let report = run(seed, Broken::Nothing);
+        changes.fetch_add(report.changes as u64, Ordering::Relaxed);
+        purges.fetch_add(report.purges, Ordering::Relaxed);
+        kills.fetch_add(report.kills, Ordering::Relaxed);
+        disconnected.fetch_add(report.cut, Ordering::Relaxed);
+        if let Err(what) = report.verdict {
+            failed.fetch_add(1, Ordering::Relaxed);
+            println!("seed {seed}: {what}");
         }
     });
     println!(
@@ -41,8 +32,8 @@
         changes.into_inner(),
         purges.into_inner(),
         kills.into_inner(),
-        cut.into_inner(),
-        wrong.load(Ordering::Relaxed)
+        disconnected.into_inner(),
+        failed.load(Ordering::Relaxed)
     );
-    std::process::exit(i32::from(wrong.into_inner() > 0));
+    exit(i32::from(failed.into_inner() > 0));
 }
--- a/crates/store/examples/subscribers.rs
+++ b/crates/store/examples/subscribers.rs
@@ -1,7 +1,7 @@
 //! What distribution costs and how long it takes: members, relays by region and by site, and subscribers, all in one
 //! process over TCP on loopback.
 //!
-//!     cargo run --release -p stonefold-store --example subscribers -- [SECONDS] [SUBSCRIBERS ...]
+//!     cargo run --release -p stonefold-store --example subscribers -- [SECONDS] [MAX_SUBSCRIBERS ...]
 //!
 //! Three members; 11 regions with two relays each; sites of 14 subscribers with two relays each. 12 purges and 0.5 changes
 //! (documents and a list of 340 servers) a second. Bytes are those that publishers sent and subscribers acknowledged with,
@@ -9,6 +9,8 @@
 //! TCP. Processor time is by threads of members, relays and subscribers. Then a relay of each region is killed, one
 //! of each site, and the leader: how long all takes then, whether all came, and how many changed their publisher.
 
+mod support;
+
 use std::collections::HashMap;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -17,27 +19,26 @@
 
 use hdrhistogram::Histogram;
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::feed::frame::Key as Named;
+use stonefold_store::feed::frame::ItemKey;
 use stonefold_store::feed::publisher::Limits;
-use stonefold_store::feed::route::Route;
-use stonefold_store::feed::subscriber::{Event, Figures, Subscriber};
+use stonefold_store::feed::selector::PublisherSelector;
+use stonefold_store::feed::subscriber::{Counters, Event, Subscriber};
 use stonefold_store::feed::table::Table;
-use stonefold_store::message::{Party, Request, Response};
+use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Options, Replica};
 use stonefold_store::state::{Change, Proposal};
 use stonefold_store::wire::{Feed, Key, Keys, Tcp, follow, serve, serve_relay};
+use support::{Failure, resident_kib};
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Handle};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tokio_util::sync::CancellationToken;
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
-
 const CLUSTER: u128 = 1;
 const MEMBERS: u64 = 3;
 const REGIONS: usize = 11;
 const SITE: usize = 14;
-const PURGES: Duration = Duration::from_millis(83);
+const MAX_RETAINED_PURGES: Duration = Duration::from_millis(83);
 const CHANGES: Duration = Duration::from_secs(2);
 const HEADERS: u64 = 72 + 52;
 
@@ -46,13 +47,13 @@
 }
 
 /// A thread with a runtime of its own, whose processor time can be read.
-struct Part {
+struct RuntimeThread {
     handle: Handle,
     thread: u64,
     stop: CancellationToken,
 }
 
-fn part(name: &str) -> Result<Part, Failure> {
+fn start_runtime(name: &str) -> Result<RuntimeThread, Failure> {
     let stop = CancellationToken::new();
     let (ends, (told, hears)) = (stop.clone(), std::sync::mpsc::channel());
     thread::Builder::new().name(name.into()).spawn(move || {
@@ -63,10 +64,10 @@
         runtime.block_on(ends.cancelled());
     })?;
     let (handle, thread) = hears.recv()?;
-    Ok(Part { handle, thread, stop })
+    Ok(RuntimeThread { handle, thread, stop })
 }
 
-impl Part {
+impl RuntimeThread {
     /// Processor time so far, in seconds.
     fn cpu(&self) -> Result<f64, Failure> {
         let text = std::fs::read_to_string(format!("/proc/self/task/{}/schedstat", self.thread))?;
@@ -74,12 +75,6 @@
     }
 }
 
-fn resident_kib() -> Result<u64, Failure> {
-    let text = std::fs::read_to_string("/proc/self/status")?;
-    let line = text.lines().find(|line| line.starts_with("VmRSS")).ok_or("status")?;
-    Ok(line.split_whitespace().nth(1).ok_or("status")?.parse()?)
-}
-
 struct Member {
     replica: Replica<Tcp>,
     addr: String,
@@ -91,7 +86,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     let tcp = Tcp::member(keys(), CLUSTER, member, addr.clone());
-    let replica = Replica::start(disk, Options::at(addr.clone()), tcp.clone()).await?;
+    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     let (confirms, ends) = (replica.clone(), stop.clone());
@@ -126,34 +121,34 @@
     changes: Took,
 }
 
-/// A subscriber on a part's thread, which counts how long all takes to come.
+/// A subscriber on a runtime's thread, which counts how long all takes to come.
 fn subscribe(
-    part: &Part,
+    runtime: &RuntimeThread,
     id: u64,
     tiers: &[Vec<String>],
     watched: Option<&Watched>,
     stop: &CancellationToken,
 ) -> (Feed, Tcp) {
-    let tcp = Tcp::subscriber(keys().of_subscribers(), CLUSTER);
-    let route = Route::new(id, tiers, id);
-    let feed = Feed::new(CLUSTER, Subscriber::new(Table::default(), route));
+    let tcp = Tcp::subscriber(keys().subscriber_keys(), CLUSTER);
+    let selector = PublisherSelector::new(id, tiers, id);
+    let feed = Feed::new(CLUSTER, Subscriber::new(Table::default(), selector));
     let purges = watched.cloned();
     let on_purge = Box::new(move |event: &Event| {
-        if let (Event::Purged(_, keys), Some(watched)) = (event, &purges) {
+        if let (Event::Purged { keys, .. }, Some(watched)) = (event, &purges) {
             for key in keys {
                 record(&watched.made, &watched.purges, key);
             }
         }
     });
-    part.handle.spawn(follow(feed.clone(), tcp.clone(), None, on_purge, stop.clone()));
+    runtime.handle.spawn(follow(feed.clone(), tcp.clone(), None, on_purge, stop.clone()));
     if let Some(watched) = watched.cloned() {
         let feed = feed.clone();
-        part.handle.spawn(async move {
-            let (mut items, mut document, mut list) = (feed.items(), 0, 0);
+        runtime.handle.spawn(async move {
+            let (mut items, mut document, mut list) = (feed.view_changes(), 0, 0);
             while items.changed().await.is_ok() {
                 let view = feed.view();
                 let revision =
-                    view.items().get(&Named::Document("config".into())).map_or(0, |held| held.revision);
+                    view.items().get(&ItemKey::Document("config".into())).map_or(0, |item| item.revision);
                 let changed = (revision > document, view.list_version() > list);
                 (document, list) = (revision, view.list_version());
                 if changed.0 {
@@ -169,17 +164,17 @@
 }
 
 async fn relays(
-    part: &Part,
+    runtime: &RuntimeThread,
     number: usize,
     first: u64,
     tiers: &[Vec<String>],
 ) -> Result<(Vec<(Feed, CancellationToken)>, Vec<String>), Failure> {
     let (mut feeds, mut at) = (Vec::new(), Vec::new());
     for n in 0..number {
-        let stop = part.stop.child_token();
-        let (feed, tcp) = subscribe(part, first + n as u64, tiers, None, &stop);
+        let stop = runtime.stop.child_token();
+        let (feed, tcp) = subscribe(runtime, first + n as u64, tiers, None, &stop);
         let (source, ends) = (feed.clone(), stop.clone());
-        let bound = part.handle.spawn(async move {
+        let bound = runtime.handle.spawn(async move {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let addr = listener.local_addr()?.to_string();
             tokio::spawn(serve_relay(listener, source, tcp, Limits::default(), ends));
@@ -242,25 +237,25 @@
             }
             let proposal = Proposal { client: fastrand::u64(..), sequence: 1, change };
             let reply = replica.propose(proposal, Instant::now() + Duration::from_secs(5)).await?;
-            if let (true, stonefold_store::state::Reply::Done(revision), Ok(mut made)) =
+            if let (true, stonefold_store::state::Reply::Applied(revision), Ok(mut made)) =
                 (what.is_empty(), reply, made.lock())
             {
                 made.insert(format!("revision {revision}"), begun);
             }
         }
-        next += PURGES;
+        next += MAX_RETAINED_PURGES;
         sleep_until(next).await;
     }
     Ok(n)
 }
 
-fn sum<'a>(feeds: impl IntoIterator<Item = &'a Feed>) -> Figures {
-    feeds.into_iter().map(Feed::figures).fold(Figures::default(), |sum, one| Figures {
+fn sum<'a>(feeds: impl IntoIterator<Item = &'a Feed>) -> Counters {
+    feeds.into_iter().map(Feed::counters).fold(Counters::default(), |sum, one| Counters {
         frames: sum.frames + one.frames,
         bytes: sum.bytes + one.bytes,
-        refused: sum.refused + one.refused,
-        turned_away: sum.turned_away + one.turned_away,
-        moves: sum.moves + one.moves,
+        rejected_frames: sum.rejected_frames + one.rejected_frames,
+        rejected_sessions: sum.rejected_sessions + one.rejected_sessions,
+        disconnects: sum.disconnects + one.disconnects,
     })
 }
 
@@ -272,7 +267,7 @@
 }
 
 /// Bytes a second each, both ways: frames and their acknowledgements, by TCP and by us.
-fn bytes(before: Figures, after: Figures, each: usize, seconds: f64) -> f64 {
+fn bytes(before: Counters, after: Counters, each: usize, seconds: f64) -> f64 {
     let down = (after.bytes - before.bytes + (after.frames - before.frames) * HEADERS) as f64;
     let up = (12 + HEADERS) as f64 * seconds * each as f64; // one a second each
     (down + up) / seconds / each.max(1) as f64
@@ -304,15 +299,15 @@
     [region, site]: [&[(Feed, CancellationToken)]; 2],
     nodes: &[Feed],
     watched: &Watched,
-    control: &Part,
+    control: &RuntimeThread,
     mut from: u64,
 ) -> Result<(), Failure> {
     anew(watched)?;
-    let moves = || sum(nodes).moves + sum(relays_of(region, site)).moves;
+    let disconnects = || sum(nodes).disconnects + sum(relays_of(region, site)).disconnects;
     for what in ["a relay of each region killed", "a relay of each site killed", "the leader killed"] {
         let leader = members[0].replica.status().leader.ok_or("a leader")? as usize - 1;
         let other = &members[(leader + 1) % members.len()].replica;
-        let was = moves();
+        let was = disconnects();
         let running =
             control.handle.spawn(load(other.clone(), watched.made.clone(), Duration::from_secs(6), from));
         sleep(Duration::from_secs(1)).await;
@@ -333,14 +328,14 @@
             "| {due}: {what} | {purges} of {} | {changes} of {} | {} |",
             made.0 * due,
             made.1 * due,
-            moves() - was
+            disconnects() - was
         );
     }
     Ok(())
 }
 
 async fn play(number: usize, seconds: u64, folder: &Path) -> Result<(), Failure> {
-    let control = part("members")?;
+    let control = start_runtime("members")?;
     let folder = folder.to_owned();
     let members = control.handle.spawn(async move {
         let mut members = vec![member(&folder, 1).await?];
@@ -348,9 +343,9 @@
         members[0].replica.confirm(Instant::now() + Duration::from_secs(20)).await?;
         for id in 2..=MEMBERS {
             let new = member(&folder, id).await?;
-            let add = Request::Add { member: id, addr: new.addr.clone() };
-            match members[0].replica.answer(Party::Client, add).await {
-                Response::Changed(done) => done?,
+            let add = Request::AddMember { member: id, addr: new.addr.clone() };
+            match members[0].replica.answer(Caller::Client, add).await {
+                Response::MembersChanged(done) => done?,
                 other => return Err(format!("{other:?}").into()),
             }
             members.push(new);
@@ -359,7 +354,7 @@
     });
     let members = members.await??;
     let last: Vec<String> = members.iter().map(|member| member.addr.clone()).collect();
-    let (relaying, following) = (part("relays")?, part("subscribers")?);
+    let (relaying, following) = (start_runtime("relays")?, start_runtime("subscribers")?);
     let (region, region_at) = relays(&relaying, REGIONS * 2, 1_000_000, std::slice::from_ref(&last)).await?;
     let sites = number.div_ceil(SITE);
     let watched = Watched { made: Made::default(), purges: histogram()?, changes: histogram()? };
@@ -389,8 +384,8 @@
     if timeout(Duration::from_secs(20), there).await.is_err() {
         println!("| {number} | not all caught up in 20 s: {:?} |", sum(&nodes));
     }
-    let parts = [&control, &relaying, &following];
-    let cpu = parts.map(Part::cpu);
+    let runtimes = [&control, &relaying, &following];
+    let cpu = runtimes.map(RuntimeThread::cpu);
     let (was, was_relays) = (sum(&nodes), sum(relays_of(&region, &site)));
     let begun = Instant::now();
     let run = load(members[0].replica.clone(), watched.made.clone(), Duration::from_secs(seconds), from);
@@ -398,8 +393,8 @@
     let time = begun.elapsed().as_secs_f64();
     let (now, now_relays) = (sum(&nodes), sum(relays_of(&region, &site)));
     let mut used = Vec::new();
-    for (before, part) in cpu.into_iter().zip(parts) {
-        used.push((part.cpu()? - before?) / time * 100.0);
+    for (before, runtime) in cpu.into_iter().zip(runtimes) {
+        used.push((runtime.cpu()? - before?) / time * 100.0);
     }
     sleep(Duration::from_secs(2)).await; // the last are on their way
     let memory = (resident_kib()? - before_nodes) as f64 / (nodes.len() + site.len()) as f64;
@@ -415,18 +410,18 @@
         used[0],
         used[1] / relays as f64,
         used[2] / nodes.len() as f64,
-        now.refused + now_relays.refused,
-        now.moves + now_relays.moves,
+        now.rejected_frames + now_relays.rejected_frames,
+        now.disconnects + now_relays.disconnects,
     );
     fail(&members, [&region, &site], &nodes, &watched, &control, last_made).await?;
-    for part in parts {
-        part.stop.cancel();
+    for runtime in runtimes {
+        runtime.stop.cancel();
     }
     Ok(())
 }
 
 fn main() -> Result<(), Failure> {
-    let numbers: Vec<usize> = std::env::args().skip(1).map(|word| word.parse()).collect::<Result<_, _>>()?;
+    let numbers: Vec<usize> = support::number_args()?;
     let (seconds, sizes) = numbers.split_first().map_or((12, &[][..]), |(&seconds, sizes)| (seconds, sizes));
     let sizes = if sizes.is_empty() { &[100, 225, 450, 900][..] } else { sizes };
     println!(
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,140 +1,144 @@
-//! Somebody with the key who asks the store from outside: it finds whoever leads.
+//! A client of the store from outside of the cluster. It finds the leader by itself.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
 
-use crate::message::{Request, Response, Status, Unavailable};
+use crate::message::{Request, RequestError, Response, Status};
 use crate::replica::Transport;
 use crate::state::{Change, Proposal, Reply, Revision};
 use crate::wire::{Keys, Tcp};
 
-/// One question; a change waits for a quorum so long.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// A change of members waits for the new one to catch up.
-const LONG: Duration = Duration::from_secs(40);
-const PAUSE: Duration = Duration::from_millis(100);
+/// How long one request waits for its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a change or an exported snapshot is waited for, retries included.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(6);
+/// How long a change of members is waited for: a new member has to catch up.
+const MEMBERS_CHANGE_TIMEOUT: Duration = Duration::from_secs(40);
+/// The pause between two attempts at the leader.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How often a member's status is polled until it has applied an entry.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A client of one cluster.
 pub struct Client {
     tcp: Tcp,
-    at: String,
-    me: u64,
+    /// The member that is asked first: the leader, as far as is known.
+    addr: String,
+    id: u64,
     sequence: u64,
 }
 
 impl Client {
     /// A client that begins with the member at this address.
-    pub fn new(keys: Keys, cluster: u128, at: impl Into<String>) -> Client {
-        Client { tcp: Tcp::client(keys, cluster), at: at.into(), me: fastrand::u64(..), sequence: 0 }
+    pub fn new(keys: Keys, cluster: u128, addr: impl Into<String>) -> Client {
+        Client { tcp: Tcp::client(keys, cluster), addr: addr.into(), id: fastrand::u64(..), sequence: 0 }
     }
 
-    /// Asks the member at an address.
+    /// Sends a request to the member at an address.
     ///
     /// # Errors
-    /// If it doesn't answer.
-    pub async fn ask(&self, at: &str, request: Request, wait: Duration) -> Result<Response, Unavailable> {
-        self.tcp.ask(0, at, request, wait).await
+    /// If it doesn't answer within the timeout.
+    pub async fn request(
+        &self,
+        addr: &str,
+        request: Request,
+        timeout: Duration,
+    ) -> Result<Response, RequestError> {
+        self.tcp.request(0, addr, request, timeout).await
     }
 
-    /// Asks whoever leads, for up to `wait`.
-    async fn at_leader<T>(
+    /// Sends a request to the leader, with retries until the timeout.
+    async fn request_leader<T>(
         &mut self,
         request: Request,
-        wait: Duration,
-        read: impl Fn(Response) -> Result<T, Unavailable>,
-    ) -> Result<T, Unavailable> {
-        let until = Instant::now() + wait;
-        let first = self.at.clone();
+        timeout: Duration,
+        read: impl Fn(Response) -> Result<T, RequestError>,
+    ) -> Result<T, RequestError> {
+        let deadline = Instant::now() + timeout;
+        let first = self.addr.clone();
         loop {
-            let answer = self.ask(&self.at, request.clone(), wait).await.and_then(&read);
-            match answer {
-                Err(Unavailable::NotLeader { leader }) if Instant::now() < until => {
-                    self.at = leader.map_or_else(|| first.clone(), |(_, addr)| addr);
+            let result = self.request(&self.addr, request.clone(), timeout).await.and_then(&read);
+            match result {
+                Err(RequestError::NotLeader { leader }) if Instant::now() < deadline => {
+                    self.addr = leader.map_or_else(|| first.clone(), |(_, addr)| addr);
                 }
-                Err(Unavailable::NoQuorum | Unavailable::Busy) if Instant::now() < until => {}
-                Err(Unavailable::Unreachable(_)) if self.at != first && Instant::now() < until => {
-                    self.at = first.clone();
+                Err(RequestError::NoQuorum | RequestError::Busy) if Instant::now() < deadline => {}
+                Err(RequestError::Unreachable(_)) if self.addr != first && Instant::now() < deadline => {
+                    self.addr = first.clone();
                 }
-                answer => return answer,
+                result => return result,
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Makes a change, once, however often it had to be asked for.
+    /// Makes a change: once, however often it is retried.
     ///
     /// # Errors
-    /// If nobody said that it is made; it may be.
-    pub async fn change(&mut self, change: Change) -> Result<Reply, Unavailable> {
+    /// If no reply came in time. The change may have been made nevertheless.
+    pub async fn change(&mut self, change: Change) -> Result<Reply, RequestError> {
         self.sequence += 1;
-        let proposal = Proposal { client: self.me, sequence: self.sequence, change };
-        self.at_leader(Request::Propose(proposal), 2 * PATIENCE, |answer| match answer {
+        let proposal = Proposal { client: self.id, sequence: self.sequence, change };
+        self.request_leader(Request::Propose(proposal), LEADER_TIMEOUT, |response| match response {
             Response::Proposed(reply) => reply,
-            other => Err(unasked(&other)),
+            other => Err(other.unexpected()),
         })
         .await
     }
 
-    /// Adds or removes a member.
+    /// Adds or removes a member, by [`Request::AddMember`] or [`Request::RemoveMember`].
     ///
     /// # Errors
-    /// Why it can't be done.
-    pub async fn members(&mut self, request: Request) -> Result<(), Unavailable> {
-        self.at_leader(request, LONG, |answer| match answer {
-            Response::Changed(changed) => changed,
-            other => Err(unasked(&other)),
+    /// If it can't be done.
+    pub async fn change_members(&mut self, request: Request) -> Result<(), RequestError> {
+        self.request_leader(request, MEMBERS_CHANGE_TIMEOUT, |response| match response {
+            Response::MembersChanged(result) => result,
+            other => Err(other.unexpected()),
         })
         .await
     }
 
-    /// A document's latest revision, or all that are kept, as whoever leads has them.
+    /// The leader's latest revision of a document, or all that are retained.
     ///
     /// # Errors
-    /// If nobody leads.
-    pub async fn document(&mut self, name: &str, history: bool) -> Result<Vec<Revision>, Unavailable> {
-        let confirmed = self.at_leader(Request::Confirm, 2 * PATIENCE, |answer| match answer {
-            Response::Confirmed(confirmed) => confirmed,
-            other => Err(unasked(&other)),
+    /// If there is no leader.
+    pub async fn document(&mut self, name: &str, history: bool) -> Result<Vec<Revision>, RequestError> {
+        let read_index = self.request_leader(Request::ReadIndex, LEADER_TIMEOUT, |response| match response {
+            Response::ReadIndex(result) => result,
+            other => Err(other.unexpected()),
         });
-        let index = confirmed.await?;
-        let until = Instant::now() + PATIENCE;
-        while self.status(&self.at.clone()).await?.applied < index && Instant::now() < until {
-            sleep(PAUSE / 10).await;
+        let index = read_index.await?;
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
+        while self.status(&self.addr).await?.applied_index < index && Instant::now() < deadline {
+            sleep(STATUS_POLL_INTERVAL).await;
         }
-        let request = Request::Document { name: name.into(), history };
-        match self.ask(&self.at, request, PATIENCE).await? {
+        let request = Request::ReadDocument { name: name.into(), history };
+        match self.request(&self.addr, request, REQUEST_TIMEOUT).await? {
             Response::Document(revisions) => Ok(revisions),
-            other => Err(unasked(&other)),
+            other => Err(other.unexpected()),
         }
     }
 
-    /// How the member at an address stands.
+    /// The status of the member at an address.
     ///
     /// # Errors
     /// If it doesn't answer.
-    pub async fn status(&self, at: &str) -> Result<Status, Unavailable> {
-        match self.ask(at, Request::Status, PATIENCE).await? {
+    pub async fn status(&self, addr: &str) -> Result<Status, RequestError> {
+        match self.request(addr, Request::Status, REQUEST_TIMEOUT).await? {
             Response::Status(status) => Ok(*status),
-            other => Err(unasked(&other)),
+            other => Err(other.unexpected()),
         }
     }
 
-    /// A sealed snapshot of the member that is asked.
+    /// A sealed snapshot of the member that is asked first.
     ///
     /// # Errors
     /// If it doesn't answer.
-    pub async fn export(&self) -> Result<Vec<u8>, Unavailable> {
-        match self.ask(&self.at, Request::Export, 2 * PATIENCE).await? {
-            Response::Snapshotted(sealed) => sealed,
-            other => Err(unasked(&other)),
+    pub async fn export_snapshot(&self) -> Result<Vec<u8>, RequestError> {
+        match self.request(&self.addr, Request::ExportSnapshot, LEADER_TIMEOUT).await? {
+            Response::Snapshot(sealed) => sealed,
+            other => Err(other.unexpected()),
         }
     }
 }
-
-fn unasked(answer: &Response) -> Unavailable {
-    match answer {
-        Response::Changed(Err(why)) => why.clone(),
-        _ => Unavailable::Unreachable("an answer to another question".into()),
-    }
-}
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -1,51 +1,53 @@
-//! Bytes on disk and between replicas: a version, then the value in postcard's form (its wire format is stable).
+//! The encoding of values on disk and on the wire: a version byte, then the value in postcard's stable format.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use sha2::{Digest, Sha256};
 
-/// The version that is written.
+/// The version of the encoding.
 pub const VERSION: u8 = 1;
+/// The SHA-256 before a sealed value, in bytes.
+const CHECKSUM_BYTES: usize = 32;
 
-/// Why bytes can't be read. Nothing is guessed from them.
+/// Why bytes can't be decoded.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CodecError {
-    /// Nothing at all.
+    /// There are no bytes.
     #[error("no bytes where {0} should be")]
     Empty(&'static str),
-    /// Another version wrote it.
+    /// They are of another version.
     #[error(
         "{what} is of version {found}; this program reads {VERSION}: use the program that wrote it, or a newer one"
     )]
     Version {
-        /// What it is.
+        /// What the value is.
         what: &'static str,
-        /// Its version.
+        /// The version.
         found: u8,
     },
-    /// It is not what it should be.
+    /// They are not a value of this kind.
     #[error("{0} is damaged: {1}")]
     Damaged(&'static str, postcard::Error),
-    /// There is more than there should be.
+    /// There are more bytes than the value has.
     #[error("{0} is damaged: {1} bytes too many")]
     Longer(&'static str, usize),
-    /// It has changed since it was written.
+    /// The checksum differs.
     #[error("{0} is damaged: its checksum differs")]
     Checksum(&'static str),
 }
 
-/// A value as bytes.
+/// Encodes a value. Errors call it `what`.
 ///
 /// # Errors
-/// If a value can't be written, which no type of this crate brings about.
+/// If the value can't be encoded, which doesn't happen for this crate's types.
 pub fn encode<T: Serialize>(what: &'static str, value: &T) -> Result<Vec<u8>, CodecError> {
     postcard::to_extend(value, vec![VERSION]).map_err(|error| CodecError::Damaged(what, error))
 }
 
-/// A value from its bytes, all of them.
+/// Decodes a value that has to take up all of the bytes.
 ///
 /// # Errors
-/// If they are not the whole of a value of this version.
+/// If they are not a complete value of this version.
 pub fn decode<T: DeserializeOwned>(what: &'static str, bytes: &[u8]) -> Result<T, CodecError> {
     match bytes.split_first() {
         None => Err(CodecError::Empty(what)),
@@ -58,9 +60,7 @@
     }
 }
 
-const SUM: usize = 32;
-
-/// A value as bytes, with their SHA-256 before them.
+/// Encodes a value with a SHA-256 checksum before it.
 ///
 /// # Errors
 /// As [`encode`].
@@ -71,14 +71,14 @@
     Ok(sealed)
 }
 
-/// A value from sealed bytes.
+/// Decodes a sealed value.
 ///
 /// # Errors
 /// If the checksum differs, and as [`decode`].
 pub fn unseal<T: DeserializeOwned>(what: &'static str, bytes: &[u8]) -> Result<T, CodecError> {
-    let (sum, body) = bytes.split_at_checked(SUM).ok_or(CodecError::Empty(what))?;
-    match Sha256::digest(body).as_slice() == sum {
-        true => decode(what, body),
-        false => Err(CodecError::Checksum(what)),
+    let (checksum, body) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or(CodecError::Empty(what))?;
+    if Sha256::digest(body).as_slice() != checksum {
+        return Err(CodecError::Checksum(what));
     }
+    decode(what, body)
 }
--- a/crates/store/src/daemon.rs
+++ b/crates/store/src/daemon.rs
@@ -1,9 +1,9 @@
-//! The store as a part of a running node: a thread of its own, so that no request waits for its disk.
+//! A member of the store beside a node, on a thread of its own.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::thread;
+use std::sync::mpsc;
 use std::time::Duration;
 
 use tokio::net::TcpListener;
@@ -13,152 +13,169 @@
 use tracing::{info, warn};
 
 use crate::disk::{Disk, DiskError};
+use crate::message::RequestError;
 use crate::replica::{Options, Replica, StartError};
+use crate::service::{block_until_ready, reload_keys, spawn};
 use crate::wire::{KeyError, Keys, Tcp, serve};
 
-/// How often the others are asked what is committed, once the start is over; and the key file is looked at.
-const CONFIRM: Duration = Duration::from_secs(1);
-/// How often a caller without a runtime looks.
-const LOOK: Duration = Duration::from_millis(5);
-const STACK: usize = 2 << 20;
+/// How often, after the startup, a quorum is asked what is committed, and the key file is read again.
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a node's store is told.
+/// The settings of a node's member of the store.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The folder it is kept in.
+    /// The folder of the store's file.
     pub dir: PathBuf,
-    /// Where others reach it: a loopback address.
+    /// The address that it listens at, a loopback address.
     pub listen: SocketAddr,
     /// The file of the key that all members share.
     pub key_file: PathBuf,
-    /// The node's start waits for the others up to this.
-    pub bound: Duration,
+    /// How long the node's startup waits for the other members.
+    pub startup_timeout: Duration,
 }
 
-/// Why a node's store can't start.
+/// Why a node's member of the store can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// It is no loopback address.
+    /// The address is no loopback address.
     #[error("{0} is no loopback address: the store listens on those alone")]
     NotLoopback(SocketAddr),
-    /// The keys.
+    /// The key file can't be used.
     #[error("{0}")]
     Keys(#[from] KeyError),
-    /// The disk.
+    /// The disk can't be used.
     #[error("{0}")]
     Disk(#[from] DiskError),
-    /// What is on it.
+    /// The replica can't start.
     #[error("{0}")]
     Start(#[from] StartError),
-    /// The address.
+    /// The address can't be listened at.
     #[error("cannot listen at {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The thread.
+    /// The thread can't be started.
     #[error("the store's thread: {0}")]
     Thread(io::Error),
 }
 
-/// A running store, which ends with this.
+/// A running member of the store, which stops when this is dropped.
 pub struct Daemon {
-    /// Its replica.
+    /// The member's replica.
     pub replica: Replica<Tcp>,
-    /// Whether the start is over: what is committed is known, or was waited for long enough.
+    /// Whether the startup is complete: what is committed is known, or the startup has timed out.
     pub ready: watch::Receiver<bool>,
     _stop: DropGuard,
 }
 
 impl Daemon {
-    /// Waits until the start is over, or the store has ended; for a caller without a runtime.
+    /// Blocks until the startup is complete, or the member has stopped.
     pub fn wait(&self) {
-        while !*self.ready.borrow() && self.ready.has_changed().is_ok() {
-            thread::sleep(LOOK);
-        }
+        block_until_ready(&self.ready);
     }
 }
 
-/// Starts a store on a thread of its own.
+/// Starts a member of the store on a thread of its own.
 ///
 /// # Errors
-/// If its folder, key or address can't be used: nothing of it is left running then.
+/// If its folder, key or address can't be used. Nothing is left running then.
 pub fn start(settings: Settings) -> Result<Daemon, DaemonError> {
     if !settings.listen.ip().is_loopback() {
         return Err(DaemonError::NotLoopback(settings.listen));
     }
-    let (told, hears) = std::sync::mpsc::sync_channel(1);
+    let (started, starting) = mpsc::sync_channel(1);
+    let (ready_sender, ready) = watch::channel(false);
     let stop = CancellationToken::new();
-    let (sender, ready) = watch::channel(false);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(DaemonError::Thread)?;
-    let ends = stop.clone();
-    let work = move || {
+    let stopped = stop.clone();
+    let run = move || {
         runtime.block_on(async move {
-            match begin(&settings).await {
-                Ok((replica, listener, tcp)) => {
-                    let _ = told.send(Ok(replica.clone())); // whoever waits for it does so below
-                    run(replica, listener, tcp, &settings, sender, ends).await;
+            match Member::start(settings).await {
+                Ok(member) => {
+                    let _ = started.send(Ok(member.replica.clone())); // it is received below
+                    member.run(ready_sender, stopped).await;
                 }
-                Err(error) => _ = told.send(Err(error)),
+                Err(error) => _ = started.send(Err(error)),
             }
         });
     };
-    thread::Builder::new().name("store".into()).stack_size(STACK).spawn(work).map_err(DaemonError::Thread)?;
+    spawn(run).map_err(DaemonError::Thread)?;
     let ended = |_| DaemonError::Thread(io::Error::other("it ended at its start"));
-    let replica = hears.recv().map_err(ended)??;
+    let replica = starting.recv().map_err(ended)??;
     Ok(Daemon { replica, ready, _stop: stop.drop_guard() })
 }
 
-async fn begin(settings: &Settings) -> Result<(Replica<Tcp>, TcpListener, Tcp), DaemonError> {
-    let keys = Keys::read(&settings.key_file)?;
-    let disk = Disk::open(&settings.dir)?;
-    let at = settings.listen;
-    let listener = TcpListener::bind(at).await.map_err(|error| DaemonError::Listen(at, error))?;
-    let identity = disk.identity();
-    let tcp = Tcp::member(keys, identity.cluster, identity.member, at.to_string());
-    let options = Options { bound: settings.bound, ..Options::at(at.to_string()) };
-    let replica = Replica::start(disk, options, tcp.clone()).await?;
-    info!(event = "store_started", member = identity.member, at = %at, "the store's replica runs");
-    Ok((replica, listener, tcp))
-}
-
-async fn run(
+/// The member as its thread runs it.
+struct Member {
     replica: Replica<Tcp>,
     listener: TcpListener,
     tcp: Tcp,
-    settings: &Settings,
-    ready: watch::Sender<bool>,
-    stop: CancellationToken,
-) {
-    let serving = tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
-    let mut first = Ok(());
-    while !replica.freshness(|freshness, now| freshness.ready(now)) {
-        first = replica.confirm(Instant::now() + settings.bound.min(CONFIRM)).await;
+    settings: Settings,
+}
+
+impl Member {
+    async fn start(settings: Settings) -> Result<Member, DaemonError> {
+        let keys = Keys::read(&settings.key_file)?;
+        let disk = Disk::open(&settings.dir)?;
+        let addr = settings.listen;
+        let listener = TcpListener::bind(addr).await.map_err(|error| DaemonError::Listen(addr, error))?;
+        let identity = disk.identity();
+        let tcp = Tcp::member(keys, identity.cluster, identity.member, addr.to_string());
+        let options = Options { startup_timeout: settings.startup_timeout, ..Options::new(addr.to_string()) };
+        let replica = Replica::start(disk, options, tcp.clone()).await?;
+        info!(event = "store_started", member = identity.member, at = %addr, "the store's replica runs");
+        Ok(Member { replica, listener, tcp, settings })
+    }
+
+    async fn run(self, ready: watch::Sender<bool>, stop: CancellationToken) {
+        let Member { replica, listener, tcp, settings } = self;
+        let server = tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
+        let confirmation = wait_for_startup(&replica, settings.startup_timeout).await;
+        let is_confirmed = replica.freshness(|freshness, _| freshness.is_confirmed());
+        if !is_confirmed {
+            let error = confirmation.err().map(|error| error.to_string());
+            warn!(
+                event = "store_unconfirmed",
+                error, "the node uses the state on its own disk, which may be stale"
+            );
+        }
+        ready.send_replace(true);
+        confirm_regularly(&replica, &tcp, &settings, is_confirmed, &stop).await;
+        replica.stop().await;
+        server.abort();
     }
-    let mut confirmed = replica.freshness(|freshness, _| freshness.is_confirmed());
-    if !confirmed {
-        let error = first.err().map(|error| error.to_string());
-        warn!(event = "store_unconfirmed", error, "the node goes by its own disk, which may be behind");
+}
+
+/// Waits until a quorum has confirmed what is committed, or the startup has timed out; the last attempt's result.
+async fn wait_for_startup(replica: &Replica<Tcp>, timeout: Duration) -> Result<(), RequestError> {
+    let mut last = Ok(());
+    while !replica.freshness(|freshness, now| freshness.startup_complete(now)) {
+        last = replica.confirm(Instant::now() + timeout.min(CONFIRM_INTERVAL)).await;
     }
-    ready.send_replace(true);
+    last
+}
+
+/// Asks a quorum regularly what is committed until the member is stopped, and logs when there is none and when there is
+/// one again.
+async fn confirm_regularly(
+    replica: &Replica<Tcp>,
+    tcp: &Tcp,
+    settings: &Settings,
+    mut was_confirmed: bool,
+    stop: &CancellationToken,
+) {
     while !stop.is_cancelled() {
         tokio::select! {
-            () = stop.cancelled() => {}
-            () = sleep(CONFIRM) => {
-                match Keys::read(&settings.key_file) {
-                    Ok(keys) => tcp.set_keys(keys),
-                    Err(error) => warn!(event = "store_keys_unreadable", %error, "the keys stay as they were"),
-                }
-                let now = replica.confirm(Instant::now() + CONFIRM).await.is_ok();
-                if now != confirmed {
-                    let stale_ms = replica.status().stale_ms;
-                    match now {
-                        true => info!(event = "store_confirmed", "a quorum of the store answers"),
-                        false => warn!(event = "store_stale", stale_ms, "no quorum of the store: no changes are taken"),
-                    }
-                    confirmed = now;
-                }
-            }
+            () = stop.cancelled() => return,
+            () = sleep(CONFIRM_INTERVAL) => {}
+        }
+        reload_keys(tcp, &settings.key_file);
+        let is_confirmed = replica.confirm(Instant::now() + CONFIRM_INTERVAL).await.is_ok();
+        if is_confirmed && !was_confirmed {
+            info!(event = "store_confirmed", "a quorum of the store answers");
+        } else if was_confirmed && !is_confirmed {
+            let stale_ms = replica.status().stale_ms;
+            warn!(event = "store_stale", stale_ms, "no quorum of the store answers: changes are rejected");
         }
+        was_confirmed = is_confirmed;
     }
-    replica.stop().await;
-    serving.abort();
 }
--- a/crates/store/src/feed/delta.rs
+++ b/crates/store/src/feed/delta.rs
@@ -1,46 +1,49 @@
-//! A text as what differs from an older one. Pieces end at each `}`, so that in a list of servers a piece is an entry;
-//! any text can be told so, some not shortly.
+//! The difference between two texts. Texts are compared by pieces that end at each `}`, so that in a server list a piece
+//! is an entry. The difference of any two texts can be expressed; for some of them it is not short.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::state::LIST;
+use crate::state::limits::MAX_LIST_BYTES;
 
-/// What makes the new text, in order.
+/// The length of a text's checksum, in bytes.
+const CHECKSUM_BYTES: usize = 8;
+
+/// An operation that appends to the new text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Op {
-    /// Pieces of the old text.
+    /// Appends pieces of the old text.
     Copy {
-        /// The first of them, from 0.
+        /// The index of the first piece.
         first: u32,
-        /// How many.
+        /// The number of pieces.
         count: u32,
     },
-    /// A text that is new.
+    /// Appends a new text.
     Insert(String),
 }
 
-/// The difference of two texts.
+/// The difference between two texts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     ops: Vec<Op>,
-    /// Of the new text: the first bytes of its SHA-256.
-    sum: [u8; 8],
+    /// The first bytes of the new text's SHA-256.
+    checksum: [u8; CHECKSUM_BYTES],
 }
 
-/// Why a difference can't be used.
+/// Why a difference can't be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// It takes pieces that the old text does not have.
+    /// It copies pieces that the old text doesn't have.
     #[error("a difference to another text")]
     Pieces,
-    /// What comes out is not what was meant.
+    /// The checksum of the result differs.
     #[error("a difference that does not give the text it was made for")]
-    Sum,
-    /// What comes out is too long.
-    #[error("a difference that gives more than {LIST} bytes")]
+    Checksum,
+    /// The result is too long.
+    #[error("a difference that gives more than {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
 
@@ -48,32 +51,32 @@
     text.split_inclusive('}').collect()
 }
 
-fn sum(text: &str) -> [u8; 8] {
-    let mut sum = [0; 8];
-    sum.copy_from_slice(&Sha256::digest(text)[..8]);
-    sum
+fn checksum(text: &str) -> [u8; CHECKSUM_BYTES] {
+    let mut checksum = [0; CHECKSUM_BYTES];
+    checksum.copy_from_slice(&Sha256::digest(text)[..CHECKSUM_BYTES]);
+    checksum
 }
 
-/// What makes `new` of `old`.
+/// The difference that turns `old` into `new`.
 pub fn diff(old: &str, new: &str) -> Delta {
-    let places: HashMap<&str, u32> = (0..).zip(pieces(old)).map(|(place, piece)| (piece, place)).collect();
+    let indexes: HashMap<&str, u32> = (0..).zip(pieces(old)).map(|(index, piece)| (piece, index)).collect();
     let mut ops: Vec<Op> = Vec::new();
     for piece in pieces(new) {
-        match (places.get(piece), ops.last_mut()) {
-            (Some(&place), Some(Op::Copy { first, count })) if *first + *count == place => *count += 1,
-            (Some(&place), _) => ops.push(Op::Copy { first: place, count: 1 }),
+        match (indexes.get(piece), ops.last_mut()) {
+            (Some(&index), Some(Op::Copy { first, count })) if *first + *count == index => *count += 1,
+            (Some(&index), _) => ops.push(Op::Copy { first: index, count: 1 }),
             (None, Some(Op::Insert(text))) => text.push_str(piece),
             (None, _) => ops.push(Op::Insert(piece.into())),
         }
     }
-    Delta { ops, sum: sum(new) }
+    Delta { ops, checksum: checksum(new) }
 }
 
 impl Delta {
-    /// The new text.
+    /// The new text, made from the old one.
     ///
     /// # Errors
-    /// If this was not made for the old one, or the new one is too long.
+    /// If the difference was made for another old text, or the new text is too long.
     pub fn apply(&self, old: &str) -> Result<String, DeltaError> {
         let pieces = pieces(old);
         let mut new = String::new();
@@ -83,18 +86,18 @@
                 Op::Copy { first, count } => {
                     let end = first.checked_add(*count).ok_or(DeltaError::Pieces)?;
                     let copied = pieces.get(*first as usize..end as usize).ok_or(DeltaError::Pieces)?;
-                    // Guards against: a few bytes that copy the whole again and again.
+                    // Checked before it is copied: a few bytes can copy the whole text many times over.
                     let bytes: usize = copied.iter().map(|piece| piece.len()).sum();
-                    if new.len() + bytes > LIST {
+                    if new.len() + bytes > MAX_LIST_BYTES {
                         return Err(DeltaError::TooLong);
                     }
                     new.extend(copied.iter().copied());
                 }
             }
-            if new.len() > LIST {
+            if new.len() > MAX_LIST_BYTES {
                 return Err(DeltaError::TooLong);
             }
         }
-        if sum(&new) == self.sum { Ok(new) } else { Err(DeltaError::Sum) }
+        if checksum(&new) == self.checksum { Ok(new) } else { Err(DeltaError::Checksum) }
     }
 }
--- a/crates/store/src/feed/frame.rs
+++ b/crates/store/src/feed/frame.rs
@@ -1,4 +1,6 @@
-//! What publishers and subscribers say to each other, behind a version byte ([`crate::codec`]).
+//! Frames of publishers and subscribers, behind a version byte ([`crate::codec`]).
+//!
+//! Enums are encoded by the position of their variants, structs by the order of their fields.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -6,119 +8,122 @@
 use super::delta::Delta;
 use crate::codec::{CodecError, decode, encode};
 use crate::freshness::Millis;
-use crate::state::{DOCUMENT, ID, KEY, LIST, NAME, Order};
+use crate::state::AdminOverride;
+use crate::state::limits::{
+    MAX_DOCUMENT_BYTES, MAX_LIST_BYTES, MAX_NAME_BYTES, MAX_PURGE_KEY_BYTES, MAX_SERVER_ID_BYTES,
+};
 
-/// The longest frame that is read, in bytes.
-pub const FRAME: usize = 32 << 10;
-/// The longest item that is put together from parts, in bytes.
-pub const ITEM: usize = LIST + (4 << 10);
+/// The longest frame, in bytes.
+pub const MAX_FRAME_BYTES: usize = 32 << 10;
+/// The longest item, in bytes. One that is longer than a frame goes out in parts.
+pub const MAX_ITEM_BYTES: usize = MAX_LIST_BYTES + (4 << 10);
+/// What errors call an item.
+const ITEM: &str = "an item";
+/// What errors call a frame.
+const FRAME: &str = "a frame";
 
-/// What an item is known by.
+/// What identifies an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Key {
+pub enum ItemKey {
     /// A document, by its name.
     Document(String),
-    /// The list of servers.
+    /// The server list.
     List,
-    /// An operator's order, by its server.
-    Order(String),
+    /// An administrative override, by its server.
+    Override(String),
 }
 
-/// The newest of one thing that is kept.
+/// The latest value of one thing in the state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
     /// A document.
     Document {
         /// Its name.
         name: String,
-        /// All of it.
+        /// Its text.
         text: String,
         /// Who wrote it.
         author: String,
-        /// When, in ms of Unix time, by the author's clock.
+        /// When it was written, in ms of Unix time by the author's clock.
         at_ms: u64,
     },
-    /// The list of servers, whole.
+    /// The complete server list.
     List {
         /// Discovery's version.
         version: u64,
-        /// The list as it was told.
+        /// The list as it was received.
         text: String,
     },
-    /// The list of servers, for whoever has an older one.
+    /// The server list, for a subscriber that has an older one.
     ListDelta {
-        /// The version it has to have.
+        /// The version that the subscriber needs to have.
         from: u64,
-        /// The version it has then.
+        /// The version that it has then.
         version: u64,
-        /// What differs.
+        /// The difference.
         delta: Delta,
     },
-    /// An operator's order.
-    Order {
-        /// The server.
+    /// An administrative override.
+    Override {
+        /// The server's id.
         server: String,
-        /// What is ordered.
-        order: Order,
+        /// The override.
+        admin_override: AdminOverride,
     },
 }
 
 impl Item {
-    /// What it is known by.
-    pub fn key(&self) -> Key {
+    /// What identifies it.
+    pub fn key(&self) -> ItemKey {
         match self {
-            Item::Document { name, .. } => Key::Document(name.clone()),
-            Item::List { .. } | Item::ListDelta { .. } => Key::List,
-            Item::Order { server, .. } => Key::Order(server.clone()),
+            Item::Document { name, .. } => ItemKey::Document(name.clone()),
+            Item::List { .. } | Item::ListDelta { .. } => ItemKey::List,
+            Item::Override { server, .. } => ItemKey::Override(server.clone()),
         }
     }
 
-    /// An item from its bytes.
+    /// Decodes an item.
     ///
     /// # Errors
-    /// If they are none, or a part of it is too long.
-    pub fn read(bytes: &[u8]) -> Result<Item, FrameError> {
-        let item: Item = decode("an item", bytes)?;
-        let fits = |what, bytes: usize, most| match bytes <= most {
-            true => Ok(()),
-            false => Err(FrameError::TooLong { what, bytes, most }),
-        };
+    /// If the bytes are no item, or a part of it is too long.
+    pub fn decode(bytes: &[u8]) -> Result<Item, FrameError> {
+        let item: Item = decode(ITEM, bytes)?;
         match &item {
             Item::Document { name, text, author, .. } => {
-                fits("a name", name.len(), NAME)?;
-                fits("an author", author.len(), NAME)?;
-                fits("a document", text.len(), DOCUMENT)?;
+                check_len("a name", name.len(), MAX_NAME_BYTES)?;
+                check_len("an author", author.len(), MAX_NAME_BYTES)?;
+                check_len("a document", text.len(), MAX_DOCUMENT_BYTES)?;
             }
-            Item::List { text, .. } => fits("a list", text.len(), LIST)?,
+            Item::List { text, .. } => check_len("a list", text.len(), MAX_LIST_BYTES)?,
             Item::ListDelta { .. } => {}
-            Item::Order { server, .. } => fits("a server's id", server.len(), ID)?,
+            Item::Override { server, .. } => check_len("a server's id", server.len(), MAX_SERVER_ID_BYTES)?,
         }
         Ok(item)
     }
 
-    /// Its bytes.
-    pub fn bytes(&self) -> Vec<u8> {
-        encode("an item", self).unwrap_or_default() // no item of this type fails to be written
+    /// Encodes the item.
+    pub fn encode(&self) -> Vec<u8> {
+        encode(ITEM, self).unwrap_or_default() // encoding an item can't fail
     }
 }
 
 /// An item at a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The entry that made it.
+    /// The entry that set the item.
     pub revision: u64,
-    /// The item's bytes, passed on as they came.
+    /// The encoded item, which a relay passes on as it came.
     pub item: Vec<u8>,
 }
 
-/// A part of a record that is too long for one frame.
+/// A part of an item that is too long for one frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
-    /// The entry that made the record.
+pub struct ItemPart {
+    /// The entry that set the item.
     pub revision: u64,
-    /// Where in the item's bytes this part begins.
+    /// The offset of this part in the encoded item.
     pub offset: u32,
-    /// How many bytes the item has.
+    /// The length of the encoded item.
     pub total: u32,
     /// The part.
     pub bytes: Vec<u8>,
@@ -126,158 +131,160 @@
 
 /// How fresh a publisher is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beacon {
-    /// The subscriber's own time that the publisher last heard of, in ms: what follows was said after that.
-    pub echo: Millis,
-    /// The publisher holds all that was committed so many ms before this was said; unknown if nothing.
+pub struct PublisherStatus {
+    /// The last time of the subscriber's clock that the publisher has received, in ms: this status is no older.
+    pub echoed_time: Millis,
+    /// The publisher has everything that was committed this many ms ago; nothing if that is unknown.
     pub stale_ms: Option<Millis>,
-    /// Whether the subscriber holds all that the publisher does, once it has taken this frame.
-    pub complete: bool,
-    /// The newest revision of anything that the publisher holds.
-    pub head: u64,
-    /// The number up to which it knows all purges.
-    pub purged: u64,
+    /// Whether the subscriber has everything that the publisher has, once it has applied this frame.
+    pub is_complete: bool,
+    /// The newest revision of any item that the publisher has.
+    pub head_revision: u64,
+    /// The number of the last purge that the publisher knows.
+    pub last_purge: u64,
 }
 
-/// What changed; a heartbeat if nothing did.
+/// Changes since the last frame; a heartbeat if there are none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// How fresh the publisher is.
-    pub beacon: Beacon,
-    /// The subscriber's revision before this frame ...
+    pub publisher: PublisherStatus,
+    /// The subscriber's revision before this frame.
     pub after: u64,
-    /// ... and once it has taken it.
+    /// The subscriber's revision once it has applied this frame.
     pub through: u64,
-    /// What changed, by revision.
+    /// The items that changed, by revision.
     pub records: Vec<Record>,
-    /// A part of what changed next.
-    pub part: Option<Part>,
+    /// A part of the item that changed next.
+    pub part: Option<ItemPart>,
     /// The number of the last purge that the subscriber knows.
     pub purges_after: u64,
-    /// Purges up to there are no longer known, and the subscriber may lack some of them.
-    pub gap: bool,
-    /// The keys of the next purges, one number each.
+    /// Whether purges up to `purges_after` are no longer known, and the subscriber may lack some of them.
+    pub purge_gap: bool,
+    /// The keys of the next purges, numbered without gaps.
     pub purges: Vec<String>,
 }
 
-/// What a publisher says.
+/// A frame of a publisher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Downlink {
-    /// What changed.
+pub enum PublisherFrame {
+    /// Changes, or a heartbeat.
     Update(Box<Update>),
-    /// It ends the session.
-    Refused(Refusal),
+    /// The publisher ends the session.
+    Rejected(SessionRejection),
 }
 
-/// Why a publisher ends a session, or does not begin one.
+/// Why a publisher ends a session, or doesn't begin one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
-    /// A relay that lags, or a revision that never was.
+pub enum SessionRejection {
+    /// The subscriber is ahead of the publisher: a relay that lags, or a revision that never was.
     #[error("revision {theirs} is from the future: the publisher is at {ours}")]
-    Future {
-        /// What the subscriber holds.
+    Ahead {
+        /// The subscriber's revision.
         theirs: u64,
-        /// What the publisher holds.
+        /// The publisher's revision.
         ours: u64,
     },
-    /// A relay does not know all purges that the subscriber lacks.
+    /// The publisher no longer knows all purges that the subscriber lacks.
     #[error("purges after {theirs} are wanted, and those up to {ours} are not known here")]
-    PurgesGone {
-        /// The last one the subscriber knows.
+    PurgesDropped {
+        /// The last purge that the subscriber knows.
         theirs: u64,
-        /// The last one that is not known here.
+        /// The last purge that the publisher doesn't know any more.
         ours: u64,
     },
-    /// The subscriber does not take what it is sent.
+    /// The subscriber has acknowledged nothing for this time, in ms.
     #[error("nothing was taken for {0} ms: reconnect and resume")]
-    Slow(Millis),
-    /// It says what makes no sense.
+    TooSlow(Millis),
+    /// The subscriber has sent an invalid frame.
     #[error("refused: {0}")]
     Malformed(String),
-    /// There are enough.
+    /// The publisher serves this many subscribers, and no more.
     #[error("{0} subscribers are served, and no more")]
-    Full(u64),
+    SubscriberLimitReached(u64),
 }
 
-/// What a subscriber says.
+/// A frame of a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Uplink {
-    /// First: where it stands.
+pub enum SubscriberFrame {
+    /// The first frame: where the subscriber resumes.
     Hello(Hello),
-    /// Then, regularly: how far it has read.
+    /// Sent regularly: how much it has received.
     Ack(Ack),
 }
 
-/// Where a subscriber stands.
+/// Where a subscriber resumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// Its revision.
     pub revision: u64,
-    /// The version of the list that it holds; 0 for none.
-    pub list: u64,
-    /// The last purge that it knows; nothing for whoever starts now and holds nothing that could be purged.
-    pub purged: Option<u64>,
-    /// Its own time, in ms.
-    pub now: Millis,
+    /// The version of the list that it has; 0 for none.
+    pub list_version: u64,
+    /// The last purge that it knows; nothing if it has just started, and has cached nothing that could be purged.
+    pub last_purge: Option<u64>,
+    /// The time of its clock, in ms.
+    pub time: Millis,
 }
 
-/// How far a subscriber has read.
+/// How much a subscriber has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// Bytes of frames that it has taken on this connection.
-    pub taken: u64,
-    /// Its own time, in ms.
-    pub now: Millis,
+    /// Bytes of the frames that it has received on this connection.
+    pub received_bytes: u64,
+    /// The time of its clock, in ms.
+    pub time: Millis,
 }
 
-/// Why a frame is not taken; nothing of it is applied.
+/// Why a frame is invalid. Nothing of it is applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The whole frame.
-    #[error("a frame of {0} bytes: at most {FRAME} are read")]
-    Frame(usize),
-    /// It can't be read, or is of another version.
+    /// The frame is too long.
+    #[error("a frame of {0} bytes: at most {MAX_FRAME_BYTES} are read")]
+    FrameTooLong(usize),
+    /// It can't be decoded, or is of another version.
     #[error("{0}")]
     Codec(#[from] CodecError),
-    /// A part of it.
-    #[error("{what} of {bytes} bytes: at most {most} are read")]
+    /// A part of it is too long.
+    #[error("{what} of {bytes} bytes: at most {max} are read")]
     TooLong {
-        /// What.
+        /// What is too long.
         what: &'static str,
-        /// How long it is.
+        /// Its length.
         bytes: usize,
-        /// How long it may be.
-        most: usize,
+        /// The longest that is accepted.
+        max: usize,
     },
 }
 
-/// A frame's bytes.
+/// Checks the length of a part of a frame.
+pub(super) fn check_len(what: &'static str, bytes: usize, max: usize) -> Result<(), FrameError> {
+    if bytes <= max { Ok(()) } else { Err(FrameError::TooLong { what, bytes, max }) }
+}
+
+/// Encodes a frame.
 ///
 /// # Errors
 /// If it is too long.
-pub fn write<T: Serialize>(frame: &T) -> Result<Vec<u8>, FrameError> {
-    let bytes = encode("a frame", frame)?;
-    if bytes.len() > FRAME { Err(FrameError::Frame(bytes.len())) } else { Ok(bytes) }
+pub fn encode_frame<T: Serialize>(frame: &T) -> Result<Vec<u8>, FrameError> {
+    let bytes = encode(FRAME, frame)?;
+    if bytes.len() > MAX_FRAME_BYTES { Err(FrameError::FrameTooLong(bytes.len())) } else { Ok(bytes) }
 }
 
-/// A frame from its bytes.
+/// Decodes a frame.
 ///
 /// # Errors
-/// If they are too many, of another version, or none.
-pub fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
-    if bytes.len() > FRAME {
-        return Err(FrameError::Frame(bytes.len()));
+/// If it is too long, of another version, or no frame.
+pub fn decode_frame<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
+    if bytes.len() > MAX_FRAME_BYTES {
+        return Err(FrameError::FrameTooLong(bytes.len()));
     }
-    Ok(decode("a frame", bytes)?)
+    Ok(decode(FRAME, bytes)?)
 }
 
-/// Whether the keys of purges are of a length that may be kept.
+/// Checks the lengths of purged keys.
 ///
 /// # Errors
-/// For the first that is too long.
-pub fn purges_fit(purges: &[String]) -> Result<(), FrameError> {
-    match purges.iter().find(|key| key.len() > KEY) {
-        Some(key) => Err(FrameError::TooLong { what: "a purged key", bytes: key.len(), most: KEY }),
-        None => Ok(()),
-    }
+/// For the first key that is too long.
+pub fn check_purge_keys(purges: &[String]) -> Result<(), FrameError> {
+    purges.iter().try_for_each(|key| check_len("a purged key", key.len(), MAX_PURGE_KEY_BYTES))
 }
--- a/crates/store/src/feed/mod.rs
+++ b/crates/store/src/feed/mod.rs
@@ -1,18 +1,18 @@
-//! Distribution of committed state to nodes that are not members of the consensus: a *publisher* (a member, or a relay)
-//! sends what changed to *subscribers*, by revision.
+//! Distribution of committed state to nodes that are not members of the cluster: a *publisher* (a member or a relay)
+//! sends changes to *subscribers*, by revision.
 //!
-//! Pure, with every time told: [`table`] is what either side holds, [`frame`] what they say, [`delta`] how a list is said
-//! shortly, [`publisher`] one subscriber's session at its publisher, [`subscriber`] the other end, [`route`] which
-//! publisher it turns to. [`crate::wire`] puts them on sockets, [`crate::kept`] puts what was acted on to disk,
-//! [`crate::follower`] runs it beside a node.
+//! Pure, with the time as a parameter: [`table`] is the state of either side, [`frame`] what they send, [`delta`] the
+//! short form of a changed list, [`publisher`] a publisher's session with one subscriber, [`subscriber`] the other end,
+//! [`selector`] its choice of a publisher. [`crate::wire`] connects them over sockets, [`crate::subscriber_folder`] saves
+//! the state that a node uses, [`crate::follower`] runs a subscriber beside a node.
 //!
-//! A *revision* is the index of the log entry that made a change. State (documents, the list, orders) goes out in the
-//! order of revisions, the newest of each item alone; purge records go out beside it in an order of their own, numbered
-//! without a gap, and none is ever left out unsaid.
+//! A *revision* is the index of the log entry that made a change. Items (documents, the list, overrides) are sent in the
+//! order of their revisions, only the newest of each. Purges are sent beside them in an order of their own, numbered
+//! without gaps; one that can't be sent any more is reported.
 
 pub mod delta;
 pub mod frame;
 pub mod publisher;
-pub mod route;
+pub mod selector;
 pub mod subscriber;
 pub mod table;
--- a/crates/store/src/feed/table.rs
+++ b/crates/store/src/feed/table.rs
@@ -1,196 +1,210 @@
-//! What a publisher or a subscriber holds: the newest of each item by revision, and the latest purges.
+//! The state of a publisher or a subscriber: the latest value of each item by revision, and the latest purges.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::ops::Bound;
 use std::sync::Arc;
 
 use super::delta::diff;
-use super::frame::{Item, Key};
-use crate::machine::Applied;
-use crate::state::PURGES;
+use super::frame::{Item, ItemKey};
+use crate::applied::AppliedState;
+use crate::state::limits::MAX_RETAINED_PURGES;
 
-/// Texts of older lists that differences are made to.
-const LISTS: usize = 4;
-/// A difference is sent if it is at most a half of the whole.
-const WORTH: usize = 2;
+/// List versions whose texts are retained, to compute deltas from.
+const MAX_RETAINED_LISTS: usize = 4;
+/// A delta is sent if the complete list is at least this many times as long.
+const MIN_DELTA_RATIO: usize = 2;
 
-/// A place in the order of revisions: behind all of a revision, or behind one item of it.
-pub type Position = (u64, Option<Key>);
+/// A position in the order of revisions.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Position {
+    /// The revision.
+    pub revision: u64,
+    /// The last item of this revision that is before the position; with `None` it is after all of them.
+    pub after_item: Option<ItemKey>,
+}
 
-/// An item that is held.
+/// An encoded item and its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// The entry that made it.
+pub struct EncodedItem {
+    /// The entry that set the item.
     pub revision: u64,
-    /// The item's bytes.
+    /// The encoded item.
     pub bytes: Arc<[u8]>,
 }
 
-/// All that is held.
+/// The text of a list version.
+#[derive(Clone, Debug)]
+struct ListText {
+    version: u64,
+    text: Arc<str>,
+}
+
+/// The items and purges of a publisher or a subscriber.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     revision: u64,
-    items: BTreeMap<Key, Held>,
-    by_revision: BTreeSet<(u64, Key)>,
-    /// The keys of the latest purges, and the number of the last.
+    items: BTreeMap<ItemKey, EncodedItem>,
+    by_revision: BTreeSet<(u64, ItemKey)>,
+    /// The keys of the latest purges, the newest last.
     purges: VecDeque<Arc<str>>,
-    purged: u64,
-    /// The latest lists, the newest last, and differences to the newest.
-    lists: VecDeque<(u64, Arc<str>)>,
+    last_purge: u64,
+    /// The latest lists, the newest last.
+    lists: VecDeque<ListText>,
+    /// Encoded deltas to the newest list by the version they start from; `None` where one isn't worth sending.
     deltas: HashMap<u64, Option<Arc<[u8]>>>,
 }
 
 impl Table {
-    /// Of each item, what was committed at this revision is held, or something newer.
+    /// The revision up to which the table is complete: it has each item as of this revision or newer.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The newest revision of anything that is held.
-    pub fn head(&self) -> u64 {
+    /// The newest revision of any item.
+    pub fn head_revision(&self) -> u64 {
         self.by_revision.last().map_or(0, |(revision, _)| *revision).max(self.revision)
     }
 
     /// The number of the last purge that is known.
-    pub fn purged(&self) -> u64 {
-        self.purged
+    pub fn last_purge(&self) -> u64 {
+        self.last_purge
     }
 
-    /// The number of the last purge that is known no more: those after it are.
-    pub fn forgotten(&self) -> u64 {
-        self.purged - self.purges.len() as u64
+    /// The number of the last purge that is not known any more: those after it are.
+    pub fn last_dropped_purge(&self) -> u64 {
+        self.last_purge - self.purges.len() as u64
     }
 
     /// The version of the list; 0 for none.
     pub fn list_version(&self) -> u64 {
-        self.lists.back().map_or(0, |(version, _)| *version)
+        self.lists.back().map_or(0, |list| list.version)
     }
 
     /// The text of the newest list.
     pub fn list_text(&self) -> Option<&Arc<str>> {
-        self.lists.back().map(|(_, text)| text)
+        self.lists.back().map(|list| &list.text)
     }
 
     /// All items.
-    pub fn items(&self) -> &BTreeMap<Key, Held> {
+    pub fn items(&self) -> &BTreeMap<ItemKey, EncodedItem> {
         &self.items
     }
 
-    /// The newest of an item, and its revision.
-    pub fn item(&self, key: &Key) -> Option<(u64, Item)> {
-        let held = self.items.get(key)?;
-        Some((held.revision, Item::read(&held.bytes).ok()?))
+    /// An item and its revision.
+    pub fn item(&self, key: &ItemKey) -> Option<(u64, Item)> {
+        let item = self.items.get(key)?;
+        Some((item.revision, Item::decode(&item.bytes).ok()?))
     }
 
-    /// The next item behind a place.
-    pub fn next(&self, (revision, key): &Position) -> Option<(&u64, &Key, &Held)> {
-        let next = match key {
-            Some(key) => {
-                let from = (*revision, key.clone());
-                self.by_revision.range((Bound::Excluded(from), Bound::Unbounded)).next()
-            }
-            // The least key there is: behind all of a revision is before all of the next.
+    /// The next item after a position.
+    pub fn next_after(&self, position: &Position) -> Option<(&ItemKey, &EncodedItem)> {
+        let start = match &position.after_item {
+            Some(key) => Bound::Excluded((position.revision, key.clone())),
+            // The least key of the next revision.
             None => {
-                self.by_revision.range((revision.saturating_add(1), Key::Document(String::new()))..).next()
+                let next_revision = position.revision.saturating_add(1);
+                Bound::Included((next_revision, ItemKey::Document(String::new())))
             }
         };
-        let (revision, key) = next?;
-        self.items.get(key).map(|held| (revision, key, held))
+        let (_, key) = self.by_revision.range((start, Bound::Unbounded)).next()?;
+        self.items.get(key).map(|item| (key, item))
     }
 
     /// The keys of the purges after a number, the oldest first.
     pub fn purges_after(&self, number: u64) -> impl Iterator<Item = &Arc<str>> {
-        self.purges.iter().skip(number.saturating_sub(self.forgotten()) as usize)
+        self.purges.iter().skip(number.saturating_sub(self.last_dropped_purge()) as usize)
     }
 
-    /// Takes an item that is newer than what is held.
+    /// Stores an item that is newer than the one in the table.
     pub fn put(&mut self, revision: u64, item: &Item) {
         let key = item.key();
-        if let Item::List { version, text } = item
-            && *version > self.list_version()
-        {
-            self.lists.push_back((*version, text.as_str().into()));
-            if self.lists.len() > LISTS {
-                self.lists.pop_front();
+        match item {
+            Item::List { version, text } if *version > self.list_version() => {
+                self.lists.push_back(ListText { version: *version, text: text.as_str().into() });
+                if self.lists.len() > MAX_RETAINED_LISTS {
+                    self.lists.pop_front();
+                }
+                self.deltas.clear();
             }
-            self.deltas.clear();
+            Item::Override { admin_override, .. } => self.remove_expired_overrides(admin_override.since_ms),
+            _ => {}
         }
-        if let Item::Order { order, .. } = item {
-            self.forget(order.since_ms);
-        }
-        let held = Held { revision, bytes: item.bytes().into() };
-        if let Some(before) = self.items.insert(key.clone(), held) {
-            self.by_revision.remove(&(before.revision, key.clone()));
+        let new = EncodedItem { revision, bytes: item.encode().into() };
+        if let Some(old) = self.items.insert(key.clone(), new) {
+            self.by_revision.remove(&(old.revision, key.clone()));
         }
         self.by_revision.insert((revision, key));
     }
 
-    /// Servers that were put back long before this time are warm: their orders say nothing any more.
-    fn forget(&mut self, at_ms: u64) {
-        let orders = self.items.range(Key::Order(String::new())..);
-        let said = orders.filter_map(|(key, held)| Some((key, held.revision, Item::read(&held.bytes).ok()?)));
-        let old =
-            said.filter(|(.., item)| matches!(item, Item::Order { order, .. } if order.forgotten(at_ms)));
-        let old: Vec<(u64, Key)> = old.map(|(key, revision, _)| (revision, key.clone())).collect();
-        for entry in old {
+    /// Removes the overrides of servers that were returned to service long before this time.
+    fn remove_expired_overrides(&mut self, at_ms: u64) {
+        let is_expired = |item: &EncodedItem| match Item::decode(&item.bytes) {
+            Ok(Item::Override { admin_override, .. }) => admin_override.is_expired(at_ms),
+            _ => false,
+        };
+        let overrides = self.items.range(ItemKey::Override(String::new())..);
+        let expired = overrides.filter(|(_, item)| is_expired(item));
+        let expired: Vec<(u64, ItemKey)> = expired.map(|(key, item)| (item.revision, key.clone())).collect();
+        for entry in expired {
             self.items.remove(&entry.1);
             self.by_revision.remove(&entry);
         }
     }
 
-    /// Of each item, what was committed at a revision is held, or something newer.
+    /// Marks the table as complete up to a revision.
     pub fn advance(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes the next purge.
+    /// Adds the next purge.
     pub fn purge(&mut self, key: &str) {
-        self.purged += 1;
+        self.last_purge += 1;
         self.purges.push_back(key.into());
-        if self.purges.len() > PURGES {
+        if self.purges.len() > MAX_RETAINED_PURGES {
             self.purges.pop_front();
         }
     }
 
-    /// Purges are known from behind this number on, and none before.
-    pub fn purges_from(&mut self, number: u64) {
+    /// Forgets all purges, and sets the number that the next one follows.
+    pub fn reset_purges(&mut self, last_purge: u64) {
         self.purges.clear();
-        self.purged = number;
+        self.last_purge = last_purge;
     }
 
-    /// The list for whoever has an older version of it, if that can be told shortly.
+    /// The encoded delta from an older version of the list, if it is short enough to be sent instead of the list.
     pub fn delta_from(&mut self, from: u64) -> Option<Arc<[u8]>> {
-        let (version, new) = self.lists.back()?;
-        let (_, old) = self.lists.iter().find(|(version, _)| *version == from).filter(|_| from < *version)?;
-        let make = || {
-            let delta = diff(old, new);
-            let bytes = Item::ListDelta { from, version: *version, delta }.bytes();
-            (bytes.len() * WORTH <= new.len()).then(|| bytes.into())
+        let newest = self.lists.back()?;
+        let old = self.lists.iter().find(|list| list.version == from && from < newest.version)?;
+        let encode = || {
+            let delta = diff(&old.text, &newest.text);
+            let bytes = Item::ListDelta { from, version: newest.version, delta }.encode();
+            (bytes.len() * MIN_DELTA_RATIO <= newest.text.len()).then(|| bytes.into())
         };
-        self.deltas.entry(from).or_insert_with(make).clone()
+        self.deltas.entry(from).or_insert_with(encode).clone()
     }
 
     /// Takes over what a member has applied since the last time.
-    pub fn follow(&mut self, applied: &Applied) {
-        let (index, changes) = (applied.last.map_or(0, |last| last.index), &applied.changes);
+    pub fn sync_from(&mut self, applied: &AppliedState) {
+        let index = applied.last_index();
         if index <= self.revision && self.revision > 0 {
             return;
         }
-        for (revision, item) in changed(self.revision, applied) {
+        for (revision, item) in changed_items(self.revision, applied) {
             self.put(revision, &item);
         }
-        if self.purged < changes.forgotten() {
-            self.purges_from(changes.forgotten());
+        let dropped = applied.changes.last_dropped_purge();
+        if self.last_purge < dropped {
+            self.reset_purges(dropped);
         }
-        for key in changes.purges_after(self.purged) {
+        for key in applied.changes.purges_after(self.last_purge) {
             self.purge(key);
         }
         self.advance(index);
     }
 }
 
-/// What a member applied after a revision.
-fn changed(after: u64, applied: &Applied) -> Vec<(u64, Item)> {
+/// The items that a member's applied state has changed after a revision, with their revisions.
+fn changed_items(after: u64, applied: &AppliedState) -> Vec<(u64, Item)> {
     let (state, changes) = (&applied.state, &applied.changes);
     let documents = state.names().filter_map(|name| {
         let latest = state.document(name).filter(|latest| latest.revision > after)?;
@@ -201,9 +215,10 @@
         .list()
         .filter(|_| changes.list() > after)
         .map(|list| (changes.list(), Item::List { version: list.version, text: list.text.clone() }));
-    let orders = state.orders().iter().filter_map(|(server, &order)| {
-        let revision = changes.order(server);
-        (revision > after).then(|| (revision, Item::Order { server: server.clone(), order }))
+    let overrides = state.overrides().iter().filter_map(|(server, &admin_override)| {
+        let revision = changes.admin_override(server);
+        let item = Item::Override { server: server.clone(), admin_override };
+        (revision > after).then_some((revision, item))
     });
-    documents.chain(list).chain(orders).collect()
+    documents.chain(list).chain(overrides).collect()
 }
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -1,35 +1,33 @@
-//! A subscriber as a part of a running node, or a relay: a thread of its own, so that no request waits for it.
+//! A subscriber beside a node, or a relay, on a thread of its own.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::thread;
 use std::time::Duration;
 
 use tokio::net::TcpListener;
+use tokio::runtime::Runtime;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tracing::{info, warn};
 
 use crate::feed::publisher::Limits;
-use crate::feed::route::Route;
-use crate::feed::subscriber::{FRESH, Subscriber};
-use crate::kept::{Kept, KeptError};
+use crate::feed::selector::PublisherSelector;
+use crate::feed::subscriber::{MAX_FRESH_AGE_MS, Subscriber};
+use crate::service::{READY_POLL_INTERVAL, block_until_ready, reload_keys, spawn};
+use crate::subscriber_folder::{FolderError, SubscriberFolder};
 use crate::wire::{Feed, KeyError, Keys, OnPurge, Tcp, follow, serve_relay};
 
-/// How often the key file is looked at, and how fresh it all is.
-const LOOK: Duration = Duration::from_secs(1);
-/// How often it is looked whether the start is over.
-const START: Duration = Duration::from_millis(5);
-const STACK: usize = 2 << 20;
+/// How often, after the startup, the freshness is checked and the key file is read again.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a subscriber is told.
+/// The settings of a node's subscriber.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The folder in which it keeps what it acted on.
+    /// The folder that it saves the state in.
     pub dir: PathBuf,
-    /// Where it serves others as a relay, a loopback address; nowhere if it is absent.
+    /// The loopback address at which it serves others as a relay; without one it doesn't.
     pub listen: Option<SocketAddr>,
     /// The file of the subscribers' key.
     pub key_file: PathBuf,
@@ -37,54 +35,52 @@
     pub cluster: u128,
     /// Publishers by tier, the nearest first; the last are members.
     pub publishers: Vec<Vec<SocketAddr>>,
-    /// The node's start waits for them up to this.
-    pub bound: Duration,
+    /// How long the node's startup waits for a publisher.
+    pub startup_timeout: Duration,
 }
 
 /// Why a subscriber can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum FollowerError {
-    /// It is no loopback address.
+    /// The address is no loopback address.
     #[error("{0} is no loopback address: the store listens on those alone")]
     NotLoopback(SocketAddr),
-    /// The keys.
+    /// The key file can't be used.
     #[error("{0}")]
     Keys(#[from] KeyError),
-    /// The folder.
+    /// The folder can't be used.
     #[error("{0}")]
-    Kept(#[from] KeptError),
-    /// The address.
+    Folder(#[from] FolderError),
+    /// The address can't be listened at.
     #[error("cannot listen at {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The thread.
+    /// The thread can't be started.
     #[error("the subscriber's thread: {0}")]
     Thread(io::Error),
 }
 
-/// A running subscriber, which ends with this.
+/// A running subscriber, which stops when this is dropped.
 pub struct Follower {
-    /// What it holds.
+    /// The state that it follows.
     pub feed: Feed,
-    /// Whether the start is over: a publisher has told what is committed, or was waited for long enough.
+    /// Whether the startup is complete: what is committed is known, or the startup has timed out.
     pub ready: watch::Receiver<bool>,
-    /// The version of the newest list that the node acted on before it was started; 0 for none.
-    pub acted: u64,
+    /// The version of the newest list that the node used before this start; 0 for none.
+    pub list_in_use: u64,
     _stop: DropGuard,
 }
 
 impl Follower {
-    /// Waits until the start is over, or the subscriber has ended; for a caller without a runtime.
+    /// Blocks until the startup is complete, or the subscriber has stopped.
     pub fn wait(&self) {
-        while !*self.ready.borrow() && self.ready.has_changed().is_ok() {
-            thread::sleep(START);
-        }
+        block_until_ready(&self.ready);
     }
 }
 
-/// Starts a subscriber on a thread of its own. `on_purge` is called on it, and must not block.
+/// Starts a subscriber on a thread of its own. `on_purge` is called on that thread, and must not block.
 ///
 /// # Errors
-/// If its folder, key or address can't be used: nothing of it is left running then.
+/// If its folder, key or address can't be used. Nothing is left running then.
 pub fn start(settings: Settings, on_purge: OnPurge) -> Result<Follower, FollowerError> {
     if let Some(listen) = settings.listen.filter(|listen| !listen.ip().is_loopback()) {
         return Err(FollowerError::NotLoopback(listen));
@@ -93,74 +89,83 @@
     let runtime = runtime.map_err(FollowerError::Thread)?;
     let keys = Keys::read(&settings.key_file)?;
     let tcp = Tcp::subscriber(keys, settings.cluster);
-    let (kept, table) = Kept::open(&settings.dir, settings.cluster)?;
-    let listener = settings
-        .listen
-        .map(|at| runtime.block_on(TcpListener::bind(at)).map_err(|error| FollowerError::Listen(at, error)));
-    let listener = listener.transpose()?;
-    let text = |tier: &Vec<SocketAddr>| tier.iter().map(SocketAddr::to_string).collect();
-    let tiers: Vec<Vec<String>> = settings.publishers.iter().map(text).collect();
-    let acted = kept.acted();
-    let route = Route::new(kept.subscriber(), &tiers, fastrand::u64(..));
-    let feed = Feed::new(settings.cluster, Subscriber::new(table, route));
-    let (stop, (sender, ready)) = (CancellationToken::new(), watch::channel(false));
-    let (follows, ends) = (feed.clone(), stop.clone());
-    let work = move || {
-        runtime.block_on(async move {
-            if let Some(listener) = listener {
-                let at = listener.local_addr().ok();
-                info!(
-                    event = "relay_listening",
-                    at = at.map(tracing::field::display),
-                    "others may follow this node"
-                );
-                let limits = Limits::default();
-                tokio::spawn(serve_relay(listener, follows.clone(), tcp.clone(), limits, ends.clone()));
-            }
-            tokio::spawn(follow(follows.clone(), tcp.clone(), Some(kept), on_purge, ends.clone()));
-            info!(event = "subscriber_started", "the store's state is followed");
-            tokio::select! {
-                () = ends.cancelled() => {}
-                () = watch_over(&follows, &tcp, &settings, sender) => {}
-            }
-        });
-    };
-    thread::Builder::new()
-        .name("store".into())
-        .stack_size(STACK)
-        .spawn(work)
-        .map_err(FollowerError::Thread)?;
-    Ok(Follower { feed, ready, acted, _stop: stop.drop_guard() })
+    let (folder, table) = SubscriberFolder::open(&settings.dir, settings.cluster)?;
+    let listener = settings.listen.map(|addr| bind(&runtime, addr)).transpose()?;
+    let list_in_use = folder.list_in_use();
+    let selector = PublisherSelector::new(folder.subscriber(), &publishers(&settings), fastrand::u64(..));
+    let feed = Feed::new(settings.cluster, Subscriber::new(table, selector));
+    let stop = CancellationToken::new();
+    let (ready_sender, ready) = watch::channel(false);
+    let thread = Thread { settings, feed: feed.clone(), tcp, folder, listener, stop: stop.clone() };
+    spawn(move || runtime.block_on(thread.run(on_purge, ready_sender))).map_err(FollowerError::Thread)?;
+    Ok(Follower { feed, ready, list_in_use, _stop: stop.drop_guard() })
+}
+
+fn bind(runtime: &Runtime, addr: SocketAddr) -> Result<TcpListener, FollowerError> {
+    runtime.block_on(TcpListener::bind(addr)).map_err(|error| FollowerError::Listen(addr, error))
 }
 
-fn fresh(feed: &Feed) -> bool {
-    feed.stale_ms().is_some_and(|stale| stale <= FRESH)
+fn publishers(settings: &Settings) -> Vec<Vec<String>> {
+    let addresses = |tier: &Vec<SocketAddr>| tier.iter().map(SocketAddr::to_string).collect();
+    settings.publishers.iter().map(addresses).collect()
 }
 
-/// Tells when the start is over, and when what is held gets stale; looks at the keys.
-async fn watch_over(feed: &Feed, tcp: &Tcp, settings: &Settings, ready: watch::Sender<bool>) {
-    let until = Instant::now() + settings.bound;
-    while !fresh(feed) && Instant::now() < until {
-        sleep(START).await;
+/// The subscriber as its thread runs it.
+struct Thread {
+    settings: Settings,
+    feed: Feed,
+    tcp: Tcp,
+    folder: SubscriberFolder,
+    listener: Option<TcpListener>,
+    stop: CancellationToken,
+}
+
+impl Thread {
+    async fn run(self, on_purge: OnPurge, ready: watch::Sender<bool>) {
+        let Thread { settings, feed, tcp, folder, listener, stop } = self;
+        if let Some(listener) = listener {
+            let addr = listener.local_addr().ok();
+            info!(
+                event = "relay_listening",
+                at = addr.map(tracing::field::display),
+                "other subscribers may follow this node"
+            );
+            let limits = Limits::default();
+            tokio::spawn(serve_relay(listener, feed.clone(), tcp.clone(), limits, stop.clone()));
+        }
+        tokio::spawn(follow(feed.clone(), tcp.clone(), Some(folder), on_purge, stop.clone()));
+        info!(event = "subscriber_started", "the store's state is followed");
+        tokio::select! {
+            () = stop.cancelled() => {}
+            () = monitor(&feed, &tcp, &settings, ready) => {}
+        }
     }
-    let mut confirmed = fresh(feed);
-    if !confirmed {
-        warn!(event = "store_unconfirmed", "the node goes by its own disk, which may be behind");
+}
+
+fn is_fresh(feed: &Feed) -> bool {
+    feed.stale_ms().is_some_and(|stale_ms| stale_ms <= MAX_FRESH_AGE_MS)
+}
+
+/// Signals when the startup is complete, then logs when the state gets stale or is fresh again.
+async fn monitor(feed: &Feed, tcp: &Tcp, settings: &Settings, ready: watch::Sender<bool>) {
+    let deadline = Instant::now() + settings.startup_timeout;
+    while !is_fresh(feed) && Instant::now() < deadline {
+        sleep(READY_POLL_INTERVAL).await;
+    }
+    let mut was_fresh = is_fresh(feed);
+    if !was_fresh {
+        warn!(event = "store_unconfirmed", "the node uses the state on its own disk, which may be stale");
     }
     ready.send_replace(true);
     loop {
-        sleep(LOOK).await;
-        match Keys::read(&settings.key_file) {
-            Ok(keys) => tcp.set_keys(keys),
-            Err(error) => warn!(event = "store_keys_unreadable", %error, "the keys stay as they were"),
-        }
-        let (now, stale_ms) = (fresh(feed), feed.stale_ms());
-        if now != confirmed {
-            match now {
-                true => info!(event = "store_confirmed", "publishers tell what is committed"),
-                false => warn!(event = "store_stale", stale_ms, "no publisher tells what is committed now"),
-            }
-            confirmed = now;
+        sleep(CHECK_INTERVAL).await;
+        reload_keys(tcp, &settings.key_file);
+        let (fresh, stale_ms) = (is_fresh(feed), feed.stale_ms());
+        if fresh && !was_fresh {
+            info!(event = "store_confirmed", "a publisher confirms what is committed");
+        } else if was_fresh && !fresh {
+            warn!(event = "store_stale", stale_ms, "no publisher confirms what is committed");
         }
+        was_fresh = fresh;
     }
 }
--- a/crates/store/src/freshness.rs
+++ b/crates/store/src/freshness.rs
@@ -1,118 +1,139 @@
-//! Which list and which configuration a node may act on: pure, with every time told.
+//! Which list and which configuration a node may use, by their versions. Pure: the time is a parameter.
 //!
-//! Two rules: no node ever acts on a list older than the last one it knows to be committed, nor on a configuration
-//! older than one it has acted on. And one promise: who starts asks the others first, within a bound.
+//! A node never uses a list older than the last one it knows to be committed, nor a configuration older than one it has
+//! used. A node that starts asks the other members first, within a timeout.
+
+use serde::{Deserialize, Serialize};
 
 /// A point in time or a duration, in milliseconds.
 pub type Millis = u64;
 
-/// What a node knows of how fresh it is.
+/// The versions of the list and of the configuration that a node uses; 0 for none.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct VersionsInUse {
+    /// The version of the list.
+    pub list: u64,
+    /// The revision of the configuration.
+    pub config: u64,
+}
+
+/// An index that has to be applied before the node counts as confirmed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct ReadIndex {
+    index: u64,
+    requested_at: Millis,
+}
+
+/// What a node knows of how fresh its state is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Freshness {
-    /// The latest list known to be committed, and the latest acted on; 0 for none.
+    /// The latest list known to be committed; 0 for none.
+    committed_list: u64,
+    /// The latest list used; 0 for none.
     list: u64,
-    acted: u64,
-    /// The latest configuration acted on.
+    /// The latest configuration used; 0 for none.
     config: u64,
-    /// Until when the start waits for the others.
-    until: Millis,
-    /// When the others last confirmed what is committed, by the time the question was asked.
-    confirmed: Option<Millis>,
-    started: Millis,
-    /// The entry up to which all must be applied before the start counts as confirmed.
-    wanted: Option<(u64, Millis)>,
+    startup_deadline: Millis,
+    /// The latest time at which everything that was committed then is known to be applied now.
+    confirmed_at: Option<Millis>,
+    started_at: Millis,
+    pending: Option<ReadIndex>,
 }
 
-/// Whether something may be acted on.
+/// Whether a version may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may; it is newer than what was acted on before.
-    Act,
-    /// It is what is acted on already.
-    Same,
+    /// It is newer than the one in use, and may be used.
+    Newer,
+    /// It is in use already.
+    Current,
     /// A newer one is known.
-    Old {
-        /// That one.
+    Stale {
+        /// The newest that is known.
         known: u64,
     },
 }
 
 impl Freshness {
-    /// A node that starts now, and whose disk tells this list to be committed. It waits for others up to `bound`.
-    pub fn new(now: Millis, bound: Millis, list: u64) -> Freshness {
+    /// The freshness of a node that starts now, and whose disk holds this list as committed. Its startup waits for the
+    /// other members until `timeout` is over.
+    pub fn new(now: Millis, timeout: Millis, committed_list: u64) -> Freshness {
         Freshness {
-            list,
-            acted: 0,
+            committed_list,
+            list: 0,
             config: 0,
-            until: now.saturating_add(bound),
-            confirmed: None,
-            started: now,
-            wanted: None,
+            startup_deadline: now.saturating_add(timeout),
+            confirmed_at: None,
+            started_at: now,
+            pending: None,
         }
     }
 
-    /// A list was committed, as the store tells it.
+    /// Notes that a list is committed.
     pub fn list_committed(&mut self, version: u64) {
-        self.list = self.list.max(version);
+        self.committed_list = self.committed_list.max(version);
     }
 
-    /// Whether a list may be acted on; from then on it is. It may come from the store or from discovery, which may
-    /// know a newer one than is committed.
-    pub fn list(&mut self, version: u64) -> Verdict {
-        let known = self.list.max(self.acted);
+    /// Decides whether a list may be used, and if so notes that it is. The list may come from the store or from
+    /// discovery, which may have a newer one than is committed.
+    pub fn use_list(&mut self, version: u64) -> Verdict {
+        let known = self.committed_list.max(self.list);
         if version < known {
-            return Verdict::Old { known };
+            return Verdict::Stale { known };
         }
-        let same = version == self.acted;
-        self.acted = version;
-        if same { Verdict::Same } else { Verdict::Act }
+        let is_current = version == self.list;
+        self.list = version;
+        if is_current { Verdict::Current } else { Verdict::Newer }
     }
 
-    /// Whether a configuration may be acted on; from then on it is.
-    pub fn config(&mut self, revision: u64) -> Verdict {
+    /// Decides whether a configuration may be used, and if so notes that it is.
+    pub fn use_config(&mut self, revision: u64) -> Verdict {
         if revision < self.config {
-            return Verdict::Old { known: self.config };
+            return Verdict::Stale { known: self.config };
         }
-        let same = revision == self.config;
+        let is_current = revision == self.config;
         self.config = revision;
-        if same { Verdict::Same } else { Verdict::Act }
+        if is_current { Verdict::Current } else { Verdict::Newer }
     }
 
-    /// The others told up to which entry all is committed, for a question that was asked at this time.
-    pub fn answered(&mut self, asked: Millis, index: u64) {
-        self.wanted = Some(match self.wanted {
-            Some((before, at)) => (before.max(index), at.max(asked)),
-            None => (index, asked),
+    /// Notes that everything up to this index is committed, in response to a request that was sent at this time.
+    pub fn read_index_received(&mut self, requested_at: Millis, index: u64) {
+        self.pending = Some(match self.pending {
+            Some(before) => ReadIndex {
+                index: before.index.max(index),
+                requested_at: before.requested_at.max(requested_at),
+            },
+            None => ReadIndex { index, requested_at },
         });
     }
 
-    /// Everything up to this entry is applied here.
-    pub fn applied(&mut self, index: u64) {
-        if let Some((wanted, asked)) = self.wanted
-            && index >= wanted
+    /// Notes that everything up to this index is applied here.
+    pub fn index_applied(&mut self, index: u64) {
+        if let Some(pending) = self.pending
+            && index >= pending.index
         {
-            self.confirmed = self.confirmed.max(Some(asked));
-            self.wanted = None;
+            self.confirmed_at = self.confirmed_at.max(Some(pending.requested_at));
+            self.pending = None;
         }
     }
 
-    /// Whether the start is over: confirmed by the others, or waited for long enough.
-    pub fn ready(&self, now: Millis) -> bool {
-        self.confirmed.is_some() || now >= self.until
+    /// Whether the startup is complete: confirmed by the other members, or timed out.
+    pub fn startup_complete(&self, now: Millis) -> bool {
+        self.confirmed_at.is_some() || now >= self.startup_deadline
     }
 
-    /// For how long nobody has confirmed what this node goes by. A clock that went back counts as no time.
+    /// How long ago the state was last confirmed, or the node started. It is 0 if the clock went back.
     pub fn stale_for(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.confirmed.unwrap_or(self.started))
+        now.saturating_sub(self.confirmed_at.unwrap_or(self.started_at))
     }
 
-    /// Whether the others have confirmed it since the start.
+    /// Whether the other members have confirmed the state since the start.
     pub fn is_confirmed(&self) -> bool {
-        self.confirmed.is_some()
+        self.confirmed_at.is_some()
     }
 
-    /// The latest list acted on and the latest configuration.
-    pub fn acted(&self) -> (u64, u64) {
-        (self.acted, self.config)
+    /// The latest list and the latest configuration used.
+    pub fn in_use(&self) -> VersionsInUse {
+        VersionsInUse { list: self.list, config: self.config }
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,24 +1,33 @@
-//! Configuration and state that outlive every restart, in a small store that a node's siblings keep together.
+//! A small replicated store for the configuration and state that have to survive every restart.
 //!
-//! Pure: [`state`] is what is kept, [`freshness`] which of it may be acted on, [`members`] who belongs. [`disk`] and
-//! [`machine`] give it to the consensus engine, [`replica`] is the running whole, over any [`replica::Transport`];
-//! [`wire`] is the one over TCP. [`daemon`] runs it beside a node, [`client`] asks it from outside. [`feed`] takes what is
-//! committed to nodes that are no members.
-#![allow(unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
+//! A few nodes are *members*: they replicate the state by Raft. All others are *subscribers*, to whom members and relays
+//! publish what is committed.
+//!
+//! - Pure: [`state`] is the replicated state, [`change_index`] which entry changed each part of it, [`applied`] how log
+//!   entries are applied, [`members`] who belongs to the cluster, [`freshness`] which versions a node may use, [`feed`] the
+//!   distribution to subscribers.
+//! - Stored and sent forms: [`codec`] encodes, [`message`] are requests and responses, [`snapshot`] is a sealed snapshot.
+//! - [`disk`] and [`state_machine`] are the storage of the consensus engine, whose types are in [`raft`]. [`replica`] runs
+//!   it over any [`replica::Transport`]; [`wire`] is the one over TCP.
+//! - [`daemon`] runs a member beside a node, [`follower`] a subscriber, whose state is in a [`subscriber_folder`].
+//!   [`client`] sends requests from outside.
 
-pub mod changes;
+pub mod applied;
+pub mod change_index;
 pub mod client;
 pub mod codec;
 pub mod daemon;
 pub mod disk;
-pub mod engine;
 pub mod feed;
 pub mod follower;
 pub mod freshness;
-pub mod kept;
-pub mod machine;
 pub mod members;
 pub mod message;
+pub mod raft;
 pub mod replica;
+mod service;
+pub mod snapshot;
 pub mod state;
+pub mod state_machine;
+pub mod subscriber_folder;
 pub mod wire;
--- a/crates/store/src/members.rs
+++ b/crates/store/src/members.rs
@@ -1,124 +1,119 @@
-//! Who belongs, and which changes of members are safe: pure.
+//! The members of a cluster, who is admitted, and which changes of members are safe. Pure.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::engine::MemberId;
-use crate::message::Party;
+use crate::message::{Caller, Introduction};
+use crate::raft::MemberId;
 
-/// The members as a replica knows them: where each listens, and whether it votes.
+/// The members as a replica knows them.
 pub type Members = BTreeMap<MemberId, Member>;
 
 /// A member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Where it listens.
+    /// The address that it listens at.
     pub addr: String,
-    /// Whether it votes.
-    pub votes: bool,
+    /// Whether it is a voter; else it is a learner.
+    pub is_voter: bool,
 }
 
-/// Why somebody is not heard, or a change of members not made.
+/// Why a caller is not admitted, or a change of members not made.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembersError {
-    /// It belongs to another cluster.
+    /// The caller belongs to another cluster.
     #[error("cluster {theirs:032x} is not ours, {ours:032x}")]
-    Stranger {
-        /// Its cluster.
+    ForeignCluster {
+        /// The caller's cluster.
         theirs: u128,
-        /// This one.
+        /// This cluster.
         ours: u128,
     },
-    /// It was never a member, or was removed.
+    /// The caller was never a member, or was removed.
     #[error("{0} is not a member: it was removed, or never added")]
     NotMember(MemberId),
-    /// It says that it is this very member: its disk is a copy.
+    /// The caller has this member's own id: its disk may be a copy.
     #[error("{0} is this member's own id: is its disk a copy of this one?")]
-    Myself(MemberId),
-    /// It is at another place than the members know: its disk may be a copy.
+    OwnId(MemberId),
+    /// The caller has another address than the members know: its disk may be a copy.
     #[error("member {member} is at {known}, not at {found}: is its disk a copy?")]
-    Elsewhere {
+    AddressMismatch {
         /// The member.
         member: MemberId,
-        /// Where it is known to be.
+        /// The address that the members know.
         known: String,
-        /// Where it says it is.
+        /// The address that the caller gives.
         found: String,
     },
-    /// Its id was another's, or its own before it was removed.
+    /// The id is that of a removed member.
     #[error("{0} was removed, and no id is given twice: make a new store under a new id")]
     Removed(MemberId),
-    /// It is a member already.
+    /// The new member is a member already.
     #[error("{0} is a member already")]
-    Known(MemberId),
-    /// The address is another member's.
+    AlreadyMember(MemberId),
+    /// The new member's address is another member's.
     #[error("{addr} is the address of member {member}")]
-    Taken {
+    AddressInUse {
         /// The address.
         addr: String,
-        /// Whose it is.
+        /// The member that has it.
         member: MemberId,
     },
-    /// It asks a relay what only a member answers.
+    /// A relay serves subscribers only.
     #[error("this is a relay: it serves subscribers, and nobody else; ask a member")]
-    Relay,
-    /// The last one.
+    NotServedByRelay,
+    /// The member is the last voter.
     #[error("{0} is the last member that votes")]
-    Last(MemberId),
-    /// Too few of those who would be left can be reached.
+    LastVoter(MemberId),
+    /// No quorum of the remaining voters is reachable.
     #[error(
-        "of the {voters} that would vote only {reachable} can be reached, and {needed} are needed: mend them first, or use --force"
+        "of the {voters} that would vote only {reachable} can be reached, and {quorum} are needed: mend them first, or use --force"
     )]
-    Unsafe {
-        /// Who would vote.
+    QuorumUnreachable {
+        /// The remaining voters.
         voters: usize,
-        /// Those of them within reach.
+        /// Those of them that are reachable.
         reachable: usize,
-        /// How many it takes.
-        needed: usize,
+        /// The number that makes a quorum.
+        quorum: usize,
     },
 }
 
-/// Who says hello.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Hello<'a> {
-    /// Its cluster.
-    pub cluster: u128,
-    /// Who it is.
-    pub party: Party,
-    /// Where it says that it listens; of a client nothing.
-    pub addr: &'a str,
-}
-
-/// Whether whoever says hello is heard by this member. A member that doesn't know any others yet hears all that
-/// belong to its cluster: one of them leads, and tells it who belongs.
+/// Checks whether this member admits a caller. A member that doesn't know any others yet admits all members of its
+/// cluster: one of them is the leader, and sends it the membership.
 ///
 /// # Errors
-/// Why it is not.
-pub fn admit(hello: &Hello, cluster: u128, me: MemberId, members: &Members) -> Result<(), MembersError> {
-    // Whoever has the key may ask the one cluster that is there, without naming it.
-    let unnamed = hello.party == Party::Client && hello.cluster == 0;
-    if hello.cluster != cluster && !unnamed {
-        return Err(MembersError::Stranger { theirs: hello.cluster, ours: cluster });
+/// Why the caller is not admitted.
+pub fn admit(
+    caller: &Introduction,
+    cluster: u128,
+    own_id: MemberId,
+    members: &Members,
+) -> Result<(), MembersError> {
+    // A client has the key of this cluster, and need not know its number.
+    let any_cluster = caller.caller == Caller::Client && caller.cluster == 0;
+    if caller.cluster != cluster && !any_cluster {
+        return Err(MembersError::ForeignCluster { theirs: caller.cluster, ours: cluster });
     }
-    let Party::Member(member) = hello.party else { return Ok(()) };
-    if member == me {
-        return Err(MembersError::Myself(me));
+    let Caller::Member(member) = caller.caller else { return Ok(()) };
+    if member == own_id {
+        return Err(MembersError::OwnId(own_id));
     }
     match members.get(&member) {
         _ if members.is_empty() => Ok(()),
         None => Err(MembersError::NotMember(member)),
-        Some(known) if known.addr != hello.addr => {
-            Err(MembersError::Elsewhere { member, known: known.addr.clone(), found: hello.addr.into() })
+        Some(known) if known.addr != caller.addr => {
+            let (known, found) = (known.addr.clone(), caller.addr.clone());
+            Err(MembersError::AddressMismatch { member, known, found })
         }
         Some(_) => Ok(()),
     }
 }
 
-/// Whether a member may be added.
+/// Checks whether a member may be added.
 ///
 /// # Errors
-/// Why not.
-pub fn may_add(
+/// Why it may not.
+pub fn check_add(
     member: MemberId,
     addr: &str,
     members: &Members,
@@ -127,36 +122,37 @@
     if removed.contains(&member) {
         return Err(MembersError::Removed(member));
     }
-    if members.get(&member).is_some_and(|known| known.votes || known.addr != addr) {
-        return Err(MembersError::Known(member));
+    if members.get(&member).is_some_and(|known| known.is_voter || known.addr != addr) {
+        return Err(MembersError::AlreadyMember(member));
     }
     match members.iter().find(|(other, known)| **other != member && known.addr == addr) {
-        Some((&member, _)) => Err(MembersError::Taken { addr: addr.into(), member }),
+        Some((&member, _)) => Err(MembersError::AddressInUse { addr: addr.into(), member }),
         None => Ok(()),
     }
 }
 
-/// Whether a member may be removed, where these can be reached. A quorum of those who vote then must be among them.
+/// Checks whether a member may be removed: unless `force` is set, a quorum of the remaining voters must be reachable.
 ///
 /// # Errors
-/// Why not.
-pub fn may_remove(
+/// Why it may not.
+pub fn check_remove(
     member: MemberId,
     members: &Members,
-    reachable: impl Fn(MemberId) -> bool,
+    is_reachable: impl Fn(MemberId) -> bool,
     force: bool,
 ) -> Result<(), MembersError> {
     if !members.contains_key(&member) {
         return Err(MembersError::NotMember(member));
     }
-    let left: Vec<MemberId> =
-        members.iter().filter(|(id, known)| **id != member && known.votes).map(|(&id, _)| id).collect();
-    if left.is_empty() {
-        return Err(MembersError::Last(member));
+    let others = members.iter().filter(|(id, known)| **id != member && known.is_voter);
+    let voters: Vec<MemberId> = others.map(|(&id, _)| id).collect();
+    if voters.is_empty() {
+        return Err(MembersError::LastVoter(member));
     }
-    let (needed, within) = (left.len() / 2 + 1, left.iter().filter(|&&id| reachable(id)).count());
-    match within >= needed || force {
-        true => Ok(()),
-        false => Err(MembersError::Unsafe { voters: left.len(), reachable: within, needed }),
+    let quorum = voters.len() / 2 + 1;
+    let reachable = voters.iter().filter(|&&id| is_reachable(id)).count();
+    if reachable < quorum && !force {
+        return Err(MembersError::QuorumUnreachable { voters: voters.len(), reachable, quorum });
     }
+    Ok(())
 }
--- a/crates/store/src/engine.rs
+++ b/crates/store/src/raft.rs
@@ -1,4 +1,4 @@
-//! The types that the consensus engine is set up with, and the runtime it uses.
+//! The type configuration of openraft, the consensus engine, and the async runtime that it uses.
 
 use std::future::Future;
 use std::io::Cursor;
@@ -8,42 +8,42 @@
 
 use crate::state::{Proposal, Reply};
 
-/// Names a member; the same for all of its life, and never given twice.
+/// The id of a member, which is never reused.
 pub type MemberId = u64;
 
 openraft::declare_raft_types!(
     /// The engine's types.
-    pub Types:
+    pub TypeConfig:
         D = Proposal,
         R = Reply,
         NodeId = MemberId,
         Node = BasicNode,
         SnapshotData = Cursor<Vec<u8>>,
-        AsyncRuntime = Runtime,
+        AsyncRuntime = SeedableRuntime,
 );
 
 /// The engine.
-pub type Raft = openraft::Raft<Types>;
+pub type Raft = openraft::Raft<TypeConfig>;
 /// An entry of the log.
-pub type Entry = openraft::Entry<Types>;
-/// The place of an entry.
+pub type Entry = openraft::Entry<TypeConfig>;
+/// The term and index of an entry.
 pub type LogId = openraft::LogId<MemberId>;
-/// An error of the disk, as the engine has it.
+/// An error of the disk, in the engine's form.
 pub type StorageError = openraft::StorageError<MemberId>;
-/// Members as of some entry.
-pub type Membership = openraft::StoredMembership<MemberId, BasicNode>;
-/// What an entry stands for in a snapshot.
+/// The members as of an entry.
+pub type StoredMembership = openraft::StoredMembership<MemberId, BasicNode>;
+/// The entries that a snapshot covers.
 pub type SnapshotMeta = openraft::SnapshotMeta<MemberId, BasicNode>;
 
-/// Tokio, with random choices (the times of elections) that a simulation can seed.
+/// Tokio, with random choices (election timeouts) that a simulation can seed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Runtime;
+pub struct SeedableRuntime;
 
-/// The thread's own generator, which [`fastrand::seed`] seeds.
+/// The thread's generator, which [`fastrand::seed`] seeds.
 #[derive(Debug)]
-pub struct ThreadRandom;
+pub struct ThreadRng;
 
-impl rand_core::RngCore for ThreadRandom {
+impl rand_core::RngCore for ThreadRng {
     fn next_u32(&mut self) -> u32 {
         fastrand::u32(..)
     }
@@ -59,14 +59,14 @@
     }
 }
 
-impl AsyncRuntime for Runtime {
+impl AsyncRuntime for SeedableRuntime {
     type JoinError = <TokioRuntime as AsyncRuntime>::JoinError;
     type JoinHandle<T: Send + 'static> = <TokioRuntime as AsyncRuntime>::JoinHandle<T>;
     type Sleep = <TokioRuntime as AsyncRuntime>::Sleep;
     type Instant = <TokioRuntime as AsyncRuntime>::Instant;
     type TimeoutError = <TokioRuntime as AsyncRuntime>::TimeoutError;
     type Timeout<R, T: Future<Output = R> + Send> = <TokioRuntime as AsyncRuntime>::Timeout<R, T>;
-    type ThreadLocalRng = ThreadRandom;
+    type ThreadLocalRng = ThreadRng;
     type OneshotSender<T: Send> = <TokioRuntime as AsyncRuntime>::OneshotSender<T>;
     type OneshotReceiver<T: Send> = <TokioRuntime as AsyncRuntime>::OneshotReceiver<T>;
     type OneshotReceiverError = <TokioRuntime as AsyncRuntime>::OneshotReceiverError;
@@ -96,8 +96,8 @@
     fn is_panic(error: &Self::JoinError) -> bool {
         TokioRuntime::is_panic(error)
     }
-    fn thread_rng() -> ThreadRandom {
-        ThreadRandom
+    fn thread_rng() -> ThreadRng {
+        ThreadRng
     }
     fn oneshot<T: Send>() -> (Self::OneshotSender<T>, Self::OneshotReceiver<T>) {
         TokioRuntime::oneshot()
--- a/crates/store/src/wire/follow.rs
+++ b/crates/store/src/wire/follow.rs
@@ -1,291 +1,194 @@
-//! A subscriber's side: it connects, takes what comes, keeps what it acts on, and lets others read it.
+//! A subscriber's connections: it connects to publishers, applies their frames, and saves the state that its node uses.
 
-use std::collections::BTreeMap;
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError, RwLock, RwLockReadGuard};
-use std::time::Duration;
-
-use tokio::sync::{mpsc, watch};
-use tokio::time::{Instant, sleep_until, timeout};
+use tokio::sync::mpsc;
+use tokio::time::{sleep_until, timeout};
 use tokio_util::sync::CancellationToken;
 use tracing::{debug, warn};
 
-use super::link::{HANDSHAKE, Introduction, Link, WireError, locked};
+use super::connection::{Connection, HANDSHAKE_TIMEOUT, MessageReceiver, MessageSender, WireError};
+use super::feed::Feed;
 use super::publish::Source;
 use super::tcp::Tcp;
-use crate::feed::frame::{FRAME, Item, Key};
-use crate::feed::subscriber::{Action, Event, Figures, Subscriber};
-use crate::feed::table::{Held, Table};
-use crate::freshness::Millis;
-use crate::kept::{Kept, KeptError};
-use crate::message::Party;
+use crate::feed::frame::MAX_FRAME_BYTES;
+use crate::feed::subscriber::{Action, Event, ReceiveError};
+use crate::message::{Caller, Introduction};
+use crate::subscriber_folder::{FolderError, SubscriberFolder};
 
-/// Frames that wait to be taken.
-const FRAMES: usize = 4;
+/// Received frames that may wait to be applied.
+const FRAME_QUEUE_LEN: usize = 4;
 
-/// Is told of purges: [`Event::Purged`] and [`Event::PurgesUnknown`], each once and in order. It must not block.
+/// Is called with [`Event::Purged`] and [`Event::PurgesUnknown`], once for each event and in order. It must not block.
 pub type OnPurge = Box<dyn FnMut(&Event) + Send>;
 
-/// What a node may act on: what is on its disk as well.
-#[derive(Debug, Default)]
-pub struct View {
-    items: BTreeMap<Key, Held>,
-    list_version: u64,
-}
-
-impl View {
-    /// An item, and its revision.
-    pub fn item(&self, key: &Key) -> Option<(u64, Item)> {
-        let held = self.items.get(key)?;
-        Some((held.revision, Item::read(&held.bytes).ok()?))
-    }
-
-    /// All items.
-    pub fn items(&self) -> &BTreeMap<Key, Held> {
-        &self.items
-    }
-
-    /// The version of the list; 0 for none.
-    pub fn list_version(&self) -> u64 {
-        self.list_version
-    }
-}
-
-/// What a subscriber holds; its clones are the same one.
-#[derive(Clone)]
-pub struct Feed(Arc<Inner>);
-
-struct Inner {
-    cluster: u128,
-    core: Mutex<Subscriber>,
-    view: RwLock<View>,
-    /// Grows with each change of items, and of anything.
-    items: watch::Sender<u64>,
-    all: watch::Sender<u64>,
-    /// The newest list that the node acted on.
-    acted: AtomicU64,
-    start: Instant,
-}
-
-impl Feed {
-    /// A subscriber of a cluster.
-    pub fn new(cluster: u128, core: Subscriber) -> Feed {
-        let (items, list_version) = (core.table.items().clone(), core.table.list_version());
-        let view = RwLock::new(View { items, list_version });
-        let (core, items, all) = (Mutex::new(core), watch::Sender::new(0), watch::Sender::new(0));
-        Feed(Arc::new(Inner {
-            cluster,
-            core,
-            view,
-            items,
-            all,
-            acted: AtomicU64::new(0),
-            start: Instant::now(),
-        }))
-    }
-
-    /// What may be acted on now.
-    pub fn view(&self) -> RwLockReadGuard<'_, View> {
-        self.0.view.read().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// Grows when what may be acted on has changed.
-    pub fn items(&self) -> watch::Receiver<u64> {
-        self.0.items.subscribe()
-    }
-
-    /// All that was committed so many ms ago is held; nothing if nobody could tell yet.
-    pub fn stale_ms(&self) -> Option<Millis> {
-        locked(&self.0.core).stale_ms(self.now())
-    }
-
-    /// The node acts on a list, whoever told it: from the next frame on that is on the disk.
-    pub fn acts_on(&self, version: u64) {
-        self.0.acted.fetch_max(version, Ordering::Relaxed);
-    }
-
-    /// Counts since the start.
-    pub fn figures(&self) -> Figures {
-        locked(&self.0.core).figures()
-    }
-
-    /// The revision that is held, and the publisher that tells more.
-    pub fn standing(&self) -> (u64, Option<String>) {
-        let core = locked(&self.0.core);
-        (core.table.revision(), core.publisher().map(str::to_owned))
-    }
-
-    fn acted(&self) -> u64 {
-        self.0.acted.load(Ordering::Relaxed)
-    }
-
-    fn now(&self) -> Millis {
-        self.0.start.elapsed().as_millis() as Millis
-    }
-
-    fn core<R>(&self, work: impl FnOnce(&mut Subscriber, Millis) -> R) -> R {
-        let now = self.now();
-        work(&mut locked(&self.0.core), now)
-    }
-
-    fn at(&self, ms: Millis) -> Instant {
-        // At least a little later, so that nothing spins.
-        (self.0.start + Duration::from_millis(ms)).max(Instant::now() + Duration::from_millis(1))
-    }
-}
-
-impl Source for Feed {
-    const MEMBER: bool = false;
-
-    fn cluster(&self) -> u128 {
-        self.0.cluster
-    }
-
-    fn with<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R {
-        self.core(|core, now| {
-            let stale = core.stale_ms(now);
-            work(&mut core.table, stale)
-        })
-    }
-
-    fn changed(&self) -> watch::Receiver<u64> {
-        self.0.all.subscribe()
-    }
+#[derive(Debug, thiserror::Error)]
+enum FollowError {
+    #[error("{0}")]
+    Wire(#[from] WireError),
+    #[error("{0}")]
+    Receive(#[from] ReceiveError),
 }
 
-/// What a subscriber does with what comes.
-struct Taking {
-    kept: Option<Kept>,
-    /// Whether items are held that are not on the disk yet: they are not acted on.
-    unkept: bool,
+/// Follows the state until it is stopped. `tcp` has the keys. Without a folder nothing is saved.
+pub async fn follow(
+    feed: Feed,
+    tcp: Tcp,
+    folder: Option<SubscriberFolder>,
     on_purge: OnPurge,
-}
-
-/// Follows until it is told to stop. `tcp` has the keys; without `kept` nothing outlives the process.
-pub async fn follow(feed: Feed, tcp: Tcp, kept: Option<Kept>, on_purge: OnPurge, stop: CancellationToken) {
-    let mut taking = Taking { kept, unkept: false, on_purge };
-    let work = async {
+    stop: CancellationToken,
+) {
+    let mut applier = FrameApplier { feed: feed.clone(), folder, has_unsaved_items: false, on_purge };
+    let connect = async {
         loop {
-            let action = feed.core(|core, now| core.poll(now).ok_or_else(|| core.due(now)));
+            let action = feed.with_subscriber(|subscriber, now| {
+                subscriber.poll(now).ok_or_else(|| subscriber.next_poll_at(now))
+            });
             match action {
-                Ok(Action::Connect(addr)) => {
-                    let ended = session(&feed, &addr, &tcp, &mut taking).await;
-                    feed.core(|core, now| core.closed(now));
-                    match ended {
-                        Ok(()) => debug!(event = "publisher_left", addr, "a publisher is left for another"),
-                        Err(error) => told(&feed, &addr, &error),
-                    }
-                }
+                Ok(Action::Connect(addr)) => run_connection(&feed, &addr, &tcp, &mut applier).await,
                 Ok(Action::Send(_) | Action::Close(_)) => {} // there is no connection
-                Err(due) => sleep_until(feed.at(due)).await,
+                Err(next_poll_at) => sleep_until(feed.instant(next_poll_at)).await,
             }
         }
     };
     tokio::select! {
         () = stop.cancelled() => {}
-        () = work => {}
+        () = connect => {}
     }
 }
 
-/// Of ever more publishers lost or refused, ever fewer lines.
-fn told(feed: &Feed, addr: &str, error: &FollowError) {
-    let Figures { refused, moves, .. } = feed.figures();
-    if moves.is_power_of_two() {
-        warn!(event = "publisher_lost", addr, %error, moves, refused, "a publisher of the store's state is left");
+async fn run_connection(feed: &Feed, addr: &str, tcp: &Tcp, applier: &mut FrameApplier) {
+    let result = session(feed, addr, tcp, applier).await;
+    feed.with_subscriber(|subscriber, now| subscriber.on_closed(now));
+    match result {
+        Ok(()) => {
+            debug!(event = "publisher_disconnected", addr, "the subscriber connects to another publisher");
+        }
+        Err(error) => log_lost_publisher(feed, addr, &error),
     }
 }
 
-#[derive(Debug, thiserror::Error)]
-enum FollowError {
-    #[error("{0}")]
-    Wire(#[from] WireError),
-    #[error("{0}")]
-    Refused(#[from] crate::feed::subscriber::Refused),
+/// Logs a lost publisher whenever their number has doubled.
+fn log_lost_publisher(feed: &Feed, addr: &str, error: &FollowError) {
+    let counters = feed.counters();
+    let (disconnects, rejected_frames) = (counters.disconnects, counters.rejected_frames);
+    if disconnects.is_power_of_two() {
+        warn!(
+            event = "publisher_lost",
+            addr, %error, disconnects, rejected_frames, "the connection to a publisher of the store's state has failed"
+        );
+    }
 }
 
-/// One connection, until the core wants another, or it ends.
-async fn session(feed: &Feed, addr: &str, tcp: &Tcp, takes: &mut Taking) -> Result<(), FollowError> {
-    let me = Introduction { cluster: feed.0.cluster, party: Party::Subscriber, addr: String::new() };
+/// Runs one connection, until the subscriber closes it or it fails.
+async fn session(feed: &Feed, addr: &str, tcp: &Tcp, applier: &mut FrameApplier) -> Result<(), FollowError> {
+    let caller = Introduction { cluster: feed.cluster(), caller: Caller::Subscriber, addr: String::new() };
     let keys = tcp.keys();
-    let link = timeout(HANDSHAKE, Link::connect(addr, &keys, &me)).await;
-    let (mut sending, mut receiving) = link.unwrap_or(Err(WireError::Late))?.split();
-    let hello = feed.core(|core, now| core.connected(now));
-    sending.bytes(&hello).await?;
-    let (frames, mut taken) = mpsc::channel(FRAMES);
-    let hearing = async {
-        loop {
-            let bytes = match receiving.bytes(FRAME).await {
-                Ok(bytes) => bytes,
-                Err(error @ WireError::Io(_)) => return error,
-                Err(error) => {
-                    feed.core(|core, _| core.unreadable());
-                    return error;
-                }
-            };
-            let _ = frames.send(bytes).await; // whoever takes them is in this very function
+    let connection = timeout(HANDSHAKE_TIMEOUT, Connection::connect(addr, &keys, &caller)).await;
+    let (mut sender, mut receiver) = connection.unwrap_or(Err(WireError::HandshakeTimeout))?.split();
+    let hello = feed.with_subscriber(|subscriber, now| subscriber.on_connected(now));
+    sender.send(&hello).await?;
+    let (queue, mut frames) = mpsc::channel(FRAME_QUEUE_LEN);
+    tokio::select! {
+        error = receive_frames(feed, &mut receiver, queue) => Err(error.into()),
+        result = apply_frames(feed, addr, &mut sender, &mut frames, applier) => result,
+    }
+}
+
+/// Receives frames into the queue until the connection fails.
+async fn receive_frames(
+    feed: &Feed,
+    receiver: &mut MessageReceiver,
+    queue: mpsc::Sender<Vec<u8>>,
+) -> WireError {
+    loop {
+        match receiver.receive(MAX_FRAME_BYTES).await {
+            Ok(frame) => _ = queue.send(frame).await, // the receiver lives as long as this future
+            Err(error @ WireError::Io(_)) => return error,
+            Err(error) => {
+                feed.with_subscriber(|subscriber, _| subscriber.on_unreadable_frame());
+                return error;
+            }
         }
-    };
-    let taking = async {
-        loop {
-            let due = feed.at(feed.core(|core, now| core.due(now)));
-            tokio::select! {
-                bytes = taken.recv() => {
-                    let Some(bytes) = bytes else { return Ok(()) };
-                    takes.take(feed, &bytes)?;
-                }
-                () = sleep_until(due) => {}
+    }
+}
+
+/// Applies frames from the queue, and sends what the subscriber wants to send, until it closes the connection.
+async fn apply_frames(
+    feed: &Feed,
+    addr: &str,
+    sender: &mut MessageSender,
+    frames: &mut mpsc::Receiver<Vec<u8>>,
+    applier: &mut FrameApplier,
+) -> Result<(), FollowError> {
+    loop {
+        let next_poll_at = feed.with_subscriber(|subscriber, now| subscriber.next_poll_at(now));
+        tokio::select! {
+            frame = frames.recv() => {
+                let Some(frame) = frame else { return Ok(()) };
+                applier.apply(&frame)?;
             }
-            match feed.core(|core, now| core.poll(now)) {
-                Some(Action::Send(bytes)) => {
-                    timeout(HANDSHAKE, sending.bytes(&bytes)).await.unwrap_or(Err(WireError::Late))?;
-                }
-                Some(Action::Close(why)) => {
-                    debug!(event = "publisher_left", addr, ?why, "another publisher is tried");
-                    return Ok(());
-                }
-                Some(Action::Connect(_)) | None => {}
+            () = sleep_until(feed.instant(next_poll_at)) => {}
+        }
+        match feed.with_subscriber(|subscriber, now| subscriber.poll(now)) {
+            Some(Action::Send(bytes)) => {
+                let sent = timeout(HANDSHAKE_TIMEOUT, sender.send(&bytes)).await;
+                sent.unwrap_or(Err(WireError::HandshakeTimeout))?;
+            }
+            Some(Action::Close(reason)) => {
+                debug!(
+                    event = "publisher_disconnected",
+                    addr,
+                    ?reason,
+                    "the connection to a publisher is closed"
+                );
+                return Ok(());
             }
+            Some(Action::Connect(_)) | None => {}
         }
-    };
-    tokio::select! {
-        error = hearing => Err(error.into()),
-        ended = taking => ended,
     }
 }
 
-impl Taking {
-    /// Takes a frame.
-    fn take(&mut self, feed: &Feed, bytes: &[u8]) -> Result<(), FollowError> {
-        for event in feed.core(|core, now| core.received(bytes, now))? {
+/// Applies frames, and saves the state that they change.
+struct FrameApplier {
+    feed: Feed,
+    folder: Option<SubscriberFolder>,
+    /// Whether items have changed that are not saved yet. The node doesn't see them before.
+    has_unsaved_items: bool,
+    on_purge: OnPurge,
+}
+
+impl FrameApplier {
+    fn apply(&mut self, frame: &[u8]) -> Result<(), FollowError> {
+        for event in self.feed.with_subscriber(|subscriber, now| subscriber.on_frame(frame, now))? {
             match event {
-                Event::Changed(_) => self.unkept = true,
-                Event::Purged(..) | Event::PurgesUnknown(..) => (self.on_purge)(&event),
+                Event::Changed(_) => self.has_unsaved_items = true,
+                Event::Purged { .. } | Event::PurgesUnknown { .. } => (self.on_purge)(&event),
             }
         }
-        let acted = self.kept.as_ref().is_some_and(|kept| kept.acted() < feed.acted());
-        if self.unkept || acted {
-            match self.keep(feed) {
-                Ok(()) => self.unkept = false,
-                // With the next frame it is tried again; there is one each second.
-                Err(error) => warn!(event = "state_not_kept", %error, "what has changed is not acted on"),
+        let list_in_use = self.feed.list_in_use();
+        let has_unsaved_list = self.folder.as_ref().is_some_and(|folder| folder.list_in_use() < list_in_use);
+        if self.has_unsaved_items || has_unsaved_list {
+            match self.save() {
+                Ok(()) => self.has_unsaved_items = false,
+                // It is retried with the next frame: there is one each second.
+                Err(error) => {
+                    warn!(event = "state_not_saved", %error, "the node doesn't use the changed state");
+                }
             }
         }
-        feed.0.all.send_modify(|changes| *changes += 1);
+        self.feed.notify_table_change();
         Ok(())
     }
 
-    /// Puts what is held to disk, and then lets the node see it.
-    fn keep(&mut self, feed: &Feed) -> Result<(), KeptError> {
-        let (revision, items, list_version) = feed
-            .core(|core, _| (core.table.revision(), core.table.items().clone(), core.table.list_version()));
-        if let Some(kept) = &mut self.kept {
-            kept.write(feed.0.cluster, feed.acted(), revision, &items)?;
+    /// Saves the state, and then lets the node see it.
+    fn save(&mut self) -> Result<(), FolderError> {
+        let (revision, items, list_version) = self.feed.with_subscriber(|subscriber, _| {
+            let table = &subscriber.table;
+            (table.revision(), table.items().clone(), table.list_version())
+        });
+        if let Some(folder) = &mut self.folder {
+            folder.save(self.feed.cluster(), self.feed.list_in_use(), revision, &items)?;
         }
-        let mut view = feed.0.view.write().unwrap_or_else(PoisonError::into_inner);
-        view.items = items;
-        view.list_version = list_version;
-        drop(view);
-        feed.0.items.send_modify(|changes| *changes += 1);
+        self.feed.set_view(items, list_version);
         Ok(())
     }
 }
--- a/crates/store/src/wire/handshake.rs
+++ b/crates/store/src/wire/handshake.rs
@@ -1,109 +1,112 @@
-//! Both sides prove that they have a key, each over a nonce of the other's, so that nothing that was ever said can be
-//! said again. Pure: bytes of fixed lengths in, bytes out.
+//! The handshake, in which both sides prove that they have a key, each over a nonce of the other's, so that no message can
+//! be replayed. Pure: bytes of fixed lengths in, bytes out.
 //!
-//! Who connects says a magic word, the key's name and a nonce; who was connected to answers with a nonce and the proof
-//! over all of it; then comes the proof of who connects. Each proof names its side, so none can be sent back.
+//! The client, which has connected, sends a magic word, the key's id and a nonce. The server answers with a nonce and a
+//! proof over all of it. Then comes the client's proof. Each proof names its side, so that none can be sent back.
 
-use super::keys::{Key, Keys, MAC};
+use super::keys::{KEY_ID_BYTES, Key, Keys, MAC_BYTES};
 
-/// Of a protocol that nobody else speaks, with its version.
-const MAGIC: &[u8; 4] = b"SFR1";
-const NONCE: usize = 32;
-/// The lengths of the three messages, in bytes.
-pub const HELLO: usize = 4 + 8 + NONCE;
-/// See [`HELLO`].
-pub const WELCOME: usize = NONCE + MAC;
-/// See [`HELLO`].
-pub const PROOF: usize = MAC;
+/// Names the protocol and its version.
+const MAGIC: &[u8; MAGIC_BYTES] = b"SFR1";
+/// The length of [`MAGIC`].
+const MAGIC_BYTES: usize = 4;
+/// Random bytes that each side draws.
+pub(super) const NONCE_BYTES: usize = 32;
+/// Where the client's nonce begins in its hello.
+const HELLO_NONCE_OFFSET: usize = MAGIC_BYTES + KEY_ID_BYTES;
+/// The length of the client's first message.
+pub const HELLO_BYTES: usize = HELLO_NONCE_OFFSET + NONCE_BYTES;
+/// The length of the server's answer.
+pub const WELCOME_BYTES: usize = NONCE_BYTES + MAC_BYTES;
+/// The length of the client's proof.
+pub const PROOF_BYTES: usize = MAC_BYTES;
 
-/// Why the other side is not heard any further.
+/// Why a handshake fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandshakeError {
-    /// It speaks something else.
+    /// The other side speaks another protocol.
     #[error("the other side speaks another protocol or version")]
-    Magic,
-    /// It uses a key that this side doesn't have.
+    Protocol,
+    /// The other side uses a key that this side doesn't have.
     #[error("the other side uses a key that is not known here")]
-    Unknown,
-    /// It has not proved that it has the key.
+    UnknownKey,
+    /// The other side's proof is wrong.
     #[error("the other side has not proved that it has the key")]
     Proof,
 }
 
-/// The side that connects, once it has said hello.
-pub struct Asking {
+/// The client's side, once it has sent its hello.
+pub struct ClientHandshake {
     key: Key,
-    hello: [u8; HELLO],
+    hello: [u8; HELLO_BYTES],
 }
 
-impl Asking {
-    /// The first message, and what is to be done with the answer to it.
-    pub fn new(keys: &Keys, nonce: [u8; NONCE]) -> (Asking, [u8; HELLO]) {
+impl ClientHandshake {
+    /// Begins a handshake; the hello is to be sent.
+    pub fn new(keys: &Keys, nonce: [u8; NONCE_BYTES]) -> (ClientHandshake, [u8; HELLO_BYTES]) {
         let key = keys.first().clone();
-        let mut hello = [0; HELLO];
-        hello[..4].copy_from_slice(MAGIC);
-        hello[4..12].copy_from_slice(&key.name());
-        hello[12..].copy_from_slice(&nonce);
-        (Asking { key, hello }, hello)
+        let mut hello = [0; HELLO_BYTES];
+        hello[..MAGIC_BYTES].copy_from_slice(MAGIC);
+        hello[MAGIC_BYTES..HELLO_NONCE_OFFSET].copy_from_slice(&key.id());
+        hello[HELLO_NONCE_OFFSET..].copy_from_slice(&nonce);
+        (ClientHandshake { key, hello }, hello)
     }
 
-    /// The proof to send, and the connection's key.
+    /// Checks the server's answer. The connection's key, and the proof that is to be sent.
     ///
     /// # Errors
-    /// If the other side doesn't have the key.
-    pub fn welcomed(self, welcome: &[u8; WELCOME]) -> Result<(Key, [u8; PROOF]), HandshakeError> {
-        let (nonce, proof) = welcome.split_at(NONCE);
+    /// If the server doesn't have the key.
+    pub fn finish(self, welcome: &[u8; WELCOME_BYTES]) -> Result<(Key, [u8; PROOF_BYTES]), HandshakeError> {
+        let (nonce, proof) = welcome.split_at(NONCE_BYTES);
         if !self.key.verify(&[b"welcome", &self.hello, nonce], proof) {
             return Err(HandshakeError::Proof);
         }
-        let mine = self.key.mac(&[b"proof", &self.hello, nonce]);
-        Ok((self.key.derive(&[b"connection", &self.hello, nonce]), mine))
+        let own_proof = self.key.mac(&[b"proof", &self.hello, nonce]);
+        Ok((self.key.derive(&[b"connection", &self.hello, nonce]), own_proof))
     }
 }
 
-/// The side that was connected to.
-pub struct Welcoming {
+/// The server's side, once it has received the client's hello.
+pub struct ServerHandshake {
     key: Key,
-    hello: [u8; HELLO],
-    nonce: [u8; NONCE],
+    hello: [u8; HELLO_BYTES],
+    nonce: [u8; NONCE_BYTES],
 }
 
-/// What it is to send.
-pub type Asked = [u8; WELCOME];
-
-impl Welcoming {
-    /// The answer to a hello.
+impl ServerHandshake {
+    /// Begins a handshake with a client's hello; the welcome is to be sent.
     ///
     /// # Errors
-    /// If it is none, or names a key that is not known here.
+    /// If the hello is invalid, or names a key that is not known here.
     pub fn new(
         keys: &Keys,
-        hello: &[u8; HELLO],
-        nonce: [u8; NONCE],
-    ) -> Result<(Welcoming, Asked), HandshakeError> {
-        if &hello[..4] != MAGIC {
-            return Err(HandshakeError::Magic);
+        hello: &[u8; HELLO_BYTES],
+        nonce: [u8; NONCE_BYTES],
+    ) -> Result<(ServerHandshake, [u8; WELCOME_BYTES]), HandshakeError> {
+        if &hello[..MAGIC_BYTES] != MAGIC {
+            return Err(HandshakeError::Protocol);
         }
-        let key = keys.named(&hello[4..12]).ok_or(HandshakeError::Unknown)?.clone();
-        let mut welcome = [0; WELCOME];
-        welcome[..NONCE].copy_from_slice(&nonce);
-        welcome[NONCE..].copy_from_slice(&key.mac(&[b"welcome", hello, &nonce]));
-        Ok((Welcoming { key, hello: *hello, nonce }, welcome))
+        let key =
+            keys.find(&hello[MAGIC_BYTES..HELLO_NONCE_OFFSET]).ok_or(HandshakeError::UnknownKey)?.clone();
+        let mut welcome = [0; WELCOME_BYTES];
+        welcome[..NONCE_BYTES].copy_from_slice(&nonce);
+        welcome[NONCE_BYTES..].copy_from_slice(&key.mac(&[b"welcome", hello, &nonce]));
+        Ok((ServerHandshake { key, hello: *hello, nonce }, welcome))
     }
 
-    /// The key that the other side says it has.
-    pub(super) fn used(&self) -> &Key {
+    /// The key that the client claims to have.
+    pub(super) fn claimed_key(&self) -> &Key {
         &self.key
     }
 
-    /// The connection's key, once the other side has proved itself.
+    /// Checks the client's proof; the connection's key.
     ///
     /// # Errors
-    /// If it has not.
-    pub fn proved(self, proof: &[u8; PROOF]) -> Result<Key, HandshakeError> {
-        match self.key.verify(&[b"proof", &self.hello, &self.nonce], proof) {
-            true => Ok(self.key.derive(&[b"connection", &self.hello, &self.nonce])),
-            false => Err(HandshakeError::Proof),
+    /// If the proof is wrong.
+    pub fn finish(self, proof: &[u8; PROOF_BYTES]) -> Result<Key, HandshakeError> {
+        if !self.key.verify(&[b"proof", &self.hello, &self.nonce], proof) {
+            return Err(HandshakeError::Proof);
         }
+        Ok(self.key.derive(&[b"connection", &self.hello, &self.nonce]))
     }
 }
--- a/crates/store/src/wire/mod.rs
+++ b/crates/store/src/wire/mod.rs
@@ -1,20 +1,25 @@
-//! The way between replicas and to clients: framed and bounded messages over TCP, of which nothing is read any
-//! further before both sides have proved that they have the same key. It does not hide what it carries; TLS beneath
-//! it does.
+//! Connections between members, clients, publishers and subscribers over TCP: framed and bounded messages, of which none
+//! is read before both sides have proved that they have the same key. Messages are not encrypted; TLS beneath is for that.
 
+mod connection;
+mod feed;
 mod follow;
-mod frames;
-mod gate;
 mod handshake;
 mod keys;
-mod link;
+mod limiter;
 mod publish;
+mod sealing;
+mod server;
 mod tcp;
 
-pub use follow::{Feed, OnPurge, View, follow};
-pub use frames::{FrameError, MESSAGE, Opener, Sealer};
-pub use gate::{Gate, SUBSCRIBERS};
-pub use handshake::{Asked, Asking, HELLO, HandshakeError, PROOF, WELCOME, Welcoming};
-pub use keys::{Key, KeyError, Keys};
-pub use publish::Source;
-pub use tcp::{Tcp, serve, serve_relay};
+pub use self::feed::{Feed, View};
+pub use self::follow::{OnPurge, follow};
+pub use self::handshake::{
+    ClientHandshake, HELLO_BYTES, HandshakeError, PROOF_BYTES, ServerHandshake, WELCOME_BYTES,
+};
+pub use self::keys::{Key, KeyError, Keys};
+pub use self::limiter::{ConnectionLimiter, MAX_CONNECTIONS, MAX_SUBSCRIBERS};
+pub use self::publish::Source;
+pub use self::sealing::{MAX_MESSAGE_BYTES, Opener, Sealer, SealingError};
+pub use self::server::{serve, serve_relay};
+pub use self::tcp::Tcp;
--- a/crates/store/src/wire/publish.rs
+++ b/crates/store/src/wire/publish.rs
@@ -1,4 +1,4 @@
-//! A publisher's side of a subscriber's connection.
+//! A publisher's connection with a subscriber.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -6,160 +6,187 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep_until, timeout};
 
-use super::link::{HANDSHAKE, Link, Receiving, Sending, WireError, locked};
-use crate::feed::frame::{Downlink, FRAME, Refusal, Uplink, read, write};
+use super::connection::{Connection, HANDSHAKE_TIMEOUT, MessageReceiver, MessageSender, WireError, lock};
+use crate::feed::frame::{
+    MAX_FRAME_BYTES, PublisherFrame, SessionRejection, SubscriberFrame, decode_frame, encode_frame,
+};
 use crate::feed::publisher::{Limits, Session};
 use crate::feed::table::Table;
 use crate::freshness::Millis;
 use crate::replica::{Replica, Transport};
 
-/// A last word is not waited for longer.
-const LAST_WORD: Duration = Duration::from_millis(200);
+/// How long sending a rejection may take.
+const REJECTION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What is published.
+/// What a publisher publishes.
 pub trait Source: Clone + Send + Sync + 'static {
-    /// Whether it is a member's, whose word is the last.
-    const MEMBER: bool;
-    /// The cluster it is of.
+    /// Whether it is a member's, which is authoritative; else it is a relay's.
+    const IS_MEMBER: bool;
+    /// The cluster that it belongs to.
     fn cluster(&self) -> u128;
-    /// What is held now. All that was committed so many ms ago is; nothing if that is not known.
-    fn with<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R;
-    /// Tells when it has changed.
-    fn changed(&self) -> watch::Receiver<u64>;
+    /// Runs `work` on the current table. The table has everything that was committed the given number of ms ago; nothing
+    /// if that is unknown.
+    fn with_table<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R;
+    /// Changes with the table.
+    fn changes(&self) -> watch::Receiver<u64>;
 }
 
-/// A member's: nothing of it is held until somebody follows.
-pub(super) struct Applying<T> {
+/// The source of a member. Its table stays empty until there is a subscriber.
+pub(super) struct ReplicaSource<T> {
     replica: Replica<T>,
     table: Arc<Mutex<Table>>,
 }
 
-impl<T> Applying<T> {
-    pub fn new(replica: Replica<T>) -> Applying<T> {
-        Applying { replica, table: Arc::default() }
+impl<T> ReplicaSource<T> {
+    pub(super) fn new(replica: Replica<T>) -> ReplicaSource<T> {
+        ReplicaSource { replica, table: Arc::default() }
     }
 }
 
-impl<T: Clone> Clone for Applying<T> {
-    fn clone(&self) -> Applying<T> {
-        Applying { replica: self.replica.clone(), table: self.table.clone() }
+impl<T: Clone> Clone for ReplicaSource<T> {
+    fn clone(&self) -> ReplicaSource<T> {
+        ReplicaSource { replica: self.replica.clone(), table: self.table.clone() }
     }
 }
 
-impl<T: Transport> Source for Applying<T> {
-    const MEMBER: bool = true;
+impl<T: Transport> Source for ReplicaSource<T> {
+    const IS_MEMBER: bool = true;
 
     fn cluster(&self) -> u128 {
         self.replica.identity().cluster
     }
 
-    fn with<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R {
-        // First how fresh the replica is, then what it has applied: the other way round it would be said too well.
-        let stale = self
+    fn with_table<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R {
+        // The freshness is read before the applied state: the other way round it might be too recent for the table.
+        let stale_ms = self
             .replica
             .freshness(|freshness, now| freshness.is_confirmed().then(|| freshness.stale_for(now)));
-        let mut table = locked(&self.table);
-        table.follow(&self.replica.shared().read());
-        work(&mut table, stale)
+        let mut table = lock(&self.table);
+        table.sync_from(&self.replica.shared().read());
+        work(&mut table, stale_ms)
     }
 
-    fn changed(&self) -> watch::Receiver<u64> {
+    fn changes(&self) -> watch::Receiver<u64> {
         self.replica.applied()
     }
 }
 
-/// Serves one subscriber for as long as it follows.
-pub(super) async fn publish<S: Source>(link: Link, source: &S, limits: Limits) -> Result<(), WireError> {
-    let (mut sending, mut receiving) = link.split();
+/// Why a session has ended, unless it has failed.
+enum SessionEnd {
+    /// The publisher ends it.
+    Rejected(SessionRejection),
+    /// The subscriber has disconnected.
+    Disconnected,
+}
+
+/// Serves one subscriber until it disconnects or is rejected.
+pub(super) async fn publish<S: Source>(
+    connection: Connection,
+    source: &S,
+    limits: Limits,
+) -> Result<(), WireError> {
+    let (mut sender, mut receiver) = connection.split();
     let start = Instant::now();
     let now = move || start.elapsed().as_millis() as Millis;
-    let hello = timeout(HANDSHAKE, receiving.bytes(FRAME)).await.unwrap_or(Err(WireError::Late))?;
-    let opened = match read(&hello) {
-        Ok(Uplink::Hello(hello)) => {
-            source.with(|table, _| Session::open(&hello, table, S::MEMBER, limits, now()))
-        }
-        Ok(Uplink::Ack(_)) => Err(Refusal::Malformed("an acknowledgement before a hello".into())),
-        Err(error) => Err(Refusal::Malformed(error.to_string())),
-    };
-    let session = match opened {
-        Ok(session) => Mutex::new(session),
-        Err(why) => return refuse(&mut sending, why).await,
-    };
-    let heard = Notify::new();
+    let hello = timeout(HANDSHAKE_TIMEOUT, receiver.receive(MAX_FRAME_BYTES)).await;
+    let session =
+        match open_session(&hello.unwrap_or(Err(WireError::HandshakeTimeout))?, source, limits, now()) {
+            Ok(session) => Mutex::new(session),
+            Err(rejection) => return reject(&mut sender, rejection).await,
+        };
+    let acked = Notify::new();
     let ended = tokio::select! {
-        ended = hear(&mut receiving, &session, &heard, now) => ended,
-        ended = send(&mut sending, source, &session, &heard, now, limits) => ended,
+        ended = receive_acks(&mut receiver, &session, &acked, now) => ended,
+        ended = send_updates(&mut sender, source, &session, &acked, now, limits) => ended,
     };
     match ended {
-        Ok(Some(why)) => refuse(&mut sending, why).await,
-        Ok(None) | Err(WireError::Io(_)) => Ok(()), // it is gone
+        Ok(SessionEnd::Rejected(rejection)) => reject(&mut sender, rejection).await,
+        Ok(SessionEnd::Disconnected) | Err(WireError::Io(_)) => Ok(()),
         Err(error) => Err(error),
     }
 }
 
-async fn refuse(sending: &mut Sending, why: Refusal) -> Result<(), WireError> {
-    let told = why.to_string();
-    if let Ok(bytes) = write(&Downlink::Refused(why)) {
-        let _ = timeout(LAST_WORD, sending.bytes(&bytes)).await; // it may be gone, or not reading: then it finds out
+fn open_session<S: Source>(
+    hello: &[u8],
+    source: &S,
+    limits: Limits,
+    now: Millis,
+) -> Result<Session, SessionRejection> {
+    match decode_frame(hello) {
+        Ok(SubscriberFrame::Hello(hello)) => {
+            source.with_table(|table, _| Session::open(&hello, table, S::IS_MEMBER, limits, now))
+        }
+        Ok(SubscriberFrame::Ack(_)) => {
+            Err(SessionRejection::Malformed("an acknowledgement before a hello".into()))
+        }
+        Err(error) => Err(SessionRejection::Malformed(error.to_string())),
+    }
+}
+
+/// Sends a rejection, and returns it as an error.
+async fn reject(sender: &mut MessageSender, rejection: SessionRejection) -> Result<(), WireError> {
+    let reason = rejection.to_string();
+    if let Ok(bytes) = encode_frame(&PublisherFrame::Rejected(rejection)) {
+        let _ = timeout(REJECTION_TIMEOUT, sender.send(&bytes)).await; // a subscriber that reads nothing won't see it
     }
-    Err(WireError::Refused(told))
+    Err(WireError::Rejected(reason))
 }
 
-/// What the subscriber says, until it ends, or says what can't be.
-async fn hear(
-    receiving: &mut Receiving,
+/// Receives acknowledgements until the subscriber disconnects or sends an invalid frame.
+async fn receive_acks(
+    receiver: &mut MessageReceiver,
     session: &Mutex<Session>,
-    heard: &Notify,
+    acked: &Notify,
     now: impl Fn() -> Millis,
-) -> Result<Option<Refusal>, WireError> {
+) -> Result<SessionEnd, WireError> {
     loop {
-        let bytes = match receiving.bytes(FRAME).await {
-            Err(WireError::Io(_)) => return Ok(None),
+        let bytes = match receiver.receive(MAX_FRAME_BYTES).await {
+            Err(WireError::Io(_)) => return Ok(SessionEnd::Disconnected),
             bytes => bytes?,
         };
-        let taken = match read(&bytes) {
-            Ok(Uplink::Ack(ack)) => locked(session).heard(ack, now()),
-            Ok(Uplink::Hello(_)) => Err(Refusal::Malformed("a second hello".into())),
-            Err(error) => Err(Refusal::Malformed(error.to_string())),
+        let result = match decode_frame(&bytes) {
+            Ok(SubscriberFrame::Ack(ack)) => lock(session).on_ack(ack, now()),
+            Ok(SubscriberFrame::Hello(_)) => Err(SessionRejection::Malformed("a second hello".into())),
+            Err(error) => Err(SessionRejection::Malformed(error.to_string())),
         };
-        if let Err(why) = taken {
-            return Ok(Some(why));
+        if let Err(rejection) = result {
+            return Ok(SessionEnd::Rejected(rejection));
         }
-        heard.notify_one();
+        acked.notify_one();
     }
 }
 
-/// What changes, until the subscriber is to be cut.
-async fn send<S: Source>(
-    sending: &mut Sending,
+/// Sends changes until the subscriber is rejected.
+async fn send_updates<S: Source>(
+    sender: &mut MessageSender,
     source: &S,
     session: &Mutex<Session>,
-    heard: &Notify,
+    acked: &Notify,
     now: impl Fn() -> Millis,
     limits: Limits,
-) -> Result<Option<Refusal>, WireError> {
-    let mut changed = source.changed();
-    let patience = Duration::from_millis(limits.patience);
+) -> Result<SessionEnd, WireError> {
+    let mut changes = source.changes();
+    let ack_timeout = Duration::from_millis(limits.ack_timeout);
     loop {
-        changed.borrow_and_update();
-        let (polled, due, at) = source.with(|table, stale| {
-            let (mut session, at) = (locked(session), now());
-            let polled = session.poll(at, table, stale);
-            (polled, session.due(at, table), at)
+        changes.borrow_and_update();
+        let (polled, wait_ms) = source.with_table(|table, stale_ms| {
+            let (mut session, now) = (lock(session), now());
+            let polled = session.poll(now, table, stale_ms);
+            (polled, session.next_poll_at(now, table).saturating_sub(now))
         });
         match polled {
-            Err(why) => return Ok(Some(why)),
-            Ok(Some(bytes)) => match timeout(patience, sending.bytes(&bytes)).await {
+            Err(rejection) => return Ok(SessionEnd::Rejected(rejection)),
+            Ok(Some(bytes)) => match timeout(ack_timeout, sender.send(&bytes)).await {
                 Ok(sent) => sent?,
-                Err(_) => return Ok(Some(Refusal::Slow(limits.patience))),
+                Err(_) => return Ok(SessionEnd::Rejected(SessionRejection::TooSlow(limits.ack_timeout))),
             },
             Ok(None) => {
-                let until = Instant::now() + Duration::from_millis(due.saturating_sub(at).max(1));
+                let next_poll_at = Instant::now() + Duration::from_millis(wait_ms.max(1));
                 tokio::select! {
-                    () = sleep_until(until) => {}
-                    () = heard.notified() => {}
-                    // A source that has ended changes no more, and its heartbeats go on until its connections end.
-                    Ok(()) = changed.changed() => {}
+                    () = sleep_until(next_poll_at) => {}
+                    () = acked.notified() => {}
+                    // A source that has ended doesn't change any more. Heartbeats go on until its connections are closed.
+                    Ok(()) = changes.changed() => {}
                 }
             }
         }
--- a/crates/store/tests/compatibility/disk.rs
+++ b/crates/store/tests/compatibility/disk.rs
@@ -10,7 +10,8 @@
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt};
 use redb::{Builder, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use stonefold_store::disk::{Disk, Identity, Verified};
-use stonefold_store::machine::{Machine, open_snapshot};
+use stonefold_store::snapshot::open_snapshot;
+use stonefold_store::state_machine::StateMachine;
 use tokio::sync::watch;
 
 use super::fixture::{self, Table};
@@ -111,12 +112,12 @@
     let state = disk.get_log_state().await.unwrap();
     assert_eq!(state.last_purged_log_id, Some(history::log_id(4)));
     assert_eq!(state.last_log_id, Some(history::log_id(10)));
-    let machine = Machine::new(disk, watch::channel(0).0).unwrap();
+    let machine = StateMachine::new(disk, watch::channel(0).0).unwrap();
     let shared = machine.shared();
     let applied = shared.read();
     assert_eq!(applied.last, Some(history::log_id(6)));
     assert_eq!(applied.state.document("config").map(|latest| latest.text.as_str()), Some("text 2"));
-    assert_eq!(applied.state.orders().keys().collect::<Vec<_>>(), ["s-1"]);
+    assert_eq!(applied.state.overrides().keys().collect::<Vec<_>>(), ["s-1"]);
 }
 
 #[test]
--- a/crates/store/tests/compatibility/feed.rs
+++ b/crates/store/tests/compatibility/feed.rs
@@ -2,61 +2,68 @@
 
 use stonefold_store::feed::delta::{Delta, diff};
 use stonefold_store::feed::frame::{
-    Ack, Beacon, Downlink, Hello, Item, Part, Record, Refusal, Update, Uplink, read, write,
+    Ack, Hello, Item, ItemPart, PublisherFrame, PublisherStatus, Record, SessionRejection, SubscriberFrame,
+    Update, decode_frame, encode_frame,
 };
-use stonefold_store::state::Order;
+use stonefold_store::state::AdminOverride;
 
 use super::fixture::{self, Table};
 
 const ITEMS_FILE: &str = "feed_items.hex";
-const DOWNLINK_FILE: &str = "feed_downlink.hex";
-const UPLINK_FILE: &str = "feed_uplink.hex";
+const PUBLISHER_FILE: &str = "feed_downlink.hex";
+const SUBSCRIBER_FILE: &str = "feed_uplink.hex";
 const OLD_LIST: &str = r#"[{"id":"s-1"},{"id":"s-2"}]"#;
 const NEW_LIST: &str = r#"[{"id":"s-1"},{"id":"s-3"},{"id":"s-2"}]"#;
 
 fn items() -> Vec<(&'static str, Item)> {
     let (name, text, author) = ("config".into(), "text 2".into(), "alice".into());
-    let order = Order { out: true, since_ms: 1_700_000_000_003 };
+    let admin_override = AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 };
     vec![
         ("document", Item::Document { name, text, author, at_ms: 1_700_000_000_001 }),
         ("list", Item::List { version: 9, text: OLD_LIST.into() }),
         ("list-delta", Item::ListDelta { from: 9, version: 10, delta: diff(OLD_LIST, NEW_LIST) }),
-        ("order", Item::Order { server: "s-1".into(), order }),
+        ("order", Item::Override { server: "s-1".into(), admin_override }),
     ]
 }
 
 fn update() -> Update {
     Update {
-        beacon: Beacon { echo: 5_000, stale_ms: Some(70), complete: true, head: 6, purged: 3 },
+        publisher: PublisherStatus {
+            echoed_time: 5_000,
+            stale_ms: Some(70),
+            is_complete: true,
+            head_revision: 6,
+            last_purge: 3,
+        },
         after: 4,
         through: 6,
         records: vec![Record { revision: 5, item: vec![1, 0, 255] }],
-        part: Some(Part { revision: 6, offset: 300, total: 900, bytes: vec![7, 8] }),
+        part: Some(ItemPart { revision: 6, offset: 300, total: 900, bytes: vec![7, 8] }),
         purges_after: 2,
-        gap: true,
+        purge_gap: true,
         purges: vec!["key-1".into()],
     }
 }
 
-fn downlink() -> Vec<(&'static str, Downlink)> {
-    let refused = Downlink::Refused;
+fn publisher_frames() -> Vec<(&'static str, PublisherFrame)> {
+    let rejected = PublisherFrame::Rejected;
     vec![
-        ("heartbeat", Downlink::Update(Box::default())),
-        ("refused-full", refused(Refusal::Full(2_048))),
-        ("refused-future", refused(Refusal::Future { theirs: 9, ours: 4 })),
-        ("refused-malformed", refused(Refusal::Malformed("a reason".into()))),
-        ("refused-purges-gone", refused(Refusal::PurgesGone { theirs: 2, ours: 7 })),
-        ("refused-slow", refused(Refusal::Slow(8_000))),
-        ("update", Downlink::Update(Box::new(update()))),
+        ("heartbeat", PublisherFrame::Update(Box::default())),
+        ("refused-full", rejected(SessionRejection::SubscriberLimitReached(2_048))),
+        ("refused-future", rejected(SessionRejection::Ahead { theirs: 9, ours: 4 })),
+        ("refused-malformed", rejected(SessionRejection::Malformed("a reason".into()))),
+        ("refused-purges-gone", rejected(SessionRejection::PurgesDropped { theirs: 2, ours: 7 })),
+        ("refused-slow", rejected(SessionRejection::TooSlow(8_000))),
+        ("update", PublisherFrame::Update(Box::new(update()))),
     ]
 }
 
-fn uplink() -> Vec<(&'static str, Uplink)> {
-    let hello = Hello { revision: 3, list: 9, purged: Some(2), now: 1_000 };
+fn subscriber_frames() -> Vec<(&'static str, SubscriberFrame)> {
+    let hello = Hello { revision: 3, list_version: 9, last_purge: Some(2), time: 1_000 };
     vec![
-        ("ack", Uplink::Ack(Ack { taken: 16_384, now: 2_000 })),
-        ("hello", Uplink::Hello(hello)),
-        ("hello-new", Uplink::Hello(Hello { purged: None, ..hello })),
+        ("ack", SubscriberFrame::Ack(Ack { received_bytes: 16_384, time: 2_000 })),
+        ("hello", SubscriberFrame::Hello(hello)),
+        ("hello-new", SubscriberFrame::Hello(Hello { last_purge: None, ..hello })),
     ]
 }
 
@@ -66,9 +73,9 @@
 
 fn encoded() -> [(&'static str, Table); 3] {
     [
-        (ITEMS_FILE, table(items(), Item::bytes)),
-        (DOWNLINK_FILE, table(downlink(), |frame| write(frame).unwrap())),
-        (UPLINK_FILE, table(uplink(), |frame| write(frame).unwrap())),
+        (ITEMS_FILE, table(items(), Item::encode)),
+        (PUBLISHER_FILE, table(publisher_frames(), |frame| encode_frame(frame).unwrap())),
+        (SUBSCRIBER_FILE, table(subscriber_frames(), |frame| encode_frame(frame).unwrap())),
     ]
 }
 
@@ -89,9 +96,9 @@
 fn the_feeds_items_are_read_as_before() {
     let table = fixture::read_table(ITEMS_FILE);
     for (name, item) in items() {
-        assert_eq!(Item::read(&table[name]).unwrap(), item, "{name}");
+        assert_eq!(Item::decode(&table[name]).unwrap(), item, "{name}");
     }
-    let Item::ListDelta { from: 9, version: 10, delta } = Item::read(&table["list-delta"]).unwrap() else {
+    let Item::ListDelta { from: 9, version: 10, delta } = Item::decode(&table["list-delta"]).unwrap() else {
         panic!("no difference to list 9");
     };
     let apply = |delta: &Delta| delta.apply(OLD_LIST).unwrap();
@@ -100,12 +107,12 @@
 
 #[test]
 fn the_feeds_frames_are_read_as_before() {
-    let table = fixture::read_table(DOWNLINK_FILE);
-    for (name, frame) in downlink() {
-        assert_eq!(read::<Downlink>(&table[name]).unwrap(), frame, "{name}");
+    let table = fixture::read_table(PUBLISHER_FILE);
+    for (name, frame) in publisher_frames() {
+        assert_eq!(decode_frame::<PublisherFrame>(&table[name]).unwrap(), frame, "{name}");
     }
-    let table = fixture::read_table(UPLINK_FILE);
-    for (name, frame) in uplink() {
-        assert_eq!(read::<Uplink>(&table[name]).unwrap(), frame, "{name}");
+    let table = fixture::read_table(SUBSCRIBER_FILE);
+    for (name, frame) in subscriber_frames() {
+        assert_eq!(decode_frame::<SubscriberFrame>(&table[name]).unwrap(), frame, "{name}");
     }
 }
--- a/crates/store/tests/compatibility/history.rs
+++ b/crates/store/tests/compatibility/history.rs
@@ -4,8 +4,8 @@
 
 use openraft::{BasicNode, CommittedLeaderId, EntryPayload};
 use stonefold_store::codec::{decode, encode};
-use stonefold_store::engine::{Entry, LogId};
-use stonefold_store::state::{Change, Order, Proposal, State};
+use stonefold_store::raft::{Entry, LogId};
+use stonefold_store::state::{AdminOverride, Change, Proposal, State};
 
 use super::fixture::{self, Table};
 
@@ -41,8 +41,8 @@
     }
 }
 
-fn order(server: &str, out: bool, since_ms: u64) -> Change {
-    Change::Order { server: server.into(), order: Order { out, since_ms } }
+fn admin_override(server: &str, out_of_service: bool, since_ms: u64) -> Change {
+    Change::Override { server: server.into(), admin_override: AdminOverride { out_of_service, since_ms } }
 }
 
 /// Proposals by the index of their entry.
@@ -51,9 +51,9 @@
         2 => (1_000, 1, document("text 1", Some(0))),
         3 => (1_000, 2, document("text 2", Some(2))),
         4 => (1_001, 1, list()),
-        5 => (1_002, 1, order("s-1", true, 1_700_000_000_003)),
+        5 => (1_002, 1, admin_override("s-1", true, 1_700_000_000_003)),
         6 => (1_003, 1, Change::Purge { key: "key-1".into() }),
-        9 => (1_002, 2, order("s-2", false, 1_700_000_000_004)),
+        9 => (1_002, 2, admin_override("s-2", false, 1_700_000_000_004)),
         10 => (1_004, 1, document("text 3", Some(2))),
         _ => panic!("entry {index} is no proposal"),
     };
@@ -116,5 +116,5 @@
     assert_eq!(texts, ["text 1", "text 2"]);
     assert_eq!(state.list().map(|list| (list.version, list.learned_by)), Some((9, 2)));
     assert_eq!(state.started("s-1"), Some(1_700_000_000_002));
-    assert_eq!(state.orders()["s-1"], Order { out: true, since_ms: 1_700_000_000_003 });
+    assert_eq!(state.overrides()["s-1"], AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 });
 }
--- a/crates/store/tests/compatibility/messages.rs
+++ b/crates/store/tests/compatibility/messages.rs
@@ -12,9 +12,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use stonefold_store::codec::{decode, encode};
-use stonefold_store::engine::SnapshotMeta;
-use stonefold_store::message::{Party, Request, Response, Status, Unavailable};
-use stonefold_store::state::{Refusal, Reply, Revision};
+use stonefold_store::freshness::VersionsInUse;
+use stonefold_store::message::{Caller, MemberStatus, Request, RequestError, Response, Status};
+use stonefold_store::raft::SnapshotMeta;
+use stonefold_store::state::{Rejection, Reply, Revision};
 
 use super::fixture::{self, Table};
 use super::history;
@@ -22,7 +23,7 @@
 const REQUESTS_FILE: &str = "requests.hex";
 const RESPONSES_FILE: &str = "responses.hex";
 
-fn snapshot_request() -> InstallSnapshotRequest<stonefold_store::engine::Types> {
+fn snapshot_request() -> InstallSnapshotRequest<stonefold_store::raft::TypeConfig> {
     let meta = SnapshotMeta {
         last_log_id: Some(history::log_id(6)),
         last_membership: StoredMembership::new(Some(history::log_id(1)), history::membership(&[1, 2, 3])),
@@ -45,14 +46,14 @@
         leader_commit: Some(history::log_id(3)),
     };
     vec![
-        ("add", Request::Add { member: 3, addr: "127.0.0.1:7003".into() }),
-        ("append", Request::Append(append)),
-        ("confirm", Request::Confirm),
-        ("document", Request::Document { name: "config".into(), history: true }),
-        ("export", Request::Export),
+        ("add", Request::AddMember { member: 3, addr: "127.0.0.1:7003".into() }),
+        ("append", Request::AppendEntries(append)),
+        ("confirm", Request::ReadIndex),
+        ("document", Request::ReadDocument { name: "config".into(), history: true }),
+        ("export", Request::ExportSnapshot),
         ("propose", Request::Propose(history::proposal(2))),
-        ("remove", Request::Remove { member: 3, force: true }),
-        ("snapshot", Request::Snapshot(snapshot_request())),
+        ("remove", Request::RemoveMember { member: 3, force: true }),
+        ("snapshot", Request::InstallSnapshot(snapshot_request())),
         ("status", Request::Status),
         ("vote", Request::Vote(VoteRequest::new(Vote::new(4, 1), Some(history::log_id(10))))),
     ]
@@ -64,42 +65,42 @@
     let mismatch = SnapshotMismatch { expect: segment(0), got: segment(262_144) };
     let mismatch = InstallSnapshotError::SnapshotMismatch(mismatch);
     vec![
-        ("append-conflict", Response::Append(Ok(AppendEntriesResponse::Conflict))),
-        ("append-failed", Response::Append(Err(RaftError::Fatal(Fatal::Stopped)))),
-        ("append-higher-vote", Response::Append(Ok(AppendEntriesResponse::HigherVote(higher)))),
+        ("append-conflict", Response::AppendEntries(Ok(AppendEntriesResponse::Conflict))),
+        ("append-failed", Response::AppendEntries(Err(RaftError::Fatal(Fatal::Stopped)))),
+        ("append-higher-vote", Response::AppendEntries(Ok(AppendEntriesResponse::HigherVote(higher)))),
         (
             "append-partial",
-            Response::Append(Ok(AppendEntriesResponse::PartialSuccess(Some(history::log_id(5))))),
+            Response::AppendEntries(Ok(AppendEntriesResponse::PartialSuccess(Some(history::log_id(5))))),
         ),
-        ("append-success", Response::Append(Ok(AppendEntriesResponse::Success))),
-        ("snapshot", Response::Snapshot(Ok(InstallSnapshotResponse { vote }))),
-        ("snapshot-mismatch", Response::Snapshot(Err(RaftError::APIError(mismatch)))),
+        ("append-success", Response::AppendEntries(Ok(AppendEntriesResponse::Success))),
+        ("snapshot", Response::InstallSnapshot(Ok(InstallSnapshotResponse { vote }))),
+        ("snapshot-mismatch", Response::InstallSnapshot(Err(RaftError::APIError(mismatch)))),
         ("vote", Response::Vote(Ok(VoteResponse::new(vote, Some(history::log_id(10)), true)))),
     ]
 }
 
-fn refused_proposals() -> Vec<(&'static str, Response)> {
-    let refused = |refusal| Response::Proposed(Ok(Reply::Refused(refusal)));
+fn rejected_proposals() -> Vec<(&'static str, Response)> {
+    let rejected = |rejection| Response::Proposed(Ok(Reply::Rejected(rejection)));
     vec![
-        ("refused-conflict", refused(Refusal::Conflict { wanted: 2, found: 3 })),
-        ("refused-not-empty", refused(Refusal::NotEmpty)),
-        ("refused-old-list", refused(Refusal::OldList { told: 8, known: 9 })),
-        ("refused-superseded", refused(Refusal::Superseded { sequence: 1, last: 2 })),
-        ("refused-too-long", refused(Refusal::TooLong { what: "a name".into(), bytes: 300, most: 256 })),
-        ("refused-too-many", refused(Refusal::TooMany { what: "orders".into(), most: 12_000 })),
+        ("refused-conflict", rejected(Rejection::Conflict { expected: 2, found: 3 })),
+        ("refused-not-empty", rejected(Rejection::NotEmpty)),
+        ("refused-old-list", rejected(Rejection::StaleList { proposed: 8, committed: 9 })),
+        ("refused-superseded", rejected(Rejection::Superseded { sequence: 1, last: 2 })),
+        ("refused-too-long", rejected(Rejection::TooLong { what: "a name".into(), bytes: 300, max: 256 })),
+        ("refused-too-many", rejected(Rejection::LimitExceeded { what: "orders".into(), max: 12_000 })),
     ]
 }
 
-fn unavailable() -> Vec<(&'static str, Response)> {
+fn failed() -> Vec<(&'static str, Response)> {
     let leader = Some((2, "127.0.0.1:7002".into()));
     vec![
-        ("unavailable-busy", Response::Proposed(Err(Unavailable::Busy))),
-        ("unavailable-members", Response::Changed(Err(Unavailable::Members("a reason".into())))),
-        ("unavailable-no-quorum", Response::Confirmed(Err(Unavailable::NoQuorum))),
-        ("unavailable-not-leader", Response::Proposed(Err(Unavailable::NotLeader { leader }))),
-        ("unavailable-refused", Response::Changed(Err(Unavailable::Refused("a reason".into())))),
-        ("unavailable-stopped", Response::Snapshotted(Err(Unavailable::Stopped("a reason".into())))),
-        ("unavailable-unreachable", Response::Proposed(Err(Unavailable::Unreachable("a reason".into())))),
+        ("unavailable-busy", Response::Proposed(Err(RequestError::Busy))),
+        ("unavailable-members", Response::MembersChanged(Err(RequestError::Members("a reason".into())))),
+        ("unavailable-no-quorum", Response::ReadIndex(Err(RequestError::NoQuorum))),
+        ("unavailable-not-leader", Response::Proposed(Err(RequestError::NotLeader { leader }))),
+        ("unavailable-refused", Response::MembersChanged(Err(RequestError::Rejected("a reason".into())))),
+        ("unavailable-stopped", Response::Snapshot(Err(RequestError::Stopped("a reason".into())))),
+        ("unavailable-unreachable", Response::Proposed(Err(RequestError::Unreachable("a reason".into())))),
     ]
 }
 
@@ -109,13 +110,16 @@
         member: 1,
         leader: Some(2),
         term: 3,
-        last: 10,
-        applied: 8,
-        snapshot: 6,
-        list: 11,
-        acted: (12, 13),
+        last_index: 10,
+        applied_index: 8,
+        snapshot_index: 6,
+        list_version: 11,
+        in_use: VersionsInUse { list: 12, config: 13 },
         stale_ms: 14,
-        members: vec![(1, "127.0.0.1:7001".into(), true), (2, "127.0.0.1:7002".into(), false)],
+        members: vec![
+            MemberStatus { member: 1, addr: "127.0.0.1:7001".into(), is_voter: true },
+            MemberStatus { member: 2, addr: "127.0.0.1:7002".into(), is_voter: false },
+        ],
         stopped: Some("a reason".into()),
     }
 }
@@ -124,15 +128,15 @@
     let revision =
         Revision { revision: 3, text: "text 2".into(), author: "alice".into(), at_ms: 1_700_000_000_001 };
     let mut responses = raft_responses();
-    responses.extend(refused_proposals());
-    responses.extend(unavailable());
+    responses.extend(rejected_proposals());
+    responses.extend(failed());
     responses.extend([
-        ("changed", Response::Changed(Ok(()))),
-        ("confirmed", Response::Confirmed(Ok(8))),
+        ("changed", Response::MembersChanged(Ok(()))),
+        ("confirmed", Response::ReadIndex(Ok(8))),
         ("document", Response::Document(vec![revision])),
-        ("proposed", Response::Proposed(Ok(Reply::Done(5)))),
-        ("proposed-nothing", Response::Proposed(Ok(Reply::Nothing))),
-        ("snapshotted", Response::Snapshotted(Ok(vec![1, 0, 255]))),
+        ("proposed", Response::Proposed(Ok(Reply::Applied(5)))),
+        ("proposed-nothing", Response::Proposed(Ok(Reply::Empty))),
+        ("snapshotted", Response::Snapshot(Ok(vec![1, 0, 255]))),
         ("status", Response::Status(Box::new(status()))),
     ]);
     responses
@@ -179,9 +183,9 @@
 }
 
 #[test]
-fn parties_are_written_as_before() {
-    let bytes = |party: Party| encode("a party", &party).unwrap();
-    assert_eq!(bytes(Party::Member(3)), [1, 0, 3]);
-    assert_eq!(bytes(Party::Client), [1, 1]);
-    assert_eq!(bytes(Party::Subscriber), [1, 2]);
+fn callers_are_written_as_before() {
+    let bytes = |caller: Caller| encode("a caller", &caller).unwrap();
+    assert_eq!(bytes(Caller::Member(3)), [1, 0, 3]);
+    assert_eq!(bytes(Caller::Client), [1, 1]);
+    assert_eq!(bytes(Caller::Subscriber), [1, 2]);
 }
