--- a/crates/store/tests/compatibility/snapshot.rs
+++ b/crates/store/tests/compatibility/snapshot.rs
@@ -4,9 +4,10 @@
 use openraft::storage::RaftStateMachine;
 use stonefold_store::codec::seal;
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::engine::Membership;
-use stonefold_store::machine::{Machine, open_snapshot};
-use stonefold_store::state::{Listed, Order, Refusal, Reply, Revision};
+use stonefold_store::raft::StoredMembership;
+use stonefold_store::snapshot::open_snapshot;
+use stonefold_store::state::{AdminOverride, Rejection, Reply, Revision, ServerList};
+use stonefold_store::state_machine::StateMachine;
 use tokio::sync::watch;
 
 use super::{fixture, history};
@@ -15,7 +16,7 @@
 
 /// Applies the log's entries up to an index, and makes a snapshot of them; as it is sealed.
 pub(crate) async fn build(disk: Disk, upto: usize) -> Vec<u8> {
-    let mut machine = Machine::new(disk, watch::channel(0).0).unwrap();
+    let mut machine = StateMachine::new(disk, watch::channel(0).0).unwrap();
     machine.apply(history::entries().into_iter().take(upto)).await.unwrap();
     let snapshot = machine.get_snapshot_builder().await.build_snapshot().await.unwrap();
     snapshot.snapshot.into_inner()
@@ -42,7 +43,7 @@
 fn a_snapshot_is_read_as_before() {
     let applied = open_snapshot(&fixture::read(FILE)).unwrap();
     assert_eq!(applied.last, Some(history::log_id(10)));
-    let members = Membership::new(Some(history::log_id(7)), history::membership(&[1, 2]));
+    let members = StoredMembership::new(Some(history::log_id(7)), history::membership(&[1, 2]));
     assert_eq!(applied.members, members);
     let state = &applied.state;
     let revision = |revision, text: &str| Revision {
@@ -54,17 +55,17 @@
     let revisions: Vec<Revision> = state.history("config").cloned().collect();
     assert_eq!(revisions, [revision(2, "text 1"), revision(3, "text 2")]);
     let text = r#"[{"id":"s-1"},{"id":"s-2"}]"#.to_owned();
-    assert_eq!(state.list(), Some(&Listed { version: 9, text, learned_by: 2 }));
-    let orders = [
-        ("s-1".to_owned(), Order { out: true, since_ms: 1_700_000_000_003 }),
-        ("s-2".to_owned(), Order { out: false, since_ms: 1_700_000_000_004 }),
+    assert_eq!(state.list(), Some(&ServerList { version: 9, text, learned_by: 2 }));
+    let overrides = [
+        ("s-1".to_owned(), AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 }),
+        ("s-2".to_owned(), AdminOverride { out_of_service: false, since_ms: 1_700_000_000_004 }),
     ];
-    assert_eq!(*state.orders(), orders.into());
+    assert_eq!(*state.overrides(), overrides.into());
     assert_eq!(state.started("s-1"), Some(1_700_000_000_002));
     assert_eq!(*state.removed(), [3].into());
     let changes = &applied.changes;
-    assert_eq!((changes.list(), changes.order("s-1"), changes.order("s-2")), (4, 5, 9));
-    assert_eq!((changes.purged(), changes.forgotten()), (1, 0));
+    assert_eq!((changes.list(), changes.admin_override("s-1"), changes.admin_override("s-2")), (4, 5, 9));
+    assert_eq!((changes.last_purge(), changes.last_dropped_purge()), (1, 0));
     assert_eq!(changes.purges_after(0).collect::<Vec<_>>(), ["key-1"]);
 }
 
@@ -72,12 +73,12 @@
 fn clients_last_proposals_are_read_as_before() {
     let mut state = open_snapshot(&fixture::read(FILE)).unwrap().state;
     let replies = [
-        (3, Reply::Done(3)),
-        (4, Reply::Done(9)),
-        (5, Reply::Refused(Refusal::Superseded { sequence: 1, last: 2 })),
-        (6, Reply::Done(6)),
-        (9, Reply::Done(9)),
-        (10, Reply::Refused(Refusal::Conflict { wanted: 2, found: 3 })),
+        (3, Reply::Applied(3)),
+        (4, Reply::Applied(9)),
+        (5, Reply::Rejected(Rejection::Superseded { sequence: 1, last: 2 })),
+        (6, Reply::Applied(6)),
+        (9, Reply::Applied(9)),
+        (10, Reply::Rejected(Rejection::Conflict { expected: 2, found: 3 })),
     ];
     for (index, reply) in replies {
         assert_eq!(state.apply(20, history::proposal(index)), reply, "entry {index}");
--- a/crates/store/tests/compatibility/subscriber.rs
+++ b/crates/store/tests/compatibility/subscriber.rs
@@ -3,10 +3,10 @@
 use std::fs;
 use std::path::Path;
 
-use stonefold_store::feed::frame::{Item, Key};
+use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::table::Table;
-use stonefold_store::kept::Kept;
-use stonefold_store::state::Order;
+use stonefold_store::state::AdminOverride;
+use stonefold_store::subscriber_folder::SubscriberFolder;
 
 use super::fixture;
 
@@ -20,14 +20,14 @@
     let (name, text, author) = ("config".into(), "text 2".into(), "alice".into());
     table.put(3, &Item::Document { name, text, author, at_ms: 1_700_000_000_001 });
     table.put(4, &Item::List { version: 9, text: r#"[{"id":"s-1"}]"#.into() });
-    let order = Order { out: true, since_ms: 1_700_000_000_003 };
-    table.put(5, &Item::Order { server: "s-1".into(), order });
+    let admin_override = AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 };
+    table.put(5, &Item::Override { server: "s-1".into(), admin_override });
     table
 }
 
 fn save(folder: &Path) {
-    let (mut kept, _) = Kept::open(folder, CLUSTER).unwrap();
-    kept.write(CLUSTER, 12, 7, table().items()).unwrap();
+    let (mut saved, _) = SubscriberFolder::open(folder, CLUSTER).unwrap();
+    saved.save(CLUSTER, 12, 7, table().items()).unwrap();
 }
 
 pub(crate) fn write_fixture() {
@@ -42,8 +42,8 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join(FILE);
     fs::write(&path, fixture::read(FILE)).unwrap();
-    let (kept, read) = Kept::open(folder.path(), CLUSTER).unwrap();
-    assert_eq!((kept.subscriber(), kept.acted()), (SUBSCRIBER, 12));
+    let (saved, read) = SubscriberFolder::open(folder.path(), CLUSTER).unwrap();
+    assert_eq!((saved.subscriber(), saved.list_in_use()), (SUBSCRIBER, 12));
     assert_eq!((read.revision(), read.list_version()), (7, 9));
     assert_eq!(read.items(), table().items());
     let document = Item::Document {
@@ -52,12 +52,15 @@
         author: "alice".into(),
         at_ms: 1_700_000_000_001,
     };
-    assert_eq!(read.item(&Key::Document("config".into())), Some((3, document)));
+    assert_eq!(read.item(&ItemKey::Document("config".into())), Some((3, document)));
     let list = Item::List { version: 9, text: r#"[{"id":"s-1"}]"#.into() };
-    assert_eq!(read.item(&Key::List), Some((4, list)));
-    let order = Order { out: true, since_ms: 1_700_000_000_003 };
-    assert_eq!(read.item(&Key::Order("s-1".into())), Some((5, Item::Order { server: "s-1".into(), order })));
-    drop(kept);
+    assert_eq!(read.item(&ItemKey::List), Some((4, list)));
+    let admin_override = AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 };
+    assert_eq!(
+        read.item(&ItemKey::Override("s-1".into())),
+        Some((5, Item::Override { server: "s-1".into(), admin_override }))
+    );
+    drop(saved);
     fs::write(&path, fixture::read(FILE)).unwrap();
     save(folder.path());
     assert_eq!(hex::encode(fs::read(&path).unwrap()), hex::encode(fixture::read(FILE)));
--- a/crates/store/tests/corpus.rs
+++ b/crates/store/tests/corpus.rs
@@ -6,15 +6,17 @@
 use std::path::PathBuf;
 
 use openraft::entry::FromAppData;
+use stonefold_store::applied::AppliedState;
 use stonefold_store::codec::{decode, encode, seal};
-use stonefold_store::engine::Entry;
 use stonefold_store::feed::delta::diff;
 use stonefold_store::feed::frame::{
-    Ack, Beacon, Downlink, Hello, Item, Part, Record, Refusal, Update, Uplink, write,
+    Ack, Hello, Item, ItemPart, PublisherFrame, PublisherStatus, Record, SessionRejection, SubscriberFrame,
+    Update, encode_frame,
 };
-use stonefold_store::machine::{Applied, open_snapshot};
-use stonefold_store::message::{Party, Request};
-use stonefold_store::state::{Change, Order, Proposal, State};
+use stonefold_store::message::{Caller, Request};
+use stonefold_store::raft::Entry;
+use stonefold_store::snapshot::open_snapshot;
+use stonefold_store::state::{AdminOverride, Change, Proposal, State};
 
 fn folder(target: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../fuzz/corpus").join(target)
@@ -22,11 +24,11 @@
 
 /// One change of each kind, as version 1 has them.
 fn changes() -> [Change; 3] {
-    let order = Order { out: true, since_ms: 5 };
+    let admin_override = AdminOverride { out_of_service: true, since_ms: 5 };
     [
         Change::Document { name: "d".into(), text: "t".into(), author: "a".into(), at_ms: 7, after: Some(3) },
         Change::List { version: 9, text: "[]".into(), learned_by: 2, started: vec![("s-1".into(), 4)] },
-        Change::Order { server: "s-1".into(), order },
+        Change::Override { server: "s-1".into(), admin_override },
     ]
 }
 
@@ -34,12 +36,12 @@
     Proposal { client: 1, sequence, change }
 }
 
-fn applied() -> Applied {
+fn applied() -> AppliedState {
     let mut state = State::default();
     for (n, change) in (1..).zip(changes().into_iter().skip(1)) {
         state.apply(n, proposal(n, change));
     }
-    Applied { state, ..Applied::default() }
+    AppliedState { state, ..AppliedState::default() }
 }
 
 /// Writes the corpus anew; by hand, when the format gets a new version.
@@ -59,7 +61,7 @@
         write("frames", format!("version-{n}"), &[&[9], &request[1..]].concat());
     }
     write("frames", "long".into(), &[0xff; 64]);
-    write("frames", "party".into(), &encode("a party", &Party::Member(3)).unwrap());
+    write("frames", "party".into(), &encode("a party", &Caller::Member(3)).unwrap());
     let purge = Entry::from_app_data(proposal(1, Change::Purge { key: "k".into() }));
     write("entries", "v1-purge".into(), &encode("a log entry", &purge).unwrap());
     // `v1-0`, and `cut-0` of it, are of before anybody followed: none is written so any more.
@@ -74,30 +76,48 @@
 
 /// A frame of each kind, as version 1 has them.
 fn frames() -> [(&'static str, Vec<u8>); 5] {
-    let beacon = Beacon { echo: 5, stale_ms: Some(70), complete: true, head: 6, purged: 3 };
+    let publisher = PublisherStatus {
+        echoed_time: 5,
+        stale_ms: Some(70),
+        is_complete: true,
+        head_revision: 6,
+        last_purge: 3,
+    };
     let list = Item::ListDelta { from: 9, version: 10, delta: diff("[{}]", "[{},{}]") };
     let document = Item::Document { name: "d".into(), text: "u".into(), author: "a".into(), at_ms: 8 };
-    let record = |revision, item: &Item| Record { revision, item: item.bytes() };
+    let record = |revision, item: &Item| Record { revision, item: item.encode() };
     let records = vec![record(5, &document), record(6, &list)];
     let update = Update {
-        beacon,
+        publisher,
         after: 4,
         through: 6,
         records,
         part: None,
         purges_after: 2,
-        gap: false,
+        purge_gap: false,
         purges: vec!["k".into()],
     };
-    let part = Part { revision: 6, offset: 0, total: 90, bytes: vec![1, 0, 1] };
+    let part = ItemPart { revision: 6, offset: 0, total: 90, bytes: vec![1, 0, 1] };
     let parted = Update { records: Vec::new(), part: Some(part), ..update.clone() };
-    let downlink = |update| write(&Downlink::Update(Box::new(update))).unwrap();
+    let downlink = |update| encode_frame(&PublisherFrame::Update(Box::new(update))).unwrap();
     [
         ("update", downlink(update)),
         ("part", downlink(parted)),
-        ("refused", write(&Downlink::Refused(Refusal::Future { theirs: 9, ours: 4 })).unwrap()),
-        ("hello", write(&Uplink::Hello(Hello { revision: 3, list: 9, purged: Some(2), now: 1 })).unwrap()),
-        ("ack", write(&Uplink::Ack(Ack { taken: 0, now: 7 })).unwrap()),
+        (
+            "refused",
+            encode_frame(&PublisherFrame::Rejected(SessionRejection::Ahead { theirs: 9, ours: 4 })).unwrap(),
+        ),
+        (
+            "hello",
+            encode_frame(&SubscriberFrame::Hello(Hello {
+                revision: 3,
+                list_version: 9,
+                last_purge: Some(2),
+                time: 1,
+            }))
+            .unwrap(),
+        ),
+        ("ack", encode_frame(&SubscriberFrame::Ack(Ack { received_bytes: 0, time: 7 })).unwrap()),
     ]
 }
 
@@ -127,7 +147,7 @@
     for name in ["v1-0", "v1-followed"] {
         let sealed = fs::read(folder("snapshots").join(name)).unwrap();
         let opened = open_snapshot(&sealed).unwrap();
-        assert_eq!((opened.state, opened.changes.purged()), (applied().state, 0), "{name}");
+        assert_eq!((opened.state, opened.changes.last_purge()), (applied().state, 0), "{name}");
     }
     for (name, bytes) in frames() {
         assert_eq!(fs::read(folder("feed").join(format!("v1-{name}"))).unwrap(), bytes, "{name}");
--- a/crates/store/tests/feed_sim/check.rs
+++ b/crates/store/tests/feed_sim/check.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use stonefold_store::feed::frame::{Item, Key};
+use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::subscriber::Event;
 use stonefold_store::feed::table::Table;
 
-use super::truth::Change;
+use super::cluster::Change;
 use super::{CALM, Millis, NODES, QUIET, World};
 
 /// A purge is known everywhere within this in the calm, and any change within that, in ms.
@@ -15,33 +15,39 @@
 
 /// What a node has seen and acted on.
 #[derive(Default)]
-pub struct Seen {
+pub(crate) struct Seen {
     /// The latest revision of each document, and the latest list version, that it acted on in any life.
-    acted: BTreeMap<Key, u64>,
+    acted: BTreeMap<ItemKey, u64>,
     /// The number of the last purge in this life, and of all in all lives with their time.
     last: Option<u64>,
     pub purges: Vec<(u64, String, Millis)>,
     /// When it acted on which revision of what.
-    times: BTreeMap<Key, Vec<(u64, Millis)>>,
+    times: BTreeMap<ItemKey, Vec<(u64, Millis)>>,
 }
 
 impl Seen {
-    pub fn restarted(&mut self) {
+    pub(crate) fn restarted(&mut self) {
         self.last = None;
     }
 
-    pub fn event(&mut self, event: Event, table: &Table, now: Millis, dropped: bool) -> Result<(), String> {
+    pub(crate) fn event(
+        &mut self,
+        event: Event,
+        table: &Table,
+        now: Millis,
+        dropped: bool,
+    ) -> Result<(), String> {
         match event {
             Event::Changed(keys) => keys.into_iter().try_for_each(|key| self.act(key, table, now)),
-            Event::PurgesUnknown(after, through) => {
+            Event::PurgesUnknown { after, through } => {
                 if after > 0 && self.last.is_some() {
                     return Err(format!("purges {after} to {through} are lost, though all are kept"));
                 }
                 self.last = Some(through);
                 Ok(())
             }
-            Event::Purged(_, _) if dropped => Ok(()),
-            Event::Purged(first, keys) => {
+            Event::Purged { .. } if dropped => Ok(()),
+            Event::Purged { first, keys } => {
                 for (number, key) in (first..).zip(keys) {
                     if self.last != Some(number - 1) {
                         return Err(format!("purge {number} comes after {:?}", self.last));
@@ -55,7 +61,7 @@
     }
 
     /// No node acts on what is older than what it acted on before, in any life.
-    fn act(&mut self, key: Key, table: &Table, now: Millis) -> Result<(), String> {
+    fn act(&mut self, key: ItemKey, table: &Table, now: Millis) -> Result<(), String> {
         let Some((revision, item)) = table.item(&key) else {
             return Err(format!("{key:?} changed, and is gone"));
         };
@@ -70,7 +76,7 @@
 }
 
 /// After each step.
-pub fn always(world: &World) -> Result<(), String> {
+pub(crate) fn always(world: &World) -> Result<(), String> {
     let now = world.now;
     for n in 0..NODES {
         let node = &world.nodes[n];
@@ -79,14 +85,14 @@
         }
         let table = &node.core.table;
         let committed = world.log.entries.len() as u64;
-        if table.revision() > committed || table.purged() > world.log.purged() {
+        if table.revision() > committed || table.last_purge() > world.log.purged() {
             return Err(format!("node {n} holds revision {} of {committed}", table.revision()));
         }
         // What it says of how stale it is.
         let stale = node.core.stale_ms(now - node.started);
         let (entries, purges) = stale.map_or((0, 0), |stale| world.log.by(now.saturating_sub(stale + 1)));
-        if table.purged() < purges {
-            let held = table.purged();
+        if table.last_purge() < purges {
+            let held = table.last_purge();
             return Err(format!("node {n} says {stale:?} ms stale, and holds {held} of {purges} purges"));
         }
         if now.is_multiple_of(1_000) {
@@ -100,7 +106,7 @@
 /// holds it as it was committed.
 fn complete(world: &World, n: usize, entries: u64) -> Result<(), String> {
     let table = &world.nodes[n].core.table;
-    let mut wanted: BTreeMap<Key, u64> = BTreeMap::new();
+    let mut wanted: BTreeMap<ItemKey, u64> = BTreeMap::new();
     for (index, entry) in (1..=entries.max(table.revision())).zip(&world.log.entries) {
         if let Change::Item(item) = &entry.change {
             wanted.insert(item.key(), index);
@@ -120,7 +126,7 @@
 }
 
 /// In the end all are alike, and what was changed in the calm was there in time.
-pub fn end(world: &World) -> Result<(), String> {
+pub(crate) fn end(world: &World) -> Result<(), String> {
     let (entries, purges) = (world.log.entries.len() as u64, world.log.purged());
     for n in 0..NODES {
         complete(world, n, entries)?;
--- a/crates/store/tests/feed_sim/truth.rs
+++ b/crates/store/tests/feed_sim/cluster.rs
@@ -2,21 +2,21 @@
 
 use stonefold_store::feed::frame::Item;
 use stonefold_store::feed::table::Table;
-use stonefold_store::state::Order;
+use stonefold_store::state::AdminOverride;
 
 use super::{CALM, Millis, QUIET, World};
 
-pub const MEMBERS: usize = 3;
+pub(crate) const MEMBERS: usize = 3;
 /// Members are asked what is committed so often.
 const CONFIRM: Millis = 1_000;
 
-pub enum Change {
+pub(crate) enum Change {
     Item(Item),
     Purge(String),
 }
 
 /// A committed entry; its index is its place, from 1.
-pub struct Entry {
+pub(crate) struct Entry {
     pub at: Millis,
     /// Purges up to this one.
     purges: u64,
@@ -24,7 +24,7 @@
 }
 
 #[derive(Default)]
-pub struct Log {
+pub(crate) struct Log {
     pub entries: Vec<Entry>,
     pub purges: Vec<String>,
     list: u64,
@@ -32,7 +32,7 @@
 }
 
 #[derive(Default)]
-pub struct Member {
+pub(crate) struct Member {
     pub table: Table,
     applied: usize,
     pub down: Millis,
@@ -43,12 +43,12 @@
 }
 
 impl Log {
-    pub fn purged(&self) -> u64 {
+    pub(crate) fn purged(&self) -> u64 {
         self.purges.len() as u64
     }
 
     /// How many entries, and how many purges, were committed by a time.
-    pub fn by(&self, at: Millis) -> (u64, u64) {
+    pub(crate) fn by(&self, at: Millis) -> (u64, u64) {
         let entries = self.entries.partition_point(|entry| entry.at <= at);
         (entries as u64, self.entries[..entries].last().map_or(0, |entry| entry.purges))
     }
@@ -69,8 +69,8 @@
             }
             90..97 => Change::Item(self.list(rng)),
             _ => {
-                let order = Order { out: rng.bool(), since_ms: at };
-                Change::Item(Item::Order { server: format!("s-{}", rng.u32(..20)), order })
+                let admin_override = AdminOverride { out_of_service: rng.bool(), since_ms: at };
+                Change::Item(Item::Override { server: format!("s-{}", rng.u32(..20)), admin_override })
             }
         };
         let purges = self.purged();
@@ -96,7 +96,7 @@
 }
 
 /// The log grows, members apply it and ask what is committed.
-pub fn advance(world: &mut World) {
+pub(crate) fn advance(world: &mut World) {
     let now = world.now;
     let up = |member: &Member| member.down <= now && member.lags <= now;
     let quorum = world.members.iter().filter(|member| up(member)).count() * 2 > MEMBERS;
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -1,27 +1,29 @@
 //! Members, relays and subscribers in virtual time, from a seed: the pure cores over a network that delays, stalls and
 //! cuts, with kills of members, relays and subscribers, members that lag, and readers that are slow.
-#![allow(dead_code, unreachable_pub)] // the command and the tests use different parts
+#![allow(dead_code)] // the command and the tests use different parts
 
-pub mod check;
-pub mod net;
-pub mod truth;
+pub(crate) mod check;
+pub(crate) mod cluster;
+pub(crate) mod net;
 
 use fastrand::Rng;
-use stonefold_store::feed::frame::{Downlink, Refusal, Update, Uplink, read, write};
+use stonefold_store::feed::frame::{
+    PublisherFrame, SessionRejection, SubscriberFrame, Update, decode_frame, encode_frame,
+};
 use stonefold_store::feed::publisher::{Limits, Session};
-use stonefold_store::feed::route::Route;
+use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Action, Event, Subscriber};
 use stonefold_store::feed::table::Table;
 
 use check::Seen;
+use cluster::{Log, MEMBERS, Member};
 use net::{Conn, Net};
-use truth::{Log, MEMBERS, Member};
 
-pub type Millis = u64;
+pub(crate) type Millis = u64;
 
 /// What is wrong on purpose, for the checker to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub(crate) enum Broken {
     Nothing,
     /// A publisher leaves out a record.
     Record,
@@ -31,19 +33,19 @@
     Disk,
 }
 
-pub const TICK: Millis = 25;
+pub(crate) const TICK: Millis = 25;
 /// Until when things go wrong, when the calm begins, until when changes are made then, and the end.
-pub const WRONG: Millis = 30_000;
-pub const CALM: Millis = 55_000;
-pub const QUIET: Millis = 62_000;
-pub const END: Millis = 81_000;
+pub(crate) const WRONG: Millis = 30_000;
+pub(crate) const CALM: Millis = 55_000;
+pub(crate) const QUIET: Millis = 62_000;
+pub(crate) const END: Millis = 81_000;
 const REGION: usize = 2;
 const SITE: usize = 4;
 const PLAIN: usize = 12;
-pub const NODES: usize = REGION + SITE + PLAIN;
+pub(crate) const NODES: usize = REGION + SITE + PLAIN;
 
 /// A relay or a subscriber.
-pub struct Node {
+pub(crate) struct Node {
     pub core: Subscriber,
     tiers: Vec<Vec<String>>,
     /// What was acted on, as its disk has it.
@@ -58,12 +60,12 @@
 }
 
 impl Node {
-    pub fn alive(&self) -> bool {
+    pub(crate) fn alive(&self) -> bool {
         self.down.is_none()
     }
 }
 
-pub struct World {
+pub(crate) struct World {
     pub now: Millis,
     pub rng: Rng,
     pub log: Log,
@@ -73,12 +75,12 @@
     broken: Broken,
     pub kills: u64,
     pub cut: u64,
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 /// What came of a run.
 #[derive(Debug)]
-pub struct Report {
+pub(crate) struct Report {
     pub verdict: Result<(), String>,
     pub changes: usize,
     pub purges: u64,
@@ -108,11 +110,11 @@
 }
 
 fn core(node: usize, disk: &Table, seed: u64) -> Subscriber {
-    Subscriber::new(disk.clone(), Route::new(node as u64, &tiers(node), seed))
+    Subscriber::new(disk.clone(), PublisherSelector::new(node as u64, &tiers(node), seed))
 }
 
 /// One run.
-pub fn run(seed: u64, broken: Broken) -> Report {
+pub(crate) fn run(seed: u64, broken: Broken) -> Report {
     let mut world = World::new(seed, broken);
     let verdict = world.play();
     Report {
@@ -141,7 +143,7 @@
         let nodes = (0..NODES).map(node).collect();
         let members = (0..MEMBERS).map(|_| Member::default()).collect();
         let (log, net) = (Log::default(), Net::default());
-        World { now: 0, rng, log, members, nodes, net, broken, kills: 0, cut: 0, refused: 0 }
+        World { now: 0, rng, log, members, nodes, net, broken, kills: 0, cut: 0, rejected: 0 }
     }
 
     fn play(&mut self) -> Result<(), String> {
@@ -152,7 +154,7 @@
             } else if self.now < WRONG + TICK {
                 self.heal();
             }
-            truth::advance(self);
+            cluster::advance(self);
             self.revive();
             self.carry()?;
             for node in 0..NODES {
@@ -292,7 +294,7 @@
             }
             if mine {
                 let local = now - self.nodes[n].started;
-                let hello = self.nodes[n].core.connected(local);
+                let hello = self.nodes[n].core.on_connected(local);
                 conn.up.push_back((now + self.rng.u64(1..40), hello));
             }
         }
@@ -318,7 +320,7 @@
     fn lose(&mut self, id: u64, mine: bool) -> bool {
         if let Some(n) = (0..NODES).find(|&n| mine && self.nodes[n].conn == Some(id)) {
             let local = self.now - self.nodes[n].started;
-            self.nodes[n].core.closed(local);
+            self.nodes[n].core.on_closed(local);
             self.nodes[n].conn = None;
         }
         false
@@ -327,9 +329,9 @@
     /// A publisher hears its subscriber; whether it goes on.
     fn hear(&mut self, conn: &mut Conn, bytes: &[u8]) -> bool {
         let (now, limits) = (self.now, Limits::default());
-        let Ok(uplink) = read::<Uplink>(bytes) else { return false };
-        let done = match (uplink, &mut conn.session) {
-            (Uplink::Hello(hello), None) => {
+        let Ok(frame) = decode_frame::<SubscriberFrame>(bytes) else { return false };
+        let done = match (frame, &mut conn.session) {
+            (SubscriberFrame::Hello(hello), None) => {
                 match self.publisher(&conn.server, |table, _, member| {
                     Session::open(&hello, table, member, limits, now)
                 }) {
@@ -341,19 +343,19 @@
                     None => return false,
                 }
             }
-            (Uplink::Ack(ack), Some(session)) => session.heard(ack, now),
+            (SubscriberFrame::Ack(ack), Some(session)) => session.on_ack(ack, now),
             _ => return false,
         };
         match done {
             Ok(()) => true,
-            Err(why) => self.refuse(conn, why),
+            Err(why) => self.reject(conn, why),
         }
     }
 
-    fn refuse(&mut self, conn: &mut Conn, why: Refusal) -> bool {
-        self.refused += 1;
-        self.cut += u64::from(matches!(why, Refusal::Slow(_)));
-        if let Ok(bytes) = write(&Downlink::Refused(why)) {
+    fn reject(&mut self, conn: &mut Conn, why: SessionRejection) -> bool {
+        self.rejected += 1;
+        self.cut += u64::from(matches!(why, SessionRejection::TooSlow(_)));
+        if let Ok(bytes) = encode_frame(&PublisherFrame::Rejected(why)) {
             conn.down.push_back((self.now + 1, bytes));
         }
         conn.session = None;
@@ -365,7 +367,7 @@
         let (now, broken) = (self.now, self.broken);
         let node = &mut self.nodes[n];
         let local = now - node.started;
-        match node.core.received(bytes, local) {
+        match node.core.on_frame(bytes, local) {
             Ok(events) => {
                 for event in events {
                     if let Event::Changed(_) = &event {
@@ -377,7 +379,7 @@
                 Ok(true)
             }
             Err(_) => {
-                node.core.closed(local);
+                node.core.on_closed(local);
                 Ok(false)
             }
         }
@@ -399,7 +401,7 @@
                     }
                     Some(Ok(None)) | None => conn.session = Some(session),
                     Some(Err(why)) => {
-                        self.refuse(&mut conn, why);
+                        self.reject(&mut conn, why);
                         conn.closing = Some(now);
                     }
                 }
@@ -413,11 +415,11 @@
         if self.broken != Broken::Record || self.rng.u32(..20) > 0 {
             return bytes;
         }
-        match read::<Downlink>(&bytes) {
-            Ok(Downlink::Update(mut update)) if !update.records.is_empty() => {
+        match decode_frame::<PublisherFrame>(&bytes) {
+            Ok(PublisherFrame::Update(mut update)) if !update.records.is_empty() => {
                 update.records.remove(0);
                 let update: Box<Update> = update;
-                write(&Downlink::Update(update)).unwrap_or(bytes)
+                encode_frame(&PublisherFrame::Update(update)).unwrap_or(bytes)
             }
             _ => bytes,
         }
--- a/crates/store/tests/feed_sim/net.rs
+++ b/crates/store/tests/feed_sim/net.rs
@@ -7,9 +7,9 @@
 
 use super::{CALM, Millis};
 
-pub type Queue = VecDeque<(Millis, Vec<u8>)>;
+pub(crate) type Queue = VecDeque<(Millis, Vec<u8>)>;
 
-pub struct Conn {
+pub(crate) struct Conn {
     pub client: usize,
     pub server: String,
     pub opening: Option<Millis>,
@@ -25,22 +25,22 @@
 }
 
 impl Conn {
-    pub fn send_down(&mut self, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
+    pub(crate) fn send_down(&mut self, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
         send(&mut self.down, bytes, now, rng);
     }
 
     /// A subscriber is sent no more than the bound.
-    pub fn account(&mut self, bytes: usize, now: Millis) -> Result<(), String> {
+    pub(crate) fn account(&mut self, bytes: usize, now: Millis) -> Result<(), String> {
         let limits = Limits::default();
         let (since, all) = self.counted.get_or_insert((now, 0));
         *all += bytes as u64 + 72;
         // A frame may overdraw, heartbeats go out in any case.
         let passed = now - *since;
-        let most = limits.burst
-            + limits.reserve
-            + 2 * limits.frame as u64
-            + limits.rate * passed / 1_000
-            + 150 * (1 + passed / limits.heartbeat);
+        let most = limits.burst_bytes
+            + limits.purge_reserve_bytes
+            + 2 * limits.max_payload_bytes as u64
+            + limits.bytes_per_second * passed / 1_000
+            + 150 * (1 + passed / limits.heartbeat_interval);
         if *all <= most {
             Ok(())
         } else {
@@ -57,13 +57,13 @@
 }
 
 /// The next message, if it has arrived.
-pub fn arrived(queue: &mut Queue, stalled: Millis, now: Millis) -> Option<Vec<u8>> {
+pub(crate) fn arrived(queue: &mut Queue, stalled: Millis, now: Millis) -> Option<Vec<u8>> {
     let there = now >= stalled && queue.front().is_some_and(|(at, _)| *at <= now);
     if there { queue.pop_front().map(|(_, bytes)| bytes) } else { None }
 }
 
 #[derive(Default)]
-pub struct Net {
+pub(crate) struct Net {
     next: u64,
     pub conns: BTreeMap<u64, Conn>,
     /// Nodes whose network stands still, until when.
@@ -71,11 +71,11 @@
 }
 
 impl Net {
-    pub fn ids(&self) -> Vec<u64> {
+    pub(crate) fn ids(&self) -> Vec<u64> {
         self.conns.keys().copied().collect()
     }
 
-    pub fn connect(&mut self, client: usize, server: String, now: Millis, rng: &mut Rng) -> u64 {
+    pub(crate) fn connect(&mut self, client: usize, server: String, now: Millis, rng: &mut Rng) -> u64 {
         self.next += 1;
         let stalled = self.stalls.get(&client).copied().unwrap_or(0);
         let conn = Conn {
@@ -93,21 +93,21 @@
         self.next
     }
 
-    pub fn up(&mut self, id: u64, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
+    pub(crate) fn up(&mut self, id: u64, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
         if let Some(conn) = self.conns.get_mut(&id) {
             send(&mut conn.up, bytes, now, rng);
         }
     }
 
     /// The client has closed.
-    pub fn close(&mut self, id: u64, now: Millis) {
+    pub(crate) fn close(&mut self, id: u64, now: Millis) {
         if let Some(conn) = self.conns.get_mut(&id) {
             (conn.closing, conn.session) = (Some(now), None);
         }
     }
 
     /// A node's network stands still, and some of its connections do not outlive that.
-    pub fn stall(&mut self, node: usize, until: Millis, reset: bool, now: Millis) {
+    pub(crate) fn stall(&mut self, node: usize, until: Millis, reset: bool, now: Millis) {
         self.stalls.insert(node, until);
         for conn in self.conns.values_mut().filter(|conn| conn.client == node) {
             conn.stalled = conn.stalled.max(until);
@@ -118,7 +118,7 @@
     }
 
     /// Connections are gone; their clients are told, or find out by silence.
-    pub fn lost(&mut self, which: impl Fn(&Conn) -> bool, told: bool, now: Millis) {
+    pub(crate) fn lost(&mut self, which: impl Fn(&Conn) -> bool, told: bool, now: Millis) {
         for conn in self.conns.values_mut().filter(|conn| which(conn)) {
             conn.session = None;
             conn.up.clear();
@@ -129,7 +129,7 @@
         }
     }
 
-    pub fn heal(&mut self, now: Millis) {
+    pub(crate) fn heal(&mut self, now: Millis) {
         self.stalls.clear();
         for conn in self.conns.values_mut().filter(|conn| conn.stalled != Millis::MAX) {
             conn.stalled = conn.stalled.min(now);
--- a/crates/store/tests/following.rs
+++ b/crates/store/tests/following.rs
@@ -6,18 +6,21 @@
 use stonefold_store::codec::{decode, encode};
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::feed::delta::diff;
-use stonefold_store::feed::frame::*;
+use stonefold_store::feed::frame::{
+    Ack, Hello, Item, ItemKey, MAX_FRAME_BYTES, PublisherFrame, PublisherStatus, Record, SessionRejection,
+    SubscriberFrame, Update, decode_frame, encode_frame,
+};
 use stonefold_store::feed::publisher::Limits;
-use stonefold_store::feed::route::{Route, preferred};
+use stonefold_store::feed::selector::{PublisherSelector, preference_order};
 use stonefold_store::feed::subscriber::{Event, Subscriber};
 use stonefold_store::feed::table::Table;
-use stonefold_store::kept::Kept;
-use stonefold_store::message::{Party, Request, Response, Unavailable};
+use stonefold_store::message::{Caller, Request, RequestError, Response};
 use stonefold_store::replica::{Options, Replica, Transport};
 use stonefold_store::state::{Change, Proposal};
+use stonefold_store::subscriber_folder::SubscriberFolder;
 use stonefold_store::wire::{
-    self, Asking, Feed, HELLO, Keys, Opener, PROOF, Sealer, Source, Tcp, WELCOME, Welcoming, follow, serve,
-    serve_relay,
+    self, ClientHandshake, Feed, HELLO_BYTES, Keys, Opener, PROOF_BYTES, Sealer, ServerHandshake, Source,
+    Tcp, WELCOME_BYTES, follow, serve, serve_relay,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -45,7 +48,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     let tcp = Tcp::member(keys(1), CLUSTER, member, addr.clone());
-    let replica = Replica::start(disk, Options::at(addr.clone()), tcp.clone()).await.unwrap();
+    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
     let confirms = replica.clone();
@@ -65,9 +68,9 @@
     all[0].replica.confirm(Instant::now() + PATIENCE).await.unwrap();
     for member in 2..=number {
         let new = listening(member).await;
-        let add = Request::Add { member, addr: new.addr.clone() };
-        let added = all[0].replica.answer(Party::Client, add).await;
-        assert!(matches!(added, Response::Changed(Ok(()))), "{added:?}");
+        let add = Request::AddMember { member, addr: new.addr.clone() };
+        let added = all[0].replica.answer(Caller::Client, add).await;
+        assert!(matches!(added, Response::MembersChanged(Ok(()))), "{added:?}");
         all.push(new);
     }
     all
@@ -107,19 +110,20 @@
     tiers: &[Vec<String>],
     tcp: Tcp,
     cluster: u128,
-    kept: Option<(Kept, Table)>,
+    kept: Option<(SubscriberFolder, Table)>,
 ) -> Follows {
-    let (kept, table) = kept.map_or((None, Table::default()), |(kept, table)| (Some(kept), table));
-    let feed = Feed::new(cluster, Subscriber::new(table, Route::new(subscriber, tiers, subscriber)));
+    let (folder, table) = kept.map_or((None, Table::default()), |(folder, table)| (Some(folder), table));
+    let feed =
+        Feed::new(cluster, Subscriber::new(table, PublisherSelector::new(subscriber, tiers, subscriber)));
     let (stop, purges) = (CancellationToken::new(), Arc::<Mutex<Vec<Event>>>::default());
     let told = purges.clone();
     let on_purge = Box::new(move |event: &Event| told.lock().unwrap().push(event.clone()));
-    tokio::spawn(follow(feed.clone(), tcp.clone(), kept, on_purge, stop.clone()));
+    tokio::spawn(follow(feed.clone(), tcp.clone(), folder, on_purge, stop.clone()));
     Follows { feed, purges, stop, tcp }
 }
 
 fn of(subscriber: u64, tiers: &[Vec<String>]) -> Follows {
-    follows(subscriber, tiers, Tcp::subscriber(keys(1).of_subscribers(), CLUSTER), CLUSTER, None)
+    follows(subscriber, tiers, Tcp::subscriber(keys(1).subscriber_keys(), CLUSTER), CLUSTER, None)
 }
 
 impl Follows {
@@ -132,18 +136,21 @@
     }
 
     async fn until(&self, what: &str, there: impl Fn(&Follows) -> bool) {
-        let mut changed = self.feed.changed();
+        let mut changed = self.feed.changes();
         let wait = async {
             while !there(self) {
                 let _ = timeout(Duration::from_millis(50), changed.changed()).await;
             }
         };
-        let standing = || format!("{what}: {:?} {:?}", self.feed.standing(), self.feed.figures());
+        let standing = || {
+            let (revision, publisher) = (self.feed.revision(), self.feed.publisher());
+            format!("{what}: {:?} {:?}", (revision, publisher), self.feed.counters())
+        };
         timeout(PATIENCE, wait).await.unwrap_or_else(|_| panic!("{}", standing()));
     }
 
     fn text(&self, name: &str) -> Option<String> {
-        match self.feed.view().item(&Key::Document(name.into())) {
+        match self.feed.view().item(&ItemKey::Document(name.into())) {
             Some((_, Item::Document { text, .. })) => Some(text),
             _ => None,
         }
@@ -156,8 +163,9 @@
     /// The keys that were purged.
     fn purged(&self) -> Vec<String> {
         let purges = self.purges.lock().unwrap();
-        let keys =
-            purges.iter().map(|event| if let Event::Purged(_, keys) = event { keys.clone() } else { vec![] });
+        let keys = purges
+            .iter()
+            .map(|event| if let Event::Purged { keys, .. } = event { keys.clone() } else { vec![] });
         keys.collect::<Vec<_>>().concat()
     }
 }
@@ -172,7 +180,11 @@
     node.has("before", "1").await;
     node.until("fresh", |node| node.feed.stale_ms().is_some_and(|stale| stale < 4_000)).await;
     let told = node.purges.lock().unwrap().clone();
-    assert_eq!(told, [Event::PurgesUnknown(0, 0)], "whoever starts is told that it knows no purges before");
+    assert_eq!(
+        told,
+        [Event::PurgesUnknown { after: 0, through: 0 }],
+        "whoever starts is told that it knows no purges before"
+    );
     members[0].change(Change::List { version: 4, text: "{}".into(), learned_by: 1, started: vec![] }).await;
     members[0].purge("a").await;
     members[0].document("config", "2").await;
@@ -180,8 +192,8 @@
     node.has("config", "2").await;
     node.until("purges", |node| node.purged() == ["a", "b"]).await;
     let list = Item::List { version: 4, text: "{}".into() };
-    assert_eq!(node.feed.view().item(&Key::List).map(|(_, list)| list), Some(list));
-    assert_eq!(node.feed.figures().refused, 0);
+    assert_eq!(node.feed.view().item(&ItemKey::List).map(|(_, list)| list), Some(list));
+    assert_eq!(node.feed.counters().rejected_frames, 0);
 }
 
 #[tokio::test]
@@ -191,15 +203,15 @@
     let node = of(3, std::slice::from_ref(&all));
     members[0].document("a", "1").await;
     node.has("a", "1").await;
-    node.until("a publisher", |node| node.feed.standing().1.is_some()).await;
-    let at = node.feed.standing().1.unwrap();
+    node.until("a publisher", |node| node.feed.publisher().is_some()).await;
+    let at = node.feed.publisher().unwrap();
     let killed = members.remove(all.iter().position(|addr| *addr == at).unwrap());
     killed.end().await;
     members[0].purge("k").await;
     members[0].document("a", "2").await;
     node.has("a", "2").await;
     assert_eq!(node.purged(), ["k"]);
-    assert_ne!(node.feed.standing().1, Some(at));
+    assert_ne!(node.feed.publisher(), Some(at));
 }
 
 #[tokio::test]
@@ -217,8 +229,8 @@
     node.has("a", "1").await;
     members[0].purge("k1").await;
     node.until("purges", |node| node.purged() == ["k1"]).await;
-    let first = at.iter().position(|(addr, _)| *addr == preferred(3, &tiers)[0]).unwrap();
-    assert_eq!(node.feed.standing().1.as_ref(), Some(&at[first].0));
+    let first = at.iter().position(|(addr, _)| *addr == preference_order(3, &tiers)[0]).unwrap();
+    assert_eq!(node.feed.publisher().as_ref(), Some(&at[first].0));
     at[first].1.cancel();
     relays[first].stop.cancel();
     members[0].purge("k2").await;
@@ -226,7 +238,12 @@
     node.has("a", "2").await;
     node.until("purges", |node| node.purged() == ["k1", "k2"]).await;
     assert_eq!(
-        node.purges.lock().unwrap().iter().filter(|event| matches!(event, Event::PurgesUnknown(..))).count(),
+        node.purges
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|event| matches!(event, Event::PurgesUnknown { .. }))
+            .count(),
         1
     );
 }
@@ -236,42 +253,45 @@
     let members = members(1).await;
     let dir = tempfile::tempdir().unwrap();
     let tier = [vec![members[0].addr.clone()]];
-    let tcp = || Tcp::subscriber(keys(1).of_subscribers(), CLUSTER);
+    let tcp = || Tcp::subscriber(keys(1).subscriber_keys(), CLUSTER);
     members[0].document("a", "1").await;
     {
-        let node = follows(1, &tier, tcp(), CLUSTER, Some(Kept::open(dir.path(), CLUSTER).unwrap()));
+        let node =
+            follows(1, &tier, tcp(), CLUSTER, Some(SubscriberFolder::open(dir.path(), CLUSTER).unwrap()));
         node.has("a", "1").await;
-        assert!(Kept::open(dir.path(), CLUSTER).unwrap_err().to_string().contains("another process"));
-        node.feed.acts_on(7);
+        assert!(
+            SubscriberFolder::open(dir.path(), CLUSTER).unwrap_err().to_string().contains("another process")
+        );
+        node.feed.use_list(7);
         members[0].document("b", "1").await;
         node.has("b", "1").await;
         node.stop.cancel();
     }
     let reopened = async {
         loop {
-            match Kept::open(dir.path(), CLUSTER) {
-                Ok(kept) => return kept,
+            match SubscriberFolder::open(dir.path(), CLUSTER) {
+                Ok(folder) => return folder,
                 Err(_) => tokio::task::yield_now().await, // the first has not ended yet
             }
         }
     };
-    let (kept, table) = timeout(PATIENCE, reopened).await.unwrap();
-    assert_eq!((kept.acted(), table.items().len()), (7, 2));
+    let (folder, table) = timeout(PATIENCE, reopened).await.unwrap();
+    assert_eq!((folder.list_in_use(), table.items().len()), (7, 2));
     // Nobody to be reached: it has what it had.
-    let alone = follows(1, &[vec!["127.0.0.1:1".into()]], tcp(), CLUSTER, Some((kept, table)));
+    let alone = follows(1, &[vec!["127.0.0.1:1".into()]], tcp(), CLUSTER, Some((folder, table)));
     assert_eq!((alone.text("b").as_deref(), alone.feed.stale_ms()), (Some("1"), None));
     drop(alone);
-    let other = Kept::open(tempfile::tempdir().unwrap().path(), CLUSTER).map(drop);
+    let other = SubscriberFolder::open(tempfile::tempdir().unwrap().path(), CLUSTER).map(drop);
     assert!(other.is_ok());
     std::fs::copy(dir.path().join("subscriber"), dir.path().join("copy")).unwrap();
     let copy = tempfile::tempdir().unwrap();
     std::fs::copy(dir.path().join("subscriber"), copy.path().join("subscriber")).unwrap();
-    let told = Kept::open(copy.path(), 8).unwrap_err().to_string();
+    let told = SubscriberFolder::open(copy.path(), 8).unwrap_err().to_string();
     assert!(told.contains("not of 00000000000000000000000000000008"), "{told}");
     let mut bytes = std::fs::read(copy.path().join("subscriber")).unwrap();
     *bytes.last_mut().unwrap() ^= 1;
     std::fs::write(copy.path().join("subscriber"), bytes).unwrap();
-    let told = Kept::open(copy.path(), CLUSTER).unwrap_err().to_string();
+    let told = SubscriberFolder::open(copy.path(), CLUSTER).unwrap_err().to_string();
     assert!(told.contains("its checksum differs"), "{told}");
 }
 
@@ -284,17 +304,17 @@
     member.document("a", "1").await;
     relay.has("a", "1").await;
     for at in [&member.addr, &relay_at] {
-        for (keys, cluster) in [(keys(2), CLUSTER), (keys(1).of_subscribers(), 8)] {
-            let before = member.tcp.refused() + relay.tcp.refused();
+        for (keys, cluster) in [(keys(2), CLUSTER), (keys(1).subscriber_keys(), 8)] {
+            let before = member.tcp.rejected_callers() + relay.tcp.rejected_callers();
             let node = follows(3, &[vec![at.clone()]], Tcp::subscriber(keys, cluster), cluster, None);
-            let refused = || member.tcp.refused() + relay.tcp.refused() > before;
-            node.until("refused", |node| refused() && node.feed.figures().moves > 0).await;
-            assert_eq!((node.feed.standing().0, node.text("a")), (0, None));
+            let refused = || member.tcp.rejected_callers() + relay.tcp.rejected_callers() > before;
+            node.until("refused", |node| refused() && node.feed.counters().disconnects > 0).await;
+            assert_eq!((node.feed.revision(), node.text("a")), (0, None));
             node.stop.cancel();
         }
     }
     // With the subscribers' key nobody is a member or a client; with the members' key a relay answers nobody either.
-    let limited = keys(1).of_subscribers();
+    let limited = keys(1).subscriber_keys();
     let propose = || {
         let change = Change::Purge { key: "k".into() };
         Request::Propose(Proposal { client: 5, sequence: 1, change })
@@ -304,16 +324,18 @@
         (Tcp::member(limited.clone(), CLUSTER, 4, "127.0.0.1:4".into()), &member.addr, "a subscriber's key"),
         (Tcp::client(limited.clone(), CLUSTER), &relay_at, "it serves subscribers, and nobody else"),
     ] {
-        match tcp.ask(1, at, propose(), PATIENCE).await {
-            Err(Unavailable::Unreachable(told)) => assert!(told.contains(why), "{told}"),
+        match tcp.request(1, at, propose(), PATIENCE).await {
+            Err(RequestError::Unreachable(told)) => assert!(told.contains(why), "{told}"),
             other => panic!("{other:?}"),
         }
     }
-    match member.replica.answer(Party::Subscriber, propose()).await {
-        Response::Changed(Err(Unavailable::Refused(why))) => assert!(why.contains("follows"), "{why}"),
+    match member.replica.answer(Caller::Subscriber, propose()).await {
+        Response::MembersChanged(Err(RequestError::Rejected(why))) => {
+            assert!(why.contains("follows"), "{why}");
+        }
         other => panic!("{other:?}"),
     }
-    assert_eq!(member.replica.shared().read().changes.purged(), 0);
+    assert_eq!(member.replica.shared().read().changes.last_purge(), 0);
 }
 
 /// A connection that says by hand what a subscriber says, or a publisher.
@@ -326,14 +348,14 @@
 impl Raw {
     async fn connect(at: &str) -> Raw {
         let mut stream = TcpStream::connect(at).await.unwrap();
-        let (asking, hello) = Asking::new(&keys(1).of_subscribers(), [3; 32]);
+        let (asking, hello) = ClientHandshake::new(&keys(1).subscriber_keys(), [3; 32]);
         stream.write_all(&hello).await.unwrap();
-        let mut welcome = [0; WELCOME];
+        let mut welcome = [0; WELCOME_BYTES];
         stream.read_exact(&mut welcome).await.unwrap();
-        let (key, proof) = asking.welcomed(&welcome).unwrap();
+        let (key, proof) = asking.finish(&welcome).unwrap();
         stream.write_all(&proof).await.unwrap();
         let mut raw = Raw { stream, sealer: Sealer::new(key.clone(), true), opener: Opener::new(key, false) };
-        raw.say(&encode("an introduction", &(CLUSTER, Party::Subscriber, String::new())).unwrap()).await;
+        raw.say(&encode("an introduction", &(CLUSTER, Caller::Subscriber, String::new())).unwrap()).await;
         let said: Result<(), String> = decode("an answer", &raw.hear().await.unwrap()).unwrap();
         assert_eq!(said, Ok(()));
         raw
@@ -341,13 +363,13 @@
 
     async fn accept(listener: &TcpListener) -> Raw {
         let (mut stream, _) = timeout(PATIENCE, listener.accept()).await.unwrap().unwrap();
-        let mut hello = [0; HELLO];
+        let mut hello = [0; HELLO_BYTES];
         stream.read_exact(&mut hello).await.unwrap();
-        let (welcoming, welcome) = Welcoming::new(&keys(1).of_subscribers(), &hello, [4; 32]).unwrap();
+        let (welcoming, welcome) = ServerHandshake::new(&keys(1).subscriber_keys(), &hello, [4; 32]).unwrap();
         stream.write_all(&welcome).await.unwrap();
-        let mut proof = [0; PROOF];
+        let mut proof = [0; PROOF_BYTES];
         stream.read_exact(&mut proof).await.unwrap();
-        let key = welcoming.proved(&proof).unwrap();
+        let key = welcoming.finish(&proof).unwrap();
         let mut raw = Raw { stream, sealer: Sealer::new(key.clone(), false), opener: Opener::new(key, true) };
         raw.hear().await.unwrap();
         raw.say(&encode("an answer", &Ok::<(), String>(())).unwrap()).await;
@@ -362,45 +384,54 @@
     async fn hear(&mut self) -> Option<Vec<u8>> {
         let mut head = [0; 4];
         timeout(PATIENCE, self.stream.read_exact(&mut head)).await.unwrap().ok()?;
-        let mut rest = vec![0; self.opener.length(head).unwrap()];
+        let mut rest = vec![0; self.opener.sealed_len(head).unwrap()];
         self.stream.read_exact(&mut rest).await.ok()?;
         Some(self.opener.open(&rest).unwrap().to_vec())
     }
 
     /// What it hears until the connection is closed.
-    async fn rest(&mut self) -> Vec<Downlink> {
+    async fn rest(&mut self) -> Vec<PublisherFrame> {
         let mut all = Vec::new();
         while let Some(bytes) = self.hear().await {
-            all.push(read(&bytes).unwrap());
+            all.push(decode_frame(&bytes).unwrap());
         }
         all
     }
 }
 
 fn hello(revision: u64) -> Hello {
-    Hello { revision, list: 0, purged: None, now: 0 }
+    Hello { revision, list_version: 0, last_purge: None, time: 0 }
 }
 
 #[tokio::test]
 async fn a_subscriber_that_says_what_can_not_be_is_refused_with_a_reason() {
     let members = members(1).await;
     members[0].document("a", "1").await;
-    let say = |uplink: Uplink| write(&uplink).unwrap();
-    let mut version = say(Uplink::Hello(hello(0)));
+    let say = |uplink: SubscriberFrame| encode_frame(&uplink).unwrap();
+    let mut version = say(SubscriberFrame::Hello(hello(0)));
     version[0] = 9;
     for (said, why) in [
-        (vec![say(Uplink::Hello(hello(99_999)))], "revision 99999 is from the future"),
-        (vec![say(Uplink::Hello(Hello { purged: Some(7), ..hello(0) }))], "revision 7 is from the future"),
+        (vec![say(SubscriberFrame::Hello(hello(99_999)))], "revision 99999 is from the future"),
+        (
+            vec![say(SubscriberFrame::Hello(Hello { last_purge: Some(7), ..hello(0) }))],
+            "revision 7 is from the future",
+        ),
         (vec![version], "version 9; this program reads 1"),
-        (vec![say(Uplink::Ack(Ack { taken: 0, now: 0 }))], "before a hello"),
-        (vec![say(Uplink::Hello(hello(0))), say(Uplink::Hello(hello(0)))], "a second hello"),
+        (vec![say(SubscriberFrame::Ack(Ack { received_bytes: 0, time: 0 }))], "before a hello"),
+        (
+            vec![say(SubscriberFrame::Hello(hello(0))), say(SubscriberFrame::Hello(hello(0)))],
+            "a second hello",
+        ),
         (
-            vec![say(Uplink::Hello(hello(0))), say(Uplink::Ack(Ack { taken: 1 << 40, now: 0 }))],
+            vec![
+                say(SubscriberFrame::Hello(hello(0))),
+                say(SubscriberFrame::Ack(Ack { received_bytes: 1 << 40, time: 0 })),
+            ],
             "of what was not sent",
         ),
-        (vec![say(Uplink::Hello(hello(0))), vec![1, 250]], "damaged"),
+        (vec![say(SubscriberFrame::Hello(hello(0))), vec![1, 250]], "damaged"),
     ] {
-        let before = members[0].tcp.refused();
+        let before = members[0].tcp.rejected_callers();
         let mut raw = Raw::connect(&members[0].addr).await;
         for bytes in &said {
             raw.say(bytes).await;
@@ -408,19 +439,19 @@
         let told = format!(
             "{:?}",
             raw.rest().await.last().map(|last| match last {
-                Downlink::Refused(why) => why.to_string(),
-                Downlink::Update(_) => "an update".into(),
+                PublisherFrame::Rejected(why) => why.to_string(),
+                PublisherFrame::Update(_) => "an update".into(),
             })
         );
         assert!(told.contains(why), "{told}");
-        assert_eq!(members[0].tcp.refused(), before + 1, "{why}");
+        assert_eq!(members[0].tcp.rejected_callers(), before + 1, "{why}");
     }
     // One that is too large is not even read.
     let mut raw = Raw::connect(&members[0].addr).await;
-    raw.say(&say(Uplink::Hello(hello(0)))).await;
-    raw.say(&vec![1; FRAME + 1]).await;
+    raw.say(&say(SubscriberFrame::Hello(hello(0)))).await;
+    raw.say(&vec![1; MAX_FRAME_BYTES + 1]).await;
     raw.rest().await;
-    assert!(members[0].tcp.refused() > 7);
+    assert!(members[0].tcp.rejected_callers() > 7);
 }
 
 #[tokio::test]
@@ -429,9 +460,17 @@
     let node = of(3, &[vec![listener.local_addr().unwrap().to_string()]]);
     let item =
         |text: &str| Item::Document { name: "a".into(), text: text.into(), author: "me".into(), at_ms: 0 };
-    let record = |revision, text: &str| Record { revision, item: item(text).bytes() };
-    let beacon = Beacon { echo: 0, stale_ms: Some(1), complete: true, head: 5, purged: 0 };
-    let said = |update: Update| write(&Downlink::Update(Box::new(Update { beacon, ..update }))).unwrap();
+    let record = |revision, text: &str| Record { revision, item: item(text).encode() };
+    let beacon = PublisherStatus {
+        echoed_time: 0,
+        stale_ms: Some(1),
+        is_complete: true,
+        head_revision: 5,
+        last_purge: 0,
+    };
+    let said = |update: Update| {
+        encode_frame(&PublisherFrame::Update(Box::new(Update { publisher: beacon, ..update }))).unwrap()
+    };
     let good = |after| Update { after, through: 5, records: vec![record(5, "1")], ..Update::default() };
     let list = Item::ListDelta { from: 3, version: 4, delta: diff("{}", "{}{}") };
     let mut version = said(good(0));
@@ -451,26 +490,26 @@
         said(Update {
             after: 5,
             through: 5,
-            records: vec![Record { revision: 5, item: list.bytes() }],
+            records: vec![Record { revision: 5, item: list.encode() }],
             ..Update::default()
         }),
         said(Update { after: 5, through: 5, purges_after: 2, purges: vec!["k".into()], ..Update::default() }),
-        vec![1; FRAME + 1],
+        vec![1; MAX_FRAME_BYTES + 1],
     ]
     .into_iter()
     .enumerate()
     {
         let mut raw = Raw::accept(&listener).await;
-        match read(&raw.hear().await.unwrap()).unwrap() {
-            Uplink::Hello(hello) => {
-                assert_eq!((hello.revision, hello.purged), (5, Some(0)), "{n}: it resumes");
+        match decode_frame(&raw.hear().await.unwrap()).unwrap() {
+            SubscriberFrame::Hello(hello) => {
+                assert_eq!((hello.revision, hello.last_purge), (5, Some(0)), "{n}: it resumes");
             }
             ack => panic!("{ack:?}"),
         }
         raw.say(&bytes).await;
         assert_eq!(raw.hear().await, None, "{n}: it closes");
-        node.until("counted", |node| node.feed.figures().refused == n as u64 + 1).await;
-        assert_eq!((node.text("a").as_deref(), node.feed.standing().0), (Some("1"), 5), "{n}");
+        node.until("counted", |node| node.feed.counters().rejected_frames == n as u64 + 1).await;
+        assert_eq!((node.text("a").as_deref(), node.feed.revision()), (Some("1"), 5), "{n}");
         assert_eq!(node.purged(), Vec::<String>::new());
     }
 }
@@ -479,7 +518,12 @@
 async fn a_slow_reader_is_cut_and_resumes_where_it_stands() {
     let members = members(1).await;
     let relay = of(1, &[vec![members[0].addr.clone()]]);
-    let limits = Limits { patience: 1_500, pace: 1, window: 20 << 10, ..Limits::default() };
+    let limits = Limits {
+        ack_timeout: 1_500,
+        min_frame_interval: 1,
+        max_in_flight_bytes: 20 << 10,
+        ..Limits::default()
+    };
     let (at, _) = relay.relays(limits).await;
     members[0].document("a", "1").await;
     relay.has("a", "1").await;
@@ -487,24 +531,24 @@
     members[0].purge("k1").await;
     relay.until("all", |relay| relay.text("b").is_some() && relay.purged() == ["k1"]).await;
     let mut raw = Raw::connect(&at).await;
-    let from = Hello { purged: Some(0), ..hello(0) };
-    raw.say(&write(&Uplink::Hello(from)).unwrap()).await;
+    let from = Hello { last_purge: Some(0), ..hello(0) };
+    raw.say(&encode_frame(&SubscriberFrame::Hello(from)).unwrap()).await;
     let told = raw.rest().await;
     let updates: Vec<&Update> = told
         .iter()
         .filter_map(|one| match one {
-            Downlink::Update(update) => Some(&**update),
-            Downlink::Refused(_) => None,
+            PublisherFrame::Update(update) => Some(&**update),
+            PublisherFrame::Rejected(_) => None,
         })
         .collect();
-    assert!(matches!(told.last(), Some(Downlink::Refused(Refusal::Slow(_)))), "{told:?}");
+    assert!(matches!(told.last(), Some(PublisherFrame::Rejected(SessionRejection::TooSlow(_)))), "{told:?}");
     let bytes: usize = updates
         .iter()
-        .map(|update| write(&Downlink::Update(Box::new((*update).clone()))).unwrap().len())
+        .map(|update| encode_frame(&PublisherFrame::Update(Box::new((*update).clone()))).unwrap().len())
         .sum();
     assert!(bytes <= (20 << 10) + (8 << 10), "{bytes} bytes were on their way");
     assert_eq!(updates[0].purges, ["k1"], "purges go first");
-    assert_eq!(relay.tcp.refused(), 1);
+    assert_eq!(relay.tcp.rejected_callers(), 1);
     // One that reads gets all of it from there.
     members[0].purge("k2").await;
     let node = of(3, &[vec![at]]);
--- a/crates/store/tests/hostile/mod.rs
+++ b/crates/store/tests/hostile/mod.rs
@@ -1,25 +1,27 @@
 //! What reads bytes that others wrote: it refuses them or reads them whole, and never panics.
-#![allow(dead_code, unreachable_pub)] // each target uses its own
+#![allow(dead_code)] // each target uses its own
 
 use stonefold_store::codec::{decode, encode};
-use stonefold_store::engine::Entry;
-use stonefold_store::feed::frame::{Downlink, Item, Key, Uplink, read, write};
+use stonefold_store::feed::frame::{
+    Hello, Item, ItemKey, PublisherFrame, SubscriberFrame, decode_frame, encode_frame,
+};
 use stonefold_store::feed::publisher::{Limits, Session};
-use stonefold_store::feed::route::Route;
+use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::Subscriber;
 use stonefold_store::feed::table::Table;
-use stonefold_store::machine::open_snapshot;
 use stonefold_store::message::{Request, Response};
-use stonefold_store::wire::{self, HELLO, Keys, Opener, Welcoming};
+use stonefold_store::raft::Entry;
+use stonefold_store::snapshot::open_snapshot;
+use stonefold_store::wire::{self, HELLO_BYTES, Keys, Opener, ServerHandshake};
 
-pub fn frames(bytes: &[u8]) {
+pub(crate) fn frames(bytes: &[u8]) {
     let keys = Keys::new(wire::Key::new([1; 32]), None);
-    if let Some(hello) = bytes.first_chunk::<HELLO>() {
-        let _ = Welcoming::new(&keys, hello, [2; 32]);
+    if let Some(hello) = bytes.first_chunk::<HELLO_BYTES>() {
+        let _ = ServerHandshake::new(&keys, hello, [2; 32]);
     }
     let mut opener = Opener::new(wire::Key::new([1; 32]), true);
     if let Some((head, rest)) = bytes.split_first_chunk::<4>()
-        && let Ok(length) = opener.length(*head)
+        && let Ok(length) = opener.sealed_len(*head)
     {
         let _ = opener.open(&rest[..length.min(rest.len())]);
     }
@@ -29,55 +31,57 @@
     }
 }
 
-pub fn entries(bytes: &[u8]) {
+pub(crate) fn entries(bytes: &[u8]) {
     if let Ok(entry) = decode::<Entry>("a log entry", bytes) {
         let again = encode("a log entry", &entry).unwrap();
         assert_eq!(decode::<Entry>("a log entry", &again).unwrap(), entry);
     }
 }
 
-pub fn snapshots(bytes: &[u8]) {
+pub(crate) fn snapshots(bytes: &[u8]) {
     let _ = open_snapshot(bytes);
 }
 
 /// A subscriber and a publisher's session that hold a little, and are told these bytes.
-pub fn feed(bytes: &[u8]) {
+pub(crate) fn feed(bytes: &[u8]) {
     let mut table = Table::default();
     let name = "d".to_owned();
     table.put(3, &Item::Document { name: name.clone(), text: "t".into(), author: "a".into(), at_ms: 7 });
     table.put(4, &Item::List { version: 9, text: "[{}]".into() });
     table.advance(4);
-    table.purges_from(2);
-    if let Ok(frame) = read::<Downlink>(bytes) {
-        assert_eq!(read::<Downlink>(&write(&frame).unwrap()).unwrap(), frame);
+    table.reset_purges(2);
+    if let Ok(frame) = decode_frame::<PublisherFrame>(bytes) {
+        assert_eq!(decode_frame::<PublisherFrame>(&encode_frame(&frame).unwrap()).unwrap(), frame);
     }
-    let _ = Item::read(bytes);
-    let mut subscriber = Subscriber::new(table.clone(), Route::new(1, &[vec!["p".into()]], 1));
+    let _ = Item::decode(bytes);
+    let mut subscriber = Subscriber::new(table.clone(), PublisherSelector::new(1, &[vec!["p".into()]], 1));
     subscriber.poll(0);
-    subscriber.connected(0);
+    subscriber.on_connected(0);
     let before = (subscriber.table.items().clone(), subscriber.table.revision());
-    let taken = subscriber.received(bytes, 1_000);
+    let taken = subscriber.on_frame(bytes, 1_000);
     let (items, revision) = (subscriber.table.items(), subscriber.table.revision());
     match taken {
         Err(_) => assert_eq!((items, revision), (&before.0, before.1)),
         Ok(_) => {
             assert!(revision >= before.1 && subscriber.table.list_version() >= 9);
-            let revision_of = |key: &Key| items.get(key).map(|held| held.revision);
-            assert!(revision_of(&Key::List) >= Some(4) && revision_of(&Key::Document(name)) >= Some(3));
+            let revision_of = |key: &ItemKey| items.get(key).map(|held| held.revision);
+            assert!(
+                revision_of(&ItemKey::List) >= Some(4) && revision_of(&ItemKey::Document(name)) >= Some(3)
+            );
         }
     }
-    match read::<Uplink>(bytes) {
-        Ok(Uplink::Hello(hello)) => {
+    match decode_frame::<SubscriberFrame>(bytes) {
+        Ok(SubscriberFrame::Hello(hello)) => {
             if let Ok(mut session) = Session::open(&hello, &table, true, Limits::default(), 0) {
                 let _ = session.poll(0, &mut table, Some(0)).unwrap();
-                let _ = session.due(0, &table);
+                let _ = session.next_poll_at(0, &table);
             }
         }
-        Ok(Uplink::Ack(ack)) => {
-            let hello = stonefold_store::feed::frame::Hello { revision: 4, list: 9, purged: None, now: 0 };
+        Ok(SubscriberFrame::Ack(ack)) => {
+            let hello = Hello { revision: 4, list_version: 9, last_purge: None, time: 0 };
             let mut session = Session::open(&hello, &table, true, Limits::default(), 0).unwrap();
-            let _ = session.heard(ack, 1);
-            let _ = session.due(1, &table);
+            let _ = session.on_ack(ack, 1);
+            let _ = session.next_poll_at(1, &table);
         }
         Err(_) => {}
     }
--- a/crates/store/tests/rules.rs
+++ b/crates/store/tests/rules.rs
@@ -1,13 +1,17 @@
-//! The pure parts: what is kept, who belongs, what may be acted on.
+//! The pure parts: what is folder, who belongs, what may be acted on.
 
 use std::collections::BTreeSet;
 
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 use stonefold_store::freshness::{Freshness, Verdict};
-use stonefold_store::members::*;
-use stonefold_store::message::Party;
-use stonefold_store::state::*;
+use stonefold_store::members::{Member, Members, MembersError, admit, check_add, check_remove};
+use stonefold_store::message::{Caller, Introduction};
+use stonefold_store::state::limits::{
+    MAX_DOCUMENT_BYTES, MAX_DOCUMENTS, MAX_LIST_BYTES, MAX_NAME_BYTES, MAX_REVISIONS_PER_DOCUMENT,
+    MAX_SERVER_ID_BYTES, MAX_SERVERS, MAX_TOTAL_DOCUMENT_BYTES,
+};
+use stonefold_store::state::{AdminOverride, Change, Proposal, Rejection, Reply, State};
 
 // ---- freshness, explored whole ----
 
@@ -81,7 +85,7 @@
                 next.applied += 1;
                 next.node.list_committed(next.applied);
                 let before = next.node.is_confirmed();
-                next.node.applied(next.applied);
+                next.node.index_applied(next.applied);
                 next.early |= !before && next.node.is_confirmed() && next.applied < next.told;
             }
             Step::Ask if next.asked.is_none() => next.asked = Some((next.now, next.committed)),
@@ -89,13 +93,13 @@
                 let (at, index) = next.asked?;
                 let before = next.node.is_confirmed();
                 next.told = next.told.max(index);
-                next.node.answered(at, index);
-                next.node.applied(next.applied);
+                next.node.read_index_received(at, index);
+                next.node.index_applied(next.applied);
                 next.early |= !before && next.node.is_confirmed() && next.applied < next.told;
                 next.asked = None;
             }
             Step::Act(version) => {
-                if matches!(next.node.list(version), Verdict::Act) {
+                if matches!(next.node.use_list(version), Verdict::Newer) {
                     next.went_back |= version < next.acted;
                     next.behind |= version < next.applied;
                     next.acted = version;
@@ -118,7 +122,7 @@
             Property::always("acts on nothing older than it knows committed", |_, w: &World| !w.behind),
             Property::always("is confirmed only with all that was committed", |_, w: &World| !w.early),
             Property::sometimes("is ready without the others", |_, w: &World| {
-                w.node.ready(w.now) && !w.node.is_confirmed()
+                w.node.startup_complete(w.now) && !w.node.is_confirmed()
             }),
             Property::sometimes("is confirmed by them", |_, w: &World| w.node.is_confirmed()),
         ]
@@ -141,55 +145,62 @@
 #[test]
 fn a_clock_that_jumps_back_makes_nothing_fresh_or_overdue() {
     let mut node = Freshness::new(1_000, 500, 7);
-    assert!(!node.ready(999) && !node.ready(1_499) && node.ready(1_500));
+    assert!(!node.startup_complete(999) && !node.startup_complete(1_499) && node.startup_complete(1_500));
     assert_eq!((node.stale_for(0), node.stale_for(1_700)), (0, 700));
-    assert_eq!(node.list(6), Verdict::Old { known: 7 });
-    assert_eq!((node.list(9), node.list(9)), (Verdict::Act, Verdict::Same), "discovery may be ahead");
-    assert_eq!((node.config(4), node.config(3)), (Verdict::Act, Verdict::Old { known: 4 }));
-    node.answered(1_600, 12);
-    node.applied(11);
+    assert_eq!(node.use_list(6), Verdict::Stale { known: 7 });
+    assert_eq!(
+        (node.use_list(9), node.use_list(9)),
+        (Verdict::Newer, Verdict::Current),
+        "discovery may be ahead"
+    );
+    assert_eq!((node.use_config(4), node.use_config(3)), (Verdict::Newer, Verdict::Stale { known: 4 }));
+    node.read_index_received(1_600, 12);
+    node.index_applied(11);
     assert!(!node.is_confirmed());
-    node.applied(12);
+    node.index_applied(12);
     assert!(node.is_confirmed() && node.stale_for(1_700) == 100);
 }
 
 // ---- members ----
 
 fn three() -> Members {
-    let member = |id: u64| (id, Member { addr: format!("127.0.0.1:{id}"), votes: id < 4 });
+    let member = |id: u64| (id, Member { addr: format!("127.0.0.1:{id}"), is_voter: id < 4 });
     (1..=4).map(member).collect()
 }
 
 #[test]
 fn strangers_copies_and_members_that_were_removed_are_not_heard() {
-    let said = |cluster, party, addr| admit(&Hello { cluster, party, addr }, 7, 1, &three());
-    let member = |id, addr| said(7, Party::Member(id), addr);
+    let said = |cluster, caller, addr: &str| {
+        let addr = addr.to_owned();
+        admit(&Introduction { cluster, caller, addr }, 7, 1, &three())
+    };
+    let member = |id, addr| said(7, Caller::Member(id), addr);
     assert_eq!(member(2, "127.0.0.1:2"), Ok(()));
-    assert_eq!(said(7, Party::Client, ""), Ok(()));
-    assert!(matches!(said(8, Party::Client, ""), Err(MembersError::Stranger { theirs: 8, ours: 7 })));
-    assert!(matches!(member(1, "127.0.0.1:1"), Err(MembersError::Myself(1))));
-    assert!(matches!(member(2, "127.0.0.1:9"), Err(MembersError::Elsewhere { member: 2, .. })));
+    assert_eq!(said(7, Caller::Client, ""), Ok(()));
+    assert!(matches!(said(8, Caller::Client, ""), Err(MembersError::ForeignCluster { theirs: 8, ours: 7 })));
+    assert!(matches!(member(1, "127.0.0.1:1"), Err(MembersError::OwnId(1))));
+    assert!(matches!(member(2, "127.0.0.1:9"), Err(MembersError::AddressMismatch { member: 2, .. })));
     assert!(matches!(member(5, "127.0.0.1:5"), Err(MembersError::NotMember(5))));
-    let hello = Hello { cluster: 7, party: Party::Member(2), addr: "anywhere" };
+    let hello = Introduction { cluster: 7, caller: Caller::Member(2), addr: "anywhere".into() };
     assert_eq!(admit(&hello, 7, 1, &Members::new()), Ok(()), "a new one hears whoever leads");
 }
 
 #[test]
 fn nothing_is_removed_that_leaves_too_few_and_no_id_is_given_twice() {
     let (members, near) = (three(), |id| id != 3);
-    assert_eq!(may_remove(3, &members, near, false), Ok(()), "a dead one can go");
-    let unsafe_ = Err(MembersError::Unsafe { voters: 2, reachable: 1, needed: 2 });
-    assert_eq!(may_remove(2, &members, near, false), unsafe_);
-    assert_eq!(may_remove(2, &members, near, true), Ok(()));
-    assert_eq!(may_remove(4, &members, near, false), Ok(()), "a learner");
-    assert_eq!(may_remove(9, &members, near, true), Err(MembersError::NotMember(9)));
+    assert_eq!(check_remove(3, &members, near, false), Ok(()), "a dead one can go");
+    let unsafe_ = Err(MembersError::QuorumUnreachable { voters: 2, reachable: 1, quorum: 2 });
+    assert_eq!(check_remove(2, &members, near, false), unsafe_);
+    assert_eq!(check_remove(2, &members, near, true), Ok(()));
+    assert_eq!(check_remove(4, &members, near, false), Ok(()), "a learner");
+    assert_eq!(check_remove(9, &members, near, true), Err(MembersError::NotMember(9)));
     let one: Members = three().into_iter().take(1).collect();
-    assert_eq!(may_remove(1, &one, |_| true, true), Err(MembersError::Last(1)));
-    let add = |id, addr| may_add(id, addr, &members, &BTreeSet::from([9]));
+    assert_eq!(check_remove(1, &one, |_| true, true), Err(MembersError::LastVoter(1)));
+    let add = |id, addr| check_add(id, addr, &members, &BTreeSet::from([9]));
     assert_eq!(add(4, "127.0.0.1:4"), Ok(()), "a learner that had not caught up");
-    assert_eq!(add(2, "127.0.0.1:2"), Err(MembersError::Known(2)));
+    assert_eq!(add(2, "127.0.0.1:2"), Err(MembersError::AlreadyMember(2)));
     assert_eq!(add(9, "127.0.0.1:9"), Err(MembersError::Removed(9)));
-    assert!(matches!(add(5, "127.0.0.1:2"), Err(MembersError::Taken { member: 2, .. })));
+    assert!(matches!(add(5, "127.0.0.1:2"), Err(MembersError::AddressInUse { member: 2, .. })));
 }
 
 // ---- what is kept ----
@@ -207,11 +218,12 @@
         started: vec![("s".into(), at)],
     });
     prop_oneof![
-        (0u8..4, 0..DOCUMENT + 2, proptest::option::of(0u64..40)).prop_map(|(n, s, a)| document(n, s, a)),
+        (0u8..4, 0..MAX_DOCUMENT_BYTES + 2, proptest::option::of(0u64..40))
+            .prop_map(|(n, s, a)| document(n, s, a)),
         list,
-        (0u8..3, any::<bool>(), 0u64..9).prop_map(|(server, out, since_ms)| Change::Order {
+        (0u8..3, any::<bool>(), 0u64..9).prop_map(|(server, out_of_service, since_ms)| Change::Override {
             server: server.to_string(),
-            order: Order { out, since_ms }
+            admin_override: AdminOverride { out_of_service, since_ms }
         }),
     ]
 }
@@ -235,11 +247,11 @@
             prop_assert_eq!(&state, &done);
             let version = |state: &State| state.list().map_or(0, |list| list.version);
             prop_assert!(version(&state) >= version(&before) && state.started("s") >= before.started("s"));
-            if let (Change::Document { name, after: Some(after), .. }, Reply::Done(_)) = (&change, &reply) {
+            if let (Change::Document { name, after: Some(after), .. }, Reply::Applied(_)) = (&change, &reply) {
                 prop_assert_eq!(before.document(name).map_or(0, |latest| latest.revision), *after);
             }
             let texts: usize = state.names().flat_map(|name| state.history(name)).map(|r| r.text.len()).sum();
-            prop_assert!(texts <= TEXTS && state.names().all(|name| state.history(name).count() <= HISTORY));
+            prop_assert!(texts <= MAX_TOTAL_DOCUMENT_BYTES && state.names().all(|name| state.history(name).count() <= MAX_REVISIONS_PER_DOCUMENT));
         }
         prop_assert_eq!(state, twin);
     }
@@ -253,61 +265,74 @@
         sequence += 1;
         state.apply(sequence, Proposal { client: 1, sequence, change })
     };
-    let order = |server: String| Change::Order { server, order: Order { out: true, since_ms: 0 } };
-    let too_long = propose(&mut state, order("s".repeat(ID + 1)));
-    assert!(matches!(too_long, Reply::Refused(Refusal::TooLong { most: 128, .. })), "{too_long:?}");
-    for name in 0..(TEXTS / DOCUMENT) as u8 {
-        assert!(matches!(propose(&mut state, document(name, DOCUMENT, Some(0))), Reply::Done(_)));
+    let order = |server: String| Change::Override {
+        server,
+        admin_override: AdminOverride { out_of_service: true, since_ms: 0 },
+    };
+    let too_long = propose(&mut state, order("s".repeat(MAX_SERVER_ID_BYTES + 1)));
+    assert!(matches!(too_long, Reply::Rejected(Rejection::TooLong { max: 128, .. })), "{too_long:?}");
+    for name in 0..(MAX_TOTAL_DOCUMENT_BYTES / MAX_DOCUMENT_BYTES) as u8 {
+        assert!(matches!(
+            propose(&mut state, document(name, MAX_DOCUMENT_BYTES, Some(0))),
+            Reply::Applied(_)
+        ));
     }
     let full = propose(&mut state, document(99, 1, None));
-    assert!(matches!(full, Reply::Refused(Refusal::TooMany { .. })), "{full:?}");
+    assert!(matches!(full, Reply::Rejected(Rejection::LimitExceeded { .. })), "{full:?}");
     assert!(
-        matches!(propose(&mut state, document(0, 1, None)), Reply::Done(_)),
+        matches!(propose(&mut state, document(0, 1, None)), Reply::Applied(_)),
         "a smaller one in its place"
     );
-    assert_eq!(state.names().count(), TEXTS / DOCUMENT);
+    assert_eq!(state.names().count(), MAX_TOTAL_DOCUMENT_BYTES / MAX_DOCUMENT_BYTES);
     // An earlier proposal of a client that has gone on is not carried out late.
     let late = state.apply(900, Proposal { client: 1, sequence: 1, change: order("late".into()) });
-    assert!(matches!(late, Reply::Refused(Refusal::Superseded { .. })), "{late:?}");
-    assert!(state.orders().is_empty());
+    assert!(matches!(late, Reply::Rejected(Rejection::Superseded { .. })), "{late:?}");
+    assert!(state.overrides().is_empty());
 }
 
 #[test]
 fn a_return_is_forgotten_once_its_server_is_warm_and_a_ban_never() {
     let (mut state, mut sequence) = (State::default(), 0);
-    let mut order = |state: &mut State, server: &str, out, since_ms| {
+    let mut order = |state: &mut State, server: &str, out_of_service, since_ms| {
         sequence += 1;
-        let change = Change::Order { server: server.into(), order: Order { out, since_ms } };
-        assert!(matches!(state.apply(sequence, Proposal { client: 1, sequence, change }), Reply::Done(_)));
+        let change = Change::Override {
+            server: server.into(),
+            admin_override: AdminOverride { out_of_service, since_ms },
+        };
+        assert!(matches!(state.apply(sequence, Proposal { client: 1, sequence, change }), Reply::Applied(_)));
     };
     order(&mut state, "out", true, 0);
     order(&mut state, "back", false, 0);
     order(&mut state, "next", false, 599_999);
-    assert_eq!(state.orders().len(), 3);
+    assert_eq!(state.overrides().len(), 3);
     order(&mut state, "next", true, 600_000);
-    assert_eq!(state.orders().keys().collect::<Vec<_>>(), ["next", "out"]);
+    assert_eq!(state.overrides().keys().collect::<Vec<_>>(), ["next", "out"]);
 }
 
 #[test]
 fn all_that_may_be_kept_fits_into_one_message_and_a_snapshot() {
     let (mut state, mut index) = (State::default(), 0);
-    let id = |n: usize| format!("{n:0>width$}", width = ID);
+    let id = |n: usize| format!("{n:0>width$}", width = MAX_SERVER_ID_BYTES);
     let mut made = |state: &mut State, change| {
         index += 1;
         let reply = state.apply(index, Proposal { client: index, sequence: 1, change });
-        assert!(matches!(reply, Reply::Done(_)), "{reply:?}");
+        assert!(matches!(reply, Reply::Applied(_)), "{reply:?}");
     };
-    let started = (0..SERVERS).map(|n| (id(n), u64::MAX)).collect();
-    made(&mut state, Change::List { version: 1, text: "x".repeat(LIST), learned_by: 1, started });
-    for n in 0..SERVERS {
-        let order = Order { out: true, since_ms: u64::MAX };
-        made(&mut state, Change::Order { server: id(n), order });
+    let started = (0..MAX_SERVERS).map(|n| (id(n), u64::MAX)).collect();
+    made(&mut state, Change::List { version: 1, text: "x".repeat(MAX_LIST_BYTES), learned_by: 1, started });
+    for n in 0..MAX_SERVERS {
+        let admin_override = AdminOverride { out_of_service: true, since_ms: u64::MAX };
+        made(&mut state, Change::Override { server: id(n), admin_override });
     }
-    for n in 0..DOCUMENTS {
-        let name = format!("{n:0>width$}", width = NAME);
-        let (text, author) = ("x".repeat(TEXTS / DOCUMENTS), "x".repeat(NAME));
+    for n in 0..MAX_DOCUMENTS {
+        let name = format!("{n:0>width$}", width = MAX_NAME_BYTES);
+        let (text, author) =
+            ("x".repeat(MAX_TOTAL_DOCUMENT_BYTES / MAX_DOCUMENTS), "x".repeat(MAX_NAME_BYTES));
         made(&mut state, Change::Document { name, text, author, at_ms: u64::MAX, after: None });
     }
     let all = stonefold_store::codec::encode("a state", &state).unwrap().len();
-    assert!(all < stonefold_store::wire::MESSAGE.min(stonefold_store::machine::SNAPSHOT), "{all} bytes");
+    assert!(
+        all < stonefold_store::wire::MAX_MESSAGE_BYTES.min(stonefold_store::snapshot::MAX_SNAPSHOT_BYTES),
+        "{all} bytes"
+    );
 }
--- a/crates/store/tests/sim/check.rs
+++ b/crates/store/tests/sim/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use stonefold_store::machine::Applied;
+use stonefold_store::applied::AppliedState;
 
 /// What a client did: a write of a text, or a read. Times are virtual.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,7 +27,7 @@
 }
 
 /// Checks all, and tells the first thing that is wrong.
-pub(crate) fn check(ops: &[Op], acted: &[Acted], last: &[Applied]) -> Result<(), String> {
+pub(crate) fn check(ops: &[Op], acted: &[Acted], last: &[AppliedState]) -> Result<(), String> {
     for applied in last {
         kept(ops, applied)?;
     }
@@ -62,7 +62,7 @@
 }
 
 /// What was answered for is there, once, and follows on what it was to follow on.
-fn kept(ops: &[Op], applied: &Applied) -> Result<(), String> {
+fn kept(ops: &[Op], applied: &AppliedState) -> Result<(), String> {
     for op in ops.iter().filter(|op| op.write) {
         let history: Vec<_> = applied.state.history(&op.name).collect();
         let places: Vec<usize> = (0..history.len()).filter(|&place| history[place].text == op.text).collect();
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -11,13 +11,13 @@
 use check::{Acted, Op};
 use net::{Net, Wire, addr};
 use platter::Platter;
+use stonefold_store::applied::AppliedState;
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::engine::MemberId;
 use stonefold_store::freshness::Verdict;
-use stonefold_store::machine::Applied;
-use stonefold_store::message::{Party, Request};
+use stonefold_store::message::{Caller, Request};
+use stonefold_store::raft::MemberId;
 use stonefold_store::replica::{Options, Replica};
-use stonefold_store::state::{Change, Order, Proposal, Reply};
+use stonefold_store::state::{AdminOverride, Change, Proposal, Reply};
 use tokio::time::{Instant, sleep};
 
 /// What is broken on purpose, to see that the checker finds it.
@@ -93,8 +93,8 @@
     first.bootstrap().await.unwrap();
     for member in 2..=members {
         let added = |replica: Replica<Wire>| async move {
-            let add = Request::Add { member, addr: addr(member) };
-            replica.answer(Party::Client, add).await
+            let add = Request::AddMember { member, addr: addr(member) };
+            replica.answer(Caller::Client, add).await
         };
         let answer = added(first.clone()).await;
         assert!(format!("{answer:?}").contains("Ok"), "{answer:?}");
@@ -126,7 +126,7 @@
         self.lives += 1;
         let life = self.lives;
         let wire = Wire { net: self.net.clone(), me: member, life };
-        let disk = Disk::on(self.disks[&member].clone(), Identity { cluster: CLUSTER, member });
+        let disk = Disk::with_backend(self.disks[&member].clone(), Identity { cluster: CLUSTER, member });
         let full = self.disks[&member].full.load(std::sync::atomic::Ordering::Relaxed);
         let disk = match disk {
             Ok(disk) => disk,
@@ -134,7 +134,7 @@
             Err(error) => return self.wrong = Some(format!("a disk after a power cut: {error}")),
         };
         let disk = if self.broken == Broken::Sync { disk.unsynced() } else { disk };
-        let options = Options { snapshot_after: 12, kept: 3, ..Options::at(addr(member)) };
+        let options = Options { snapshot_interval: 12, retained_entries: 3, ..Options::new(addr(member)) };
         let Ok(replica) = Replica::start(disk, options, wire).await else { return };
         self.net.links().running.insert(member, (life, replica.clone()));
         tokio::spawn(act(member, life, replica, self.net.clone(), self.records.clone()));
@@ -180,11 +180,11 @@
                     return;
                 };
                 let change = if fastrand::bool() {
-                    Request::Remove { member, force: false }
+                    Request::RemoveMember { member, force: false }
                 } else {
-                    Request::Add { member, addr: addr(member) }
+                    Request::AddMember { member, addr: addr(member) }
                 };
-                tokio::spawn(async move { by.answer(Party::Client, change).await });
+                tokio::spawn(async move { by.answer(Caller::Client, change).await });
             }
         }
     }
@@ -228,22 +228,23 @@
     }
 
     /// Waits until every place has a member that votes and all have applied the same; what each has then.
-    async fn settle(&mut self) -> Result<Vec<Applied>, String> {
+    async fn settle(&mut self) -> Result<Vec<AppliedState>, String> {
         let (end, mut sequence) = (Instant::now() + WELL, 0);
         while Instant::now() < end {
             self.replace_removed().await;
             let replicas = self.replicas();
-            let votes =
-                |member: MemberId| replicas.iter().all(|r| r.members().get(&member).is_some_and(|m| m.votes));
+            let votes = |member: MemberId| {
+                replicas.iter().all(|r| r.members().get(&member).is_some_and(|m| m.is_voter))
+            };
             for &member in self.places.iter().filter(|&&member| !votes(member)) {
                 for replica in &replicas {
-                    let add = Request::Add { member, addr: addr(member) };
-                    replica.answer(Party::Client, add).await;
+                    let add = Request::AddMember { member, addr: addr(member) };
+                    replica.answer(Caller::Client, add).await;
                 }
             }
             sequence += 1;
-            let order = Order { out: true, since_ms: 0 };
-            let change = Change::Order { server: "s-1".into(), order };
+            let admin_override = AdminOverride { out_of_service: true, since_ms: 0 };
+            let change = Change::Override { server: "s-1".into(), admin_override };
             let proposal = Proposal { client: u64::MAX, sequence, change };
             let until = Instant::now() + Duration::from_secs(5);
             if replicas[0].propose(proposal, until).await.is_ok() {
@@ -268,8 +269,8 @@
     let mut applied = replica.applied();
     loop {
         let list = replica.shared().read().state.list().map_or(0, |list| list.version);
-        let verdict = replica.freshness(|freshness, _| freshness.list(list));
-        if verdict == Verdict::Act && net.lives(member, life) {
+        let verdict = replica.freshness(|freshness, _| freshness.use_list(list));
+        if verdict == Verdict::Newer && net.lives(member, life) {
             records.lock().unwrap().acted.push(Acted { member, life, list });
         }
         if applied.changed().await.is_err() {
@@ -330,10 +331,10 @@
             let list = matches!(change, Change::List { .. });
             match replica.propose(Proposal { client, sequence, change }, until).await {
                 _ if list => continue,
-                Ok(Reply::Done(revision)) if lives() => {
+                Ok(Reply::Applied(revision)) if lives() => {
                     op.ended = Some((Instant::now().duration_since(start).as_nanos(), revision));
                 }
-                Ok(Reply::Refused(_)) => continue, // at every replica alike
+                Ok(Reply::Rejected(_)) => continue, // at every replica alike
                 Ok(_) | Err(_) => {}
             }
         }
--- a/crates/store/tests/sim/net.rs
+++ b/crates/store/tests/sim/net.rs
@@ -6,9 +6,9 @@
 
 use futures_util::future::BoxFuture;
 use stonefold_store::codec::{decode, encode};
-use stonefold_store::engine::MemberId;
-use stonefold_store::members::{Hello, admit};
-use stonefold_store::message::{Party, Request, Response, Unavailable};
+use stonefold_store::members::admit;
+use stonefold_store::message::{Caller, Introduction, Request, RequestError, Response};
+use stonefold_store::raft::MemberId;
 use stonefold_store::replica::{Replica, Transport};
 use tokio::time::{sleep, timeout};
 
@@ -70,20 +70,19 @@
         self.net.links().running.get(&self.me).is_none_or(|(life, _)| *life == self.life)
     }
 
-    async fn exchange(&self, member: MemberId, request: Request) -> Result<Response, Unavailable> {
-        let nobody = || Unavailable::Unreachable("nobody there".into());
+    async fn exchange(&self, member: MemberId, request: Request) -> Result<Response, RequestError> {
+        let nobody = || RequestError::Unreachable("nobody there".into());
         if !self.passes(member).await {
             return std::future::pending().await;
         }
         let (life, replica) = self.net.links().running.get(&member).cloned().ok_or_else(nobody)?;
-        let (hello_addr, identity) = (addr(self.me), replica.identity());
-        let party = Party::Member(self.me);
-        let hello = Hello { cluster: identity.cluster, party, addr: &hello_addr };
-        admit(&hello, identity.cluster, identity.member, &replica.members())
-            .map_err(|error| Unavailable::Refused(error.to_string()))?;
+        let (caller, identity) = (Caller::Member(self.me), replica.identity());
+        let introduction = Introduction { cluster: identity.cluster, caller, addr: addr(self.me) };
+        admit(&introduction, identity.cluster, identity.member, &replica.members())
+            .map_err(|error| RequestError::Rejected(error.to_string()))?;
         // Through bytes, as between processes; what is asked is carried out though nobody waits for it.
         let request: Request = decode("a question", &encode("a question", &request).unwrap()).unwrap();
-        let answer = tokio::spawn(async move { replica.answer(party, request).await });
+        let answer = tokio::spawn(async move { replica.answer(caller, request).await });
         let answer = answer.await.map_err(|_| nobody())?;
         // What it did after its end is on no disk, and nobody hears of it.
         if !self.net.lives(member, life) || !self.passes(member).await {
@@ -94,14 +93,14 @@
 }
 
 impl Transport for Wire {
-    fn ask(
+    fn request(
         &self,
         member: MemberId,
         _addr: &str,
         request: Request,
         wait: Duration,
-    ) -> BoxFuture<'static, Result<Response, Unavailable>> {
-        let (wire, late) = (self.clone(), |_| Unavailable::Unreachable("no answer in time".into()));
+    ) -> BoxFuture<'static, Result<Response, RequestError>> {
+        let (wire, late) = (self.clone(), |_| RequestError::Unreachable("no answer in time".into()));
         Box::pin(async move { timeout(wait, wire.exchange(member, request)).await.map_err(late)? })
     }
 }
--- a/crates/store/tests/sim/platter.rs
+++ b/crates/store/tests/sim/platter.rs
@@ -92,7 +92,7 @@
     fn sync_data(&self) -> io::Result<()> {
         let mut image = self.image();
         let unsynced = std::mem::take(&mut image.unsynced);
-        for write in unsynced {
+        for write in &unsynced {
             write.to(&mut image.synced);
         }
         Ok(())
--- a/crates/store/tests/simulation.rs
+++ b/crates/store/tests/simulation.rs
@@ -9,9 +9,9 @@
 use sim::platter::Platter;
 use sim::{Broken, run};
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::message::{Party, Request, Response};
+use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Options, Replica};
-use stonefold_store::state::{Change, Order, Proposal};
+use stonefold_store::state::{AdminOverride, Change, Proposal};
 use tokio::time::Instant;
 
 /// Runs many seeds on all cores; tells the first that shows something wrong.
@@ -50,25 +50,31 @@
     runtime.unwrap().block_on(async {
         let net = Net::default();
         for member in [1, 2] {
-            let disk = Disk::on(Platter::default(), Identity { cluster: 1, member }).unwrap();
+            let disk = Disk::with_backend(Platter::default(), Identity { cluster: 1, member }).unwrap();
             let wire = Wire { net: net.clone(), me: member, life: member };
-            let replica = Replica::start(disk, Options::at(addr(member)), wire).await.unwrap();
+            let replica = Replica::start(disk, Options::new(addr(member)), wire).await.unwrap();
             net.links().running.insert(member, (member, replica));
         }
         let first = net.replica(1).unwrap();
         first.bootstrap().await.unwrap();
-        let added = first.answer(Party::Client, Request::Add { member: 2, addr: addr(2) }).await;
-        assert!(matches!(added, Response::Changed(Ok(()))), "{added:?}");
+        let added = first.answer(Caller::Client, Request::AddMember { member: 2, addr: addr(2) }).await;
+        assert!(matches!(added, Response::MembersChanged(Ok(()))), "{added:?}");
         net.links().parted.insert((1, 2));
         let mut refused = 0;
         for client in 0..600 {
-            let change = Change::Order { server: "s-1".into(), order: Order { out: true, since_ms: 0 } };
+            let change = Change::Override {
+                server: "s-1".into(),
+                admin_override: AdminOverride { out_of_service: true, since_ms: 0 },
+            };
             let proposal = Proposal { client, sequence: 1, change };
             refused += u32::from(
                 first.propose(proposal, Instant::now() + Duration::from_millis(100)).await.is_err(),
             );
         }
         let status = first.status();
-        assert!(refused == 600 && (100..=256).contains(&(status.last - status.applied)), "{status:?}");
+        assert!(
+            refused == 600 && (100..=256).contains(&(status.last_index - status.applied_index)),
+            "{status:?}"
+        );
     });
 }
--- a/crates/store/tests/storage.rs
+++ b/crates/store/tests/storage.rs
@@ -8,21 +8,23 @@
 use openraft::testing::{StoreBuilder, Suite};
 use openraft::{CommittedLeaderId, RaftSnapshotBuilder, Vote};
 use platter::Platter;
+use stonefold_store::applied::AppliedState;
 use stonefold_store::codec::{CodecError, decode, encode, seal, unseal};
 use stonefold_store::disk::{Disk, DiskError, Identity};
-use stonefold_store::engine::{Entry, LogId, StorageError, Types};
-use stonefold_store::machine::{Applied, Machine, open_snapshot};
-use stonefold_store::state::{Change, Order, Proposal};
+use stonefold_store::raft::{Entry, LogId, StorageError, TypeConfig};
+use stonefold_store::snapshot::open_snapshot;
+use stonefold_store::state::{AdminOverride, Change, Proposal};
+use stonefold_store::state_machine::StateMachine;
 use tokio::sync::watch;
 
 const MINE: Identity = Identity { cluster: 7, member: 1 };
 
 struct Fresh;
 
-impl StoreBuilder<Types, Disk, Machine, ()> for Fresh {
-    async fn build(&self) -> Result<((), Disk, Machine), StorageError> {
-        let disk = Disk::on(Platter::default(), MINE).unwrap();
-        Ok(((), disk.clone(), Machine::new(disk, watch::channel(0).0).unwrap()))
+impl StoreBuilder<TypeConfig, Disk, StateMachine, ()> for Fresh {
+    async fn build(&self) -> Result<((), Disk, StateMachine), StorageError> {
+        let disk = Disk::with_backend(Platter::default(), MINE).unwrap();
+        Ok(((), disk.clone(), StateMachine::new(disk, watch::channel(0).0).unwrap()))
     }
 }
 
@@ -32,8 +34,8 @@
 }
 
 fn entry(index: u64) -> Entry {
-    let order = Order { out: true, since_ms: index };
-    let change = Change::Order { server: format!("s-{index}"), order };
+    let admin_override = AdminOverride { out_of_service: true, since_ms: index };
+    let change = Change::Override { server: format!("s-{index}"), admin_override };
     let mut entry = Entry::from_app_data(Proposal { client: 1, sequence: index, change });
     entry.log_id = LogId::new(CommittedLeaderId::new(1, 1), index);
     entry
@@ -44,13 +46,13 @@
     for seed in 0..60 {
         fastrand::seed(seed);
         let platter = Platter::default();
-        let mut disk = Disk::on(platter.clone(), MINE).unwrap();
+        let mut disk = Disk::with_backend(platter.clone(), MINE).unwrap();
         disk.save_vote(&Vote::new(3, 2)).await.unwrap();
         disk.blocking_append((1..=5).map(entry)).await.unwrap();
         disk.save_committed(Some(entry(5).log_id)).await.unwrap();
         // Not synced yet when the power goes, in whatever part it has come to the disk.
         disk.clone().unsynced().save_vote(&Vote::new(3, 2)).await.unwrap();
-        let mut again = Disk::on(platter.after_power_cut(), MINE).unwrap();
+        let mut again = Disk::with_backend(platter.after_power_cut(), MINE).unwrap();
         assert_eq!(again.entries(..).unwrap(), (1..=5).map(entry).collect::<Vec<_>>(), "seed {seed}");
         assert_eq!(again.read_vote().await.unwrap(), Some(Vote::new(3, 2)));
         assert_eq!(again.read_committed().await.unwrap(), Some(entry(5).log_id));
@@ -59,7 +61,7 @@
 
 #[tokio::test]
 async fn a_leader_that_restarts_has_to_be_elected_anew() {
-    let mut disk = Disk::on(Platter::default(), MINE).unwrap();
+    let mut disk = Disk::with_backend(Platter::default(), MINE).unwrap();
     for (leader, leads_on) in [(1, false), (2, true)] {
         disk.save_vote(&Vote::new_committed(5, leader)).await.unwrap();
         assert_eq!(disk.read_vote().await.unwrap().unwrap().committed, leads_on);
@@ -69,12 +71,12 @@
 #[tokio::test]
 async fn a_full_disk_fails_changes_with_its_reason_and_keeps_what_it_has() {
     let platter = Platter::default();
-    let mut disk = Disk::on(platter.clone(), MINE).unwrap();
+    let mut disk = Disk::with_backend(platter.clone(), MINE).unwrap();
     disk.blocking_append([entry(1)]).await.unwrap();
     platter.full.store(true, std::sync::atomic::Ordering::Relaxed);
     let error = disk.blocking_append([entry(2)]).await.unwrap_err();
     assert!(error.to_string().contains("storage"), "{error}");
-    let again = Disk::on(platter.after_power_cut(), MINE).unwrap();
+    let again = Disk::with_backend(platter.after_power_cut(), MINE).unwrap();
     assert_eq!(again.entries(..).unwrap(), [entry(1)]);
 }
 
@@ -113,7 +115,10 @@
     assert_eq!(new.applied_state().await.unwrap().0, None, "nothing of it");
     new.install_snapshot(&snapshot.meta, snapshot.snapshot).await.unwrap();
     assert_eq!(new.shared().read().state, all[0].shared().read().state);
-    assert_eq!(unseal::<Applied>("s", &seal("s", &Applied::default()).unwrap()).unwrap().last, None);
+    assert_eq!(
+        unseal::<AppliedState>("s", &seal("s", &AppliedState::default()).unwrap()).unwrap().last,
+        None
+    );
 }
 
 #[test]
--- a/crates/store/tests/wire.rs
+++ b/crates/store/tests/wire.rs
@@ -6,11 +6,14 @@
 
 use proptest::prelude::*;
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::engine::Entry;
-use stonefold_store::message::{Request, Response, Unavailable};
+use stonefold_store::message::{Request, RequestError, Response};
+use stonefold_store::raft::Entry;
 use stonefold_store::replica::{Options, Replica, Transport};
-use stonefold_store::state::{Change, Order, Proposal, Reply};
-use stonefold_store::wire::*;
+use stonefold_store::state::{AdminOverride, Change, Proposal, Reply};
+use stonefold_store::wire::{
+    ClientHandshake, ConnectionLimiter, HELLO_BYTES, HandshakeError, Key, Keys, MAX_SUBSCRIBERS, Opener,
+    PROOF_BYTES, Sealer, SealingError, ServerHandshake, Tcp, WELCOME_BYTES, serve,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
@@ -28,10 +31,10 @@
 
 /// Both ends of a connection whose sides have proved themselves.
 fn shaken(asking: &Keys, welcoming: &Keys) -> Result<(Key, Key), HandshakeError> {
-    let (asks, hello) = Asking::new(asking, [1; 32]);
-    let (welcomes, welcome) = Welcoming::new(welcoming, &hello, [2; 32])?;
-    let (mine, proof) = asks.welcomed(&welcome)?;
-    Ok((mine, welcomes.proved(&proof)?))
+    let (asks, hello) = ClientHandshake::new(asking, [1; 32]);
+    let (welcomes, welcome) = ServerHandshake::new(welcoming, &hello, [2; 32])?;
+    let (mine, proof) = asks.finish(&welcome)?;
+    Ok((mine, welcomes.finish(&proof)?))
 }
 
 #[test]
@@ -41,26 +44,29 @@
         let (mine, theirs) = shaken(asking, welcoming).unwrap();
         assert_eq!(mine, theirs);
     }
-    assert_eq!(shaken(&keys(2), &old).unwrap_err(), HandshakeError::Unknown);
+    assert_eq!(shaken(&keys(2), &old).unwrap_err(), HandshakeError::UnknownKey);
     // A hello that names a key it does not have, and a welcome by somebody who has not got it.
-    let (asks, hello) = Asking::new(&old, [1; 32]);
-    assert_eq!(asks.welcomed(&[7; WELCOME]).unwrap_err(), HandshakeError::Proof);
-    let (welcomes, _) = Welcoming::new(&old, &hello, [2; 32]).unwrap();
-    assert_eq!(welcomes.proved(&[0; PROOF]).unwrap_err(), HandshakeError::Proof);
-    assert_eq!(Welcoming::new(&old, &[b'G'; HELLO], [2; 32]).err(), Some(HandshakeError::Magic));
+    let (asks, hello) = ClientHandshake::new(&old, [1; 32]);
+    assert_eq!(asks.finish(&[7; WELCOME_BYTES]).unwrap_err(), HandshakeError::Proof);
+    let (welcomes, _) = ServerHandshake::new(&old, &hello, [2; 32]).unwrap();
+    assert_eq!(welcomes.finish(&[0; PROOF_BYTES]).unwrap_err(), HandshakeError::Proof);
+    assert_eq!(
+        ServerHandshake::new(&old, &[b'G'; HELLO_BYTES], [2; 32]).err(),
+        Some(HandshakeError::Protocol)
+    );
 }
 
 #[test]
 fn what_was_said_before_proves_nothing() {
     // All that one side said on another connection, said again: the other side's nonce is another one now.
-    let (asks, hello) = Asking::new(&keys(1), [1; 32]);
-    let (_, welcome) = Welcoming::new(&keys(1), &hello, [2; 32]).unwrap();
-    let (_, proof) = asks.welcomed(&welcome).unwrap();
-    let (again, _) = Welcoming::new(&keys(1), &hello, [3; 32]).unwrap();
-    assert_eq!(again.proved(&proof).unwrap_err(), HandshakeError::Proof);
+    let (asks, hello) = ClientHandshake::new(&keys(1), [1; 32]);
+    let (_, welcome) = ServerHandshake::new(&keys(1), &hello, [2; 32]).unwrap();
+    let (_, proof) = asks.finish(&welcome).unwrap();
+    let (again, _) = ServerHandshake::new(&keys(1), &hello, [3; 32]).unwrap();
+    assert_eq!(again.finish(&proof).unwrap_err(), HandshakeError::Proof);
     // And the welcome, to another hello.
-    let (other, _) = Asking::new(&keys(1), [4; 32]);
-    assert_eq!(other.welcomed(&welcome).unwrap_err(), HandshakeError::Proof);
+    let (other, _) = ClientHandshake::new(&keys(1), [4; 32]);
+    assert_eq!(other.finish(&welcome).unwrap_err(), HandshakeError::Proof);
 }
 
 proptest! {
@@ -71,14 +77,14 @@
         let (mut sealer, mut opener) = (Sealer::new(key(1), true), Opener::new(key(1), true));
         let frame = sealer.seal(&body).unwrap();
         let head = frame[..4].try_into().unwrap();
-        prop_assert_eq!(opener.length(head).unwrap(), frame.len() - 4);
+        prop_assert_eq!(opener.sealed_len(head).unwrap(), frame.len() - 4);
         let mut changed = frame[4..].to_vec();
         let at = place.index(changed.len());
         changed[at] ^= 1;
         prop_assert!(opener.open(&changed).is_err() && opener.open(&frame[4..4 + at]).is_err());
         prop_assert_eq!(opener.open(&frame[4..]).unwrap(), &body[..]);
         // Once more, later than another, or sent back.
-        prop_assert_eq!(opener.open(&frame[4..]), Err(FrameError::Mac));
+        prop_assert_eq!(opener.open(&frame[4..]), Err(SealingError::Mac));
         let (left_out, next) = (sealer.seal(b"1").unwrap(), sealer.seal(b"2").unwrap());
         prop_assert!(opener.open(&next[4..]).is_err() && opener.open(&left_out[4..]).is_ok());
         prop_assert!(Opener::new(key(1), false).open(&frame[4..]).is_err());
@@ -90,40 +96,47 @@
         let _ = stonefold_store::codec::decode::<Request>("a question", &framed);
         let _ = stonefold_store::codec::decode::<Response>("an answer", &framed);
         let _ = stonefold_store::codec::decode::<Entry>("a log entry", &framed);
-        let _ = stonefold_store::machine::open_snapshot(&bytes);
+        let _ = stonefold_store::snapshot::open_snapshot(&bytes);
     }
 }
 
 #[test]
 fn an_address_whose_callers_prove_nothing_is_not_heard_for_a_while_and_others_are() {
-    let (mut gate, bad, good) = (Gate::default(), IpAddr::from([127, 0, 0, 2]), IpAddr::from([127, 0, 0, 1]));
+    let (mut limiter, bad, good) =
+        (ConnectionLimiter::default(), IpAddr::from([127, 0, 0, 2]), IpAddr::from([127, 0, 0, 1]));
     for _ in 0..10 {
-        assert!(gate.admit(bad, 0));
-        gate.failed(bad, 0);
-        gate.closed();
+        assert!(limiter.admit(bad, 0));
+        limiter.on_failure(bad, 0);
+        limiter.on_closed();
     }
-    assert!(!gate.admit(bad, 9_999) && gate.admit(good, 9_999));
-    gate.closed();
-    assert!(gate.admit(bad, 10_000), "its time is over");
-    let more = (0..100).filter(|_| gate.admit(good, 10_000)).count();
+    assert!(!limiter.admit(bad, 9_999) && limiter.admit(good, 9_999));
+    limiter.on_closed();
+    assert!(limiter.admit(bad, 10_000), "its time is over");
+    let more = (0..100).filter(|_| limiter.admit(good, 10_000)).count();
     assert_eq!(more, 63, "and 64 at a time in all");
-    assert_eq!(gate.turned_away, 1 + 37);
+    assert_eq!(limiter.rejected_connections, 1 + 37);
     // Subscribers leave their places to others, and have a bound of their own.
-    (0..63).for_each(|_| gate.closed());
-    let all = (0..SUBSCRIBERS + 44)
+    (0..63).for_each(|_| limiter.on_closed());
+    let all = (0..MAX_SUBSCRIBERS + 44)
         .filter(|_| {
-            gate.admit(good, 10_000)
-                && (gate.subscribes() || {
-                    gate.closed();
+            limiter.admit(good, 10_000)
+                && (limiter.admit_subscriber() || {
+                    limiter.on_closed();
                     false
                 })
         })
         .count();
-    assert_eq!(all, SUBSCRIBERS);
-    gate.unsubscribed();
-    assert!(gate.admit(good, 10_000) && gate.subscribes() && gate.admit(good, 10_000) && !gate.subscribes());
+    assert_eq!(all, MAX_SUBSCRIBERS);
+    limiter.on_subscriber_closed();
+    assert!(
+        limiter.admit(good, 10_000)
+            && limiter.admit_subscriber()
+            && limiter.admit(good, 10_000)
+            && !limiter.admit_subscriber()
+    );
     // Refusals are told for each new reason, and ever more rarely for the same.
-    let told: Vec<u64> = (0..100).filter_map(|n| gate.refused(if n == 20 { "b" } else { "a" })).collect();
+    let told: Vec<u64> =
+        (0..100).filter_map(|n| limiter.on_rejected(if n == 20 { "b" } else { "a" })).collect();
     assert_eq!(told, [1, 2, 4, 8, 16, 21, 22, 32, 64]);
 }
 
@@ -148,14 +161,17 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     let tcp = Tcp::member(keys(1), 9, member, addr.clone());
-    let replica = Replica::start(disk, Options::at(addr.clone()), tcp.clone()).await.unwrap();
+    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
     Served { addr, replica, tcp, stop, _dir: dir }
 }
 
 fn order(sequence: u64) -> Request {
-    let change = Change::Order { server: "s-1".into(), order: Order { out: true, since_ms: sequence } };
+    let change = Change::Override {
+        server: "s-1".into(),
+        admin_override: AdminOverride { out_of_service: true, since_ms: sequence },
+    };
     Request::Propose(Proposal { client: 5, sequence, change })
 }
 
@@ -165,12 +181,12 @@
     let client = Tcp::client(keys(1), 9);
     let mut answers = Vec::new();
     for _ in 0..3 {
-        match client.ask(1, &served.addr, order(1), PATIENCE).await.unwrap() {
+        match client.request(1, &served.addr, order(1), PATIENCE).await.unwrap() {
             Response::Proposed(Ok(reply)) => answers.push(reply),
             other => panic!("{other:?}"),
         }
     }
-    assert!(matches!(answers[0], Reply::Done(_)) && answers.iter().all(|answer| *answer == answers[0]));
+    assert!(matches!(answers[0], Reply::Applied(_)) && answers.iter().all(|answer| *answer == answers[0]));
     served.stop.cancel();
 }
 
@@ -178,14 +194,14 @@
 async fn long_lists_reach_a_new_member_in_as_many_messages_as_they_need() {
     let (served, late) = (served().await, listening(2).await);
     for version in 1..=8 {
-        let text = "x".repeat(stonefold_store::state::LIST);
+        let text = "x".repeat(stonefold_store::state::limits::MAX_LIST_BYTES);
         let change = Change::List { version, text, learned_by: 1, started: Vec::new() };
         let proposal = Proposal { client: version, sequence: 1, change };
         served.replica.propose(proposal, Instant::now() + PATIENCE).await.unwrap();
     }
-    let add = Request::Add { member: 2, addr: late.addr.clone() };
-    let answer = served.replica.answer(stonefold_store::message::Party::Client, add).await;
-    assert!(matches!(answer, Response::Changed(Ok(()))), "{answer:?}");
+    let add = Request::AddMember { member: 2, addr: late.addr.clone() };
+    let answer = served.replica.answer(stonefold_store::message::Caller::Client, add).await;
+    assert!(matches!(answer, Response::MembersChanged(Ok(()))), "{answer:?}");
     let mut applied = late.replica.applied();
     let list = || late.replica.shared().read().state.list().map(|list| list.version);
     while list() != Some(8) {
@@ -200,7 +216,7 @@
     let served = served().await;
     let ask = |tcp: Tcp, request| {
         let addr = served.addr.clone();
-        async move { tcp.ask(1, &addr, request, PATIENCE).await }
+        async move { tcp.request(1, &addr, request, PATIENCE).await }
     };
     for (tcp, why) in [
         (Tcp::client(keys(2), 9), "127.0.0.1"),
@@ -209,7 +225,7 @@
         (Tcp::member(keys(1), 9, 1, served.addr.clone()), "its disk a copy"),
     ] {
         match ask(tcp, Request::Status).await {
-            Err(Unavailable::Unreachable(told)) => assert!(told.contains(why), "{told}"),
+            Err(RequestError::Unreachable(told)) => assert!(told.contains(why), "{told}"),
             other => panic!("{other:?}"),
         }
     }
@@ -221,7 +237,9 @@
     }
     let vote = Request::Vote(openraft::raft::VoteRequest::new(openraft::Vote::new(99, 4), None));
     match ask(Tcp::client(keys(1), 9), vote).await.unwrap() {
-        Response::Changed(Err(Unavailable::Refused(why))) => assert!(why.contains("only members"), "{why}"),
+        Response::MembersChanged(Err(RequestError::Rejected(why))) => {
+            assert!(why.contains("only members"), "{why}");
+        }
         other => panic!("{other:?}"),
     }
     assert_eq!(served.replica.status().term, 1, "no election came of it");
@@ -249,7 +267,7 @@
         let _ = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer)).await.unwrap();
         assert!(answer.is_empty(), "{answer:?}");
     }
-    let status = Tcp::client(keys(1), 9).ask(1, &served.addr, Request::Status, PATIENCE).await;
+    let status = Tcp::client(keys(1), 9).request(1, &served.addr, Request::Status, PATIENCE).await;
     assert!(matches!(status, Ok(Response::Status(_))), "{status:?}");
     served.stop.cancel();
 }
@@ -259,8 +277,8 @@
     use std::os::unix::fs::PermissionsExt;
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("key");
-    Keys::make(&path).unwrap();
-    assert!(Keys::read(&path).is_ok() && Keys::make(&path).is_err());
+    Keys::generate(&path).unwrap();
+    assert!(Keys::read(&path).is_ok() && Keys::generate(&path).is_err());
     let write = |text: &str| std::fs::write(&path, text).unwrap();
     let told = || Keys::read(&path).unwrap_err().to_string();
     write("# nothing\n");
