--- a/crates/allotment/src/slow_start.rs
+++ b/crates/allotment/src/slow_start.rs
@@ -8,7 +8,7 @@
 /// estimates that differ and to calls that cost more than the mean.
 const DEALT_ROOTS: f64 = 1.0;
 /// A window's capacity is that at its middle: the window divided by this before its end.
-const WINDOW_PER_MIDDLE: Micros = 2;
+const MIDDLE_DIVISOR: Micros = 2;
 /// Microseconds per second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -35,7 +35,7 @@
     /// The budget `N`: calls that all senders together may send in the window that ends at this age of the server,
     /// where the warm server handles `capacity` calls per second.
     pub fn budget(&self, capacity: f64, age: Micros) -> f64 {
-        let fraction = self.capacity_fraction(age.saturating_sub(self.overload_window / WINDOW_PER_MIDDLE));
+        let fraction = self.capacity_fraction(age.saturating_sub(self.overload_window / MIDDLE_DIVISOR));
         let window = self.overload_window as f64;
         (self.overload_factor * capacity * fraction * window / MICROS_PER_SECOND).max(0.0)
     }
--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -3,6 +3,9 @@
 //! The queue is ordered by priority and, among equals, newest first: under a lasting overload some requests
 //! are then answered in time, where first-in-first-out would make all of them late. It is bounded in length
 //! and in time, so that clients whose requests have no prospect are rejected early.
+//!
+//! Inputs: priority weight, kind and times of a request (in microseconds), and the tier's concurrency limit
+//! in attempts.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -15,15 +18,15 @@
 /// Reads that will probably miss their latency objective are admitted after all others.
 const LATE_READ_PRIORITY: f64 = 0.01;
 /// A read that has waited for its latency objective divided by this will probably miss it.
-const OBJECTIVE_PER_LATE_READ: Micros = 2;
+const LATE_READ_DIVISOR: Micros = 2;
 /// Priorities are compared in steps of one divided by this.
 const PRIORITY_RESOLUTION: f64 = 1e3;
-/// A queue is longer than useful beyond the concurrency limit divided by this ...
-const LIMIT_PER_QUEUE_LENGTH: f64 = 2.0;
-/// ... and this many requests.
+/// A queue may hold this part of the concurrency limit ...
+const QUEUE_LENGTH_FRACTION: f64 = 0.5;
+/// ... and this many requests beside.
 const MIN_QUEUE_LENGTH: f64 = 4.0;
 /// A request that has not been sent within its time limit divided by this seldom is, the newest being first.
-const TIME_LIMIT_PER_QUEUEING: Micros = 2;
+const QUEUEING_TIME_DIVISOR: Micros = 2;
 
 /// A place in the queue; the least is admitted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -63,7 +66,7 @@
     /// Takes the request that is shed: the last in order, while more wait than can be admitted in time under
     /// this concurrency limit. Waiting requests occupy client connections.
     pub(crate) fn pop_excess(&mut self, concurrency_limit: f64) -> Option<RequestId> {
-        let max_length = concurrency_limit / LIMIT_PER_QUEUE_LENGTH + MIN_QUEUE_LENGTH;
+        let max_length = concurrency_limit * QUEUE_LENGTH_FRACTION + MIN_QUEUE_LENGTH;
         if self.positions.len() as f64 <= max_length {
             return None;
         }
@@ -74,8 +77,7 @@
 /// The priority of a request in the queue at time `now`: writes first, then by priority weight, reads that
 /// will be late last.
 pub(crate) fn queue_priority(request: &OpenRequest, now: Micros) -> f64 {
-    let late_from =
-        request.arrived_at.saturating_add(request.rules.latency_objective / OBJECTIVE_PER_LATE_READ);
+    let late_from = request.arrived_at.saturating_add(request.rules.latency_objective / LATE_READ_DIVISOR);
     let factor = match (request.is_write, now <= late_from) {
         (true, _) => WRITE_PRIORITY,
         (false, true) => 1.0,
@@ -92,5 +94,5 @@
         return last_chance;
     }
     let time_limit = request.deadline.saturating_sub(request.arrived_at);
-    (request.arrived_at + time_limit / TIME_LIMIT_PER_QUEUEING).min(last_chance)
+    (request.arrived_at + time_limit / QUEUEING_TIME_DIVISOR).min(last_chance)
 }
--- a/crates/balancer/src/attempt_time.rs
+++ b/crates/balancer/src/attempt_time.rs
@@ -1,4 +1,8 @@
 //! How much time must be left for an attempt to be worth sending.
+//!
+//! Inputs: the baseline response time in microseconds, whether the request may be repeated, and the
+//! granularity of the clock. Sending without a prospect of an answer would take capacity from requests that
+//! have one.
 
 use crate::api::Micros;
 use crate::latency::LatencyEstimate;
--- a/crates/balancer/src/balancer/sending.rs
+++ b/crates/balancer/src/balancer/sending.rs
@@ -18,7 +18,7 @@
     timeout: Micros,
     /// When the attempt becomes a sign that the server doesn't answer.
     overdue_after: Micros,
-    /// When the request is looked at again, if before its outcome.
+    /// When the request is checked again, if that may be before its outcome.
     check_after: Option<Micros>,
 }
 
@@ -59,7 +59,7 @@
         let hedge_after = hedge_delay(latency);
         let to_cache = server.tier() == Tier::Caches;
         let may_hedge = request.allows_hedging() && !request.is_in_flight() && to_cache;
-        // A fetch runs on after its read has ended: its value serves others.
+        // A fetch may outlast its read: its value serves others.
         let is_fetch = request.leads_fetch && !to_cache;
         let timeout = if is_fetch { time_left.max(request.rules.latency_objective) } else { time_left };
         let check_after = if may_hedge && hedge_after < time_left {
@@ -87,7 +87,7 @@
         server.idle_connection.clear();
         server.in_flight.insert(InFlightAttempt {
             overdue_at: self.now + overdue_after,
-            id: AttemptId { request: id, number: request.attempts.len() },
+            id: AttemptId::new(id, request.attempts.len()),
             sent_at: self.now,
             latency_objective: request.rules.latency_objective,
         });
@@ -102,8 +102,8 @@
         });
     }
 
-    /// Sends a second attempt of a late read, as a hedged request or as a retry of a lost one, or plans when
-    /// to look at the read again.
+    /// Sends a second attempt of a late read, as a hedged request or as a retry of a lost one, or plans
+    /// when to check the read again.
     pub(super) fn hedge(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(first) = self.first_in_flight(id) else { return };
         self.write_off_lost(first);
@@ -150,7 +150,7 @@
         Some(extra_attempt(alternatives, &conditions))
     }
 
-    /// Sets the timer after which a late read is looked at again, if it has time left.
+    /// Sets the timer after which a late read is checked again, if it has time left.
     fn plan_next_check(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.deadline <= self.now + self.settings.timer_granularity {
--- a/crates/balancer/src/balancer/waiting.rs
+++ b/crates/balancer/src/balancer/waiting.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Answers a queued request that has no prospect any more; looks at it again later if answers have become
+    /// Answers a queued request that has no prospect any more; checks it again later if answers have become
     /// quicker.
     pub(super) fn check_queued(&mut self, id: RequestId, out: &mut Vec<Action>) {
         match self.give_up_at(id).saturating_sub(self.now) {
--- a/crates/balancer/src/candidate_set.rs
+++ b/crates/balancer/src/candidate_set.rs
@@ -4,6 +4,9 @@
 //! and a server that leaves moves only its own keys. Each cache wins keys in proportion to its weight, which
 //! is reduced during slow start and for slow types of machines. Where crossing zones has a price, caches of
 //! the node's own zone are preferred.
+//!
+//! Inputs: the key's hash, and for each cache its id, its relative weight and how slow its type of machine is
+//! (both without unit). Each node computes the ranking by itself, without exchanging anything.
 
 use std::cmp::Ordering;
 
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -11,19 +11,19 @@
 
 /// More than this part of recent attempts with a sign of congestion is overload.
 const OVERLOAD_RATIO: f64 = 0.3;
-/// Above the overload ratio divided by this, no hedged requests are sent.
-const OVERLOAD_PER_HEDGING_LIMIT: f64 = 2.0;
-/// Below the overload ratio divided by this, the concurrency counts as usual.
-const OVERLOAD_PER_CALM: f64 = 3.0;
-/// Attempts over which the congestion ratio is smoothed where they come often; where they are rare, time
-/// counts.
+/// With more than this part of recent attempts congested, no hedged requests are sent.
+const HEDGING_RATIO: f64 = OVERLOAD_RATIO / 2.0;
+/// With less than this part of recent attempts congested, the concurrency counts as usual.
+const CALM_RATIO: f64 = OVERLOAD_RATIO / 3.0;
+/// Attempts over which the congestion ratio is smoothed where they are frequent; where they are rare, it
+/// decays with time.
 const RATIO_SAMPLES: f64 = 16.0;
 /// Attempts over which the usual concurrency is smoothed.
 const USUAL_SAMPLES: f64 = 64.0;
-/// The limit is raised only while more than the limit divided by this is in flight.
-const LIMIT_PER_UTILIZED: f64 = 2.0;
-/// The limit rises quickly below the usual concurrency divided by this.
-const USUAL_PER_FAST_INCREASE: f64 = 2.0;
+/// The limit is raised only while more than this part of it is used.
+const MIN_UTILIZATION: f64 = 0.5;
+/// The limit rises quickly while it is below this part of the usual concurrency.
+const FAST_INCREASE_BELOW: f64 = 0.5;
 /// Attempts by which the limit rises with each timely answer while it rises quickly.
 const FAST_INCREASE: f64 = 0.5;
 /// Factor by which the limit falls under overload.
@@ -117,7 +117,7 @@
 
     /// Whether there is spare capacity for hedged requests.
     pub(crate) fn allows_hedging(&self) -> bool {
-        !self.is_full() && self.congestion_ratio <= OVERLOAD_RATIO / OVERLOAD_PER_HEDGING_LIMIT
+        !self.is_full() && self.congestion_ratio <= HEDGING_RATIO
     }
 
     /// The probability with which an optional attempt should wait: none up to the overload ratio, and rising
@@ -139,8 +139,8 @@
         self.update_statistics(congestion, now, time_constant);
         let needed = self.in_flight as f64 + 1.0;
         match congestion {
-            Congestion::Absent if needed > self.limit / LIMIT_PER_UTILIZED => {
-                let is_low = self.limit < self.usual_in_flight / USUAL_PER_FAST_INCREASE;
+            Congestion::Absent if needed > self.limit * MIN_UTILIZATION => {
+                let is_low = self.limit < self.usual_in_flight * FAST_INCREASE_BELOW;
                 self.limit += if is_low { FAST_INCREASE } else { 1.0 / self.limit };
             }
             Congestion::Present if self.is_overloaded() && now >= self.next_decrease_at => {
@@ -158,7 +158,7 @@
         self.ratio_updated_at = now;
         let sample = f64::from(u8::from(congestion == Congestion::Present));
         self.congestion_ratio += (sample - self.congestion_ratio) * weight.max(1.0 / RATIO_SAMPLES);
-        if self.congestion_ratio < OVERLOAD_RATIO / OVERLOAD_PER_CALM {
+        if self.congestion_ratio < CALM_RATIO {
             self.usual_in_flight += (self.in_flight as f64 + 1.0 - self.usual_in_flight) / USUAL_SAMPLES;
         }
     }
--- a/crates/balancer/src/congestion.rs
+++ b/crates/balancer/src/congestion.rs
@@ -4,6 +4,8 @@
 //! part of the objective. What answers of a zone take beyond the nearest zone's is no queueing, so a tier
 //! that is far away doesn't seem congested; if a zone queues for so long that no quick answer of it is
 //! remembered, its queueing passes for distance and shows only beyond the objective.
+//!
+//! Inputs: outcome, response time (in microseconds) and reported utilization (0 to 1) of one attempt.
 
 use crate::api::{AttemptEnd, Micros, Outcome};
 use crate::concurrency_limit::Congestion;
@@ -15,8 +17,8 @@
 const LEGS_OF_MISS: Micros = 3;
 /// Legs of a request that goes to the origin.
 const LEGS_VIA_ORIGIN: Micros = 2;
-/// An answer within this part of the objective was not queued at all.
-const OBJECTIVE_PER_PROMPT_ANSWER: Micros = 3;
+/// An answer within the objective divided by this was not queued at all.
+const PROMPT_ANSWER_DIVISOR: Micros = 3;
 
 /// What an answer's response time is compared with.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +34,7 @@
 impl ExpectedLatency {
     /// Whether the server answered so soon that it has no queue.
     pub(crate) fn is_prompt_answer(&self, end: &AttemptEnd) -> bool {
-        let prompt = self.objective.min(self.objective / OBJECTIVE_PER_PROMPT_ANSWER + self.zone_latency);
+        let prompt = self.objective.min(self.objective / PROMPT_ANSWER_DIVISOR + self.zone_latency);
         matches!(end.outcome, Outcome::Success | Outcome::CacheMiss) && end.elapsed <= prompt
     }
 
--- a/crates/balancer/src/endpoint_updates.rs
+++ b/crates/balancer/src/endpoint_updates.rs
@@ -6,13 +6,13 @@
 
 use crate::api::{Micros, Settings};
 
-/// Failures in a row beyond which the backoff no longer grows.
+/// Failures in a row after which the backoff no longer grows.
 const MAX_BACKOFF_FAILURES: u32 = 4;
 /// The first backoff is the time in which a list becomes stale, divided by this and doubled.
-const STALENESS_PER_BACKOFF: Micros = 32;
+const BACKOFF_DIVISOR: Micros = 32;
 /// The longest backoff is the time in which a list becomes stale, divided by this.
-const STALENESS_PER_MAX_BACKOFF: Micros = 4;
-/// So many nodes share the first backoff; more wait proportionally longer ...
+const MAX_BACKOFF_DIVISOR: Micros = 4;
+/// Up to this many nodes have the shortest backoff; more wait proportionally longer ...
 const NODES_PER_BACKOFF: u64 = 8;
 /// ... up to this many times.
 const MAX_NODE_FACTOR: u64 = 8;
@@ -43,8 +43,8 @@
         self.failures = Some(failures);
         let node_factor = (settings.node_count as u64 / NODES_PER_BACKOFF).clamp(1, MAX_NODE_FACTOR);
         let stale_after = settings.max_poll_interval;
-        let backoff = (node_factor * stale_after / STALENESS_PER_BACKOFF) << failures;
-        let backoff = backoff.min(stale_after / STALENESS_PER_MAX_BACKOFF);
+        let backoff = (node_factor * stale_after / BACKOFF_DIVISOR) << failures;
+        let backoff = backoff.min(stale_after / MAX_BACKOFF_DIVISOR);
         rng.u64(0..=backoff).max(settings.timer_granularity)
     }
 }
--- a/crates/balancer/src/hedging.rs
+++ b/crates/balancer/src/hedging.rs
@@ -1,8 +1,11 @@
-//! Hedged requests: when a late read gets a second attempt, and whether its first one counts as lost.
+//! Hedged requests: when and where a late read gets a second attempt.
 //!
 //! A read is hedged once its response time exceeds what nearly all answers take, and only into idle capacity,
 //! so that hedging never adds to an overload. An attempt that is lost or long overdue is retried at any
 //! healthy candidate instead, within the retry budget.
+//!
+//! Inputs: the response times of the request's class, the budgets and limits, and the candidates of its key;
+//! times are in microseconds.
 
 use crate::api::{Micros, ServerId};
 use crate::latency::LatencyEstimate;
@@ -60,7 +63,7 @@
     extra
 }
 
-/// When a read whose extra attempt was not possible is looked at again, in microseconds from `now`: after
+/// When a read whose extra attempt was not possible is checked again, in microseconds from `now`: after
 /// the usual time, or as soon as one of its attempts exceeds the latency objective.
 pub(crate) fn next_check(
     latency: &LatencyEstimate,
--- a/crates/balancer/src/idle_connections.rs
+++ b/crates/balancer/src/idle_connections.rs
@@ -2,13 +2,15 @@
 //!
 //! Servers limit their connections. Where connects fail, a node halves the time that its own connections may
 //! idle, down to a part that many nodes can keep; each answer lengthens it again up to the idle timeout.
+//!
+//! Inputs: outcomes of attempts, the number of nodes, and the idle timeout in microseconds.
 
 use crate::api::{Micros, Outcome};
 
 /// So many nodes may keep idle connections for the whole idle timeout although connects fail.
 const NODES_AT_FULL_TIMEOUT: f64 = 8.0;
-/// A failed connect divides the idle time by this.
-const CONNECT_ERROR_DIVISOR: f64 = 2.0;
+/// A failed connect multiplies the idle time by this.
+const CONNECT_FAILURE_FACTOR: f64 = 0.5;
 /// An answer multiplies the idle time by this.
 const ANSWER_FACTOR: f64 = 1.125;
 
@@ -48,7 +50,7 @@
         self.timeout_fraction = match outcome {
             Outcome::ConnectFailed => {
                 let floor = (NODES_AT_FULL_TIMEOUT / nodes as f64).min(1.0);
-                (fraction / CONNECT_ERROR_DIVISOR).max(floor)
+                (fraction * CONNECT_FAILURE_FACTOR).max(floor)
             }
             Outcome::Success | Outcome::CacheMiss => (fraction * ANSWER_FACTOR).min(1.0),
             _ => fraction,
--- a/crates/balancer/src/in_flight.rs
+++ b/crates/balancer/src/in_flight.rs
@@ -10,8 +10,9 @@
 
 use crate::api::{AttemptId, Micros, RequestId};
 
-/// An answer is prompt evidence only against attempts sent earlier by the latency objective divided by this.
-const OBJECTIVE_PER_OVERTAKING: Micros = 4;
+/// A prompt answer counts only against attempts that were sent earlier by more than the latency objective
+/// divided by this.
+const OVERTAKING_DIVISOR: Micros = 4;
 
 /// An attempt without an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -97,7 +98,7 @@
         let is_lost = |attempt: &&InFlightAttempt| {
             let late_at = attempt.sent_at.saturating_add(attempt.latency_objective);
             let given_up_at = if overloaded { attempt.overdue_at } else { attempt.overdue_at.min(late_at) };
-            let gap = attempt.latency_objective / OBJECTIVE_PER_OVERTAKING;
+            let gap = attempt.latency_objective / OVERTAKING_DIVISOR;
             attempt.sent_at.saturating_add(gap) < self.promptly_answered && now >= given_up_at
         };
         let lost: Vec<InFlightAttempt> = self.attempts.iter().filter(is_lost).copied().collect();
@@ -115,7 +116,7 @@
 
     /// Whether an attempt sent later than this one was answered promptly.
     pub(crate) fn was_overtaken(&self, sent_at: Micros, latency_objective: Micros) -> bool {
-        self.promptly_answered > sent_at + latency_objective / OBJECTIVE_PER_OVERTAKING
+        self.promptly_answered > sent_at + latency_objective / OVERTAKING_DIVISOR
     }
 
     fn remove(&mut self, id: AttemptId) -> Option<InFlightAttempt> {
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -1,14 +1,14 @@
 //! Response time estimates: a smoothed mean, its mean deviation and the uncongested baseline.
 //!
-//! Mean and deviation follow the round-trip time estimator of TCP (RFC 6298), which needs two numbers per
-//! class and no history. The baseline is the lowest mean seen lately: the response time without queueing.
+//! Mean and deviation are smoothed as in TCP's round-trip time estimator (RFC 6298), which needs two numbers
+//! and no history. The baseline is the lowest mean seen lately: the response time without queueing.
 
 use crate::api::{Micros, RequestClass};
 
 /// The expected response time is the latency objective divided by this, until answers have been measured.
-pub(crate) const OBJECTIVE_PER_EXPECTED_LATENCY: f64 = 3.0;
-/// The expected deviation is the expected mean divided by this, until answers have been measured.
-const MEAN_PER_EXPECTED_DEVIATION: f64 = 4.0;
+pub(crate) const EXPECTED_LATENCY_DIVISOR: f64 = 3.0;
+/// The expected deviation, as a part of the expected mean, until answers have been measured.
+const EXPECTED_DEVIATION: f64 = 0.25;
 /// Answers over which mean and deviation are smoothed.
 const SMOOTHING_SAMPLES: f64 = 16.0;
 /// Growth of the baseline per answer, so that it follows a lasting change within thousands of answers.
@@ -24,12 +24,12 @@
 impl LatencyEstimate {
     /// An estimate before the first answer, from the expected mean in microseconds.
     pub(crate) fn expecting(mean: f64) -> Self {
-        LatencyEstimate { mean, deviation: mean / MEAN_PER_EXPECTED_DEVIATION, baseline: mean }
+        LatencyEstimate { mean, deviation: mean * EXPECTED_DEVIATION, baseline: mean }
     }
 
     /// An estimate before the first answer, from a latency objective in microseconds.
     pub(crate) fn for_objective(objective: f64) -> Self {
-        LatencyEstimate::expecting(objective / OBJECTIVE_PER_EXPECTED_LATENCY)
+        LatencyEstimate::expecting(objective / EXPECTED_LATENCY_DIVISOR)
     }
 
     /// Takes in the response time of one answer.
--- a/crates/balancer/src/load_estimate.rs
+++ b/crates/balancer/src/load_estimate.rs
@@ -2,16 +2,18 @@
 //!
 //! The estimate sizes what a server that is warming up may be sent. Clients that repeat rejected requests
 //! must not raise it, so unserved requests count against the arrivals several times.
+//!
+//! Inputs: arrivals and endings of requests with their times in microseconds; rates are per second.
 
 use crate::api::Micros;
-use crate::latency::OBJECTIVE_PER_EXPECTED_LATENCY;
+use crate::latency::EXPECTED_LATENCY_DIVISOR;
 
 /// Microseconds per second.
 const MICROS_PER_SECOND: f64 = 1e6;
 /// Each unserved request outweighs this many arrivals.
 const UNSERVED_PENALTY: f64 = 4.0;
-/// Rates decay with the duration of slow start divided by this.
-const SLOW_START_PER_TIME_CONSTANT: f64 = 4.0;
+/// Time constant of the rates, as a part of the duration of slow start.
+const TIME_CONSTANT_FRACTION: f64 = 0.25;
 /// Shortest time constant of the rates, in microseconds.
 const MIN_TIME_CONSTANT: f64 = 1e6;
 
@@ -58,7 +60,7 @@
     /// No load yet. The assumed capacity is that of `concurrency` attempts, each of which takes the expected
     /// part of `objective` (in microseconds).
     pub(crate) fn new(concurrency: f64, objective: f64, slow_start_duration: Micros, now: Micros) -> Self {
-        let seconds_per_request = objective / (OBJECTIVE_PER_EXPECTED_LATENCY * MICROS_PER_SECOND);
+        let seconds_per_request = objective / (EXPECTED_LATENCY_DIVISOR * MICROS_PER_SECOND);
         LoadEstimate {
             arrived: DecayingRate::new(now),
             served: DecayingRate::new(now),
@@ -108,5 +110,5 @@
 
 /// The time constant of rates, in microseconds: short enough to follow a slow start, long enough to count.
 fn time_constant(slow_start_duration: Micros) -> f64 {
-    (slow_start_duration as f64 / SLOW_START_PER_TIME_CONSTANT).max(MIN_TIME_CONSTANT)
+    (slow_start_duration as f64 * TIME_CONSTANT_FRACTION).max(MIN_TIME_CONSTANT)
 }
--- a/crates/balancer/src/machine_types.rs
+++ b/crates/balancer/src/machine_types.rs
@@ -2,6 +2,8 @@
 //!
 //! Machines of one type are about equally quick, so their response times are pooled. Where the list has
 //! weights, these alone count.
+//!
+//! Inputs: the weights of the endpoint list, and response times as multiples of the average.
 
 use std::collections::BTreeMap;
 
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -2,6 +2,9 @@
 //!
 //! A server is suspected after two attempts in a row without an answer, or while an attempt at it is long
 //! overdue. It is ejected then, but for one request at a time that finds out whether it has recovered.
+//!
+//! Inputs: the outcomes of this node's attempts and the attempts in flight; times are in microseconds. A node
+//! with little traffic notices an outlier late, but needs no message from others.
 
 use crate::api::{Micros, Outcome};
 use crate::in_flight::InFlight;
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -1,5 +1,8 @@
 //! Administrative overrides: servers that operators disable and enable again, whatever the endpoint list
 //! says.
+//!
+//! An override outlives changes of the list, and applies to a server that is listed only later. Times are in
+//! microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -1,6 +1,9 @@
 //! The priority weight of a request: its class's weight, reduced while its tenant exceeds its quota.
 //!
 //! Quotas only matter when requests compete: a tenant over its share is served as long as there is capacity.
+//!
+//! Inputs: the class's weight, the tenant's quota as a part of the node's traffic, and both arrival rates per
+//! second.
 
 use crate::api::{Micros, Request, Settings};
 use crate::load_estimate::DecayingRate;
--- a/crates/balancer/src/relative_latency.rs
+++ b/crates/balancer/src/relative_latency.rs
@@ -1,4 +1,8 @@
 //! How slow one cache is in comparison with all caches, 1 being average.
+//!
+//! The ratio scales a cache's load and shows whether it has idle capacity. Inputs: outcomes and response
+//! times (in microseconds) of its attempts, and the mean of the request's class. Misses are left out, since
+//! they measure the origin.
 
 use crate::api::{AttemptEnd, Micros, Outcome};
 use crate::latency::LatencyEstimate;
@@ -7,9 +11,9 @@
 const CONGESTED_RATIO: f64 = 3.0;
 /// A single sample counts up to this ratio: one costly request doesn't mark a cache as slow.
 const MAX_SAMPLE: f64 = 2.0 * CONGESTED_RATIO;
-/// Below the congested ratio divided by this, relative to uncongested response times, a cache has capacity
-/// for hedged requests.
-const CONGESTED_PER_IDLE: f64 = 2.0;
+/// A cache whose response times are below this multiple of the uncongested ones has capacity for hedged
+/// requests.
+const UNCONGESTED_RATIO: f64 = CONGESTED_RATIO / 2.0;
 /// Weight of a new sample.
 const SAMPLE_WEIGHT: f64 = 0.15;
 /// Weight of a new sample while the cache counts as congested, so that its recovery shows soon.
@@ -49,7 +53,7 @@
 
     /// Whether a request of this class would be served about as quickly as without congestion.
     pub(crate) fn is_uncongested(&self, latency: &LatencyEstimate) -> bool {
-        self.ratio * latency.mean() < CONGESTED_RATIO / CONGESTED_PER_IDLE * latency.baseline()
+        self.ratio * latency.mean() < UNCONGESTED_RATIO * latency.baseline()
     }
 
     /// Takes in a finished attempt; `sample` is from [`relative_sample`].
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -5,7 +5,7 @@
 
 /// A repeat is sent only while the servers surely still discard it: within the deduplication window, less one
 /// part in this many for the difference between the clocks.
-const WINDOW_PER_CLOCK_MARGIN: Micros = 8;
+const CLOCK_MARGIN_DIVISOR: Micros = 8;
 
 /// An attempt that was sent.
 pub(crate) struct Attempt {
@@ -155,7 +155,7 @@
     /// may not discard the repeat.
     pub(crate) fn send_before(&self) -> Option<Micros> {
         let Idempotency::Keyed { window, .. } = self.rules.idempotency else { return None };
-        let window = window - window / WINDOW_PER_CLOCK_MARGIN;
+        let window = window - window / CLOCK_MARGIN_DIVISOR;
         let effective = self.attempts.iter().filter(|attempt| attempt.may_take_effect());
         effective.map(|attempt| attempt.sent_at.saturating_add(window)).min()
     }
--- a/crates/balancer/src/retry_after.rs
+++ b/crates/balancer/src/retry_after.rs
@@ -9,7 +9,7 @@
 /// The shortest wait is the mean response time and this many deviations.
 const WAIT_DEVIATIONS: f64 = 4.0;
 /// The longest wait is the shortest times this.
-const JITTER_SPAN: Micros = 2;
+const MAX_JITTER_FACTOR: Micros = 2;
 
 /// A wait in microseconds; 0 where the settings allow none.
 pub(crate) fn retry_after(
@@ -17,6 +17,6 @@
     max_retry_after: Micros,
     rng: &mut fastrand::Rng,
 ) -> Micros {
-    let shortest = latency.mean_plus_deviations(WAIT_DEVIATIONS).min(max_retry_after / JITTER_SPAN);
+    let shortest = latency.mean_plus_deviations(WAIT_DEVIATIONS).min(max_retry_after / MAX_JITTER_FACTOR);
     shortest + rng.u64(0..=shortest)
 }
--- a/crates/balancer/src/retry_budget.rs
+++ b/crates/balancer/src/retry_budget.rs
@@ -2,6 +2,8 @@
 //!
 //! Each request earns a part of a token and each extra attempt costs one. While servers fail they are then
 //! sent little more than while they are healthy, and retries cannot amplify an overload.
+//!
+//! Inputs: one call per request that arrives and one per extra attempt; no time is involved.
 
 /// Tokens that one extra attempt costs.
 const ATTEMPT_COST: f64 = 1.0;
--- a/crates/balancer/src/server_selection.rs
+++ b/crates/balancer/src/server_selection.rs
@@ -3,6 +3,9 @@
 //! Load is the number of this node's requests in flight there, weighted by how slow the cache is. The rank in
 //! the candidate set breaks ties, so that an idle fleet serves each key from one cache. A candidate that the
 //! request was sent to before is chosen only if all were.
+//!
+//! Inputs: for each candidate its rank, this node's attempts in flight there, and its response time as a
+//! multiple of the average.
 
 /// The load that one rank in the candidate set is worth: less than a request in flight.
 const RANK_COST: f64 = 0.95;
--- a/crates/balancer/src/single_flight.rs
+++ b/crates/balancer/src/single_flight.rs
@@ -1,6 +1,8 @@
 //! Request coalescing: of the reads that missed the same key, one fetches the value and the others wait.
 //!
 //! Keeps a popular key that expires from being fetched once per waiting client.
+//!
+//! Inputs: hashes of keys and the ids of requests, in the order in which they join.
 
 use std::collections::HashMap;
 
--- a/crates/balancer/src/zone_health.rs
+++ b/crates/balancer/src/zone_health.rs
@@ -3,6 +3,8 @@
 //! When connections to several servers of one zone fail in a row while another zone answers, the zone is
 //! taken for unreachable as a whole. Its servers are then not tried one by one; single requests find out when
 //! the zone can be reached again.
+//!
+//! Inputs: the outcomes and response times (in microseconds) of this node's attempts, by zone.
 
 use std::collections::BTreeMap;
 
