--- a/crates/allotment/tests/fleet/mod.rs
+++ b/crates/allotment/tests/fleet/mod.rs
@@ -92,6 +92,26 @@
     restart: Option<Micros>,
 }
 
+impl Node {
+    /// A node that sees this share of the traffic, 1 being the mean.
+    fn new(plan: &Plan, server: u64, index: usize, share: f64, started_at: Micros, rng: &mut Rng) -> Self {
+        // Two cache servers for three nodes: what one node serves at all of them.
+        let usual_rate = plan.capacity * 2.0 / 3.0;
+        let rate = if plan.noisy { usual_rate * share } else { 0.0 };
+        let mut quota = Quota::new(server);
+        quota.restart(&sender(plan, index, 0), started_at, started_at, &SLOW_START);
+        let restart = started_at + rng.u64(0..SLOW_START.duration);
+        let restart = (rng.f64() < plan.restarted).then_some(restart);
+        let estimate = Estimate::new(rate, plan.bias * plan.capacity * share, rng);
+        Node { quota, estimate, restart }
+    }
+}
+
+/// The sender that a node is, since its process began.
+fn sender(plan: &Plan, index: usize, running_since: Micros) -> Sender {
+    Sender::new(Some(index), plan.nodes, running_since, 0)
+}
+
 /// Calls that one server got, compared with what it handles.
 pub struct Pressure {
     calls: VecDeque<Micros>,
@@ -126,70 +146,121 @@
     shares.into_iter().map(|share| share / mean).collect()
 }
 
-/// Simulates one slow start.
-pub fn play(plan: &Plan, seed: u64) -> RunResult {
-    let mut rng = Rng::with_seed(seed);
-    let server = rng.u64(..);
-    let shares = shares(plan, &mut rng);
-    // Two cache servers for three nodes: what one node serves at all of them.
-    let usual = plan.capacity * 2.0 / 3.0;
-    let sender = |index, since| Sender::new(Some(index), plan.nodes, since, 0);
-    let mut start = 20 * SECOND; // of the server
-    let node = |(index, share): (usize, &f64)| {
-        let rate = if plan.noisy { usual * share } else { 0.0 };
-        let mut quota = Quota::new(server);
-        quota.restart(&sender(index, 0), start, start, &SLOW_START);
-        let within = start + rng.u64(0..SLOW_START.duration);
-        let restart = (rng.f64() < plan.restarted).then_some(within);
-        let estimate = Estimate::new(rate, plan.bias * plan.capacity * share, &mut rng);
-        Node { quota, estimate, restart }
-    };
-    let mut nodes: Vec<Node> = shares.iter().enumerate().map(node).collect();
-    let upto: Vec<f64> = shares.iter().scan(0.0, |sum, share| Some((*sum += share, *sum).1)).collect();
-    let mut again = plan.server_restarts.then(|| start + rng.u64(SECOND..SLOW_START.duration));
-    let arriving = |age| match (plan.demand, SLOW_START.budget(plan.capacity, age)) {
-        (Demand::Together(times), budget) => times * budget,
-        (Demand::Everywhere(times), budget) => times * budget.max(plan.nodes as f64),
-    };
-    let most = arriving(SLOW_START.duration + SLOW_START.overload_window); // calls per window, once the server is warm
-    let (mut pressure, mut now, mut arrived, mut sent, mut budgets) = (Pressure::new(), start, 0.0, 0.0, 0.0);
-    loop {
-        let pause = (-(1.0 - rng.f64()).ln() / most * SLOW_START.overload_window as f64) as Micros;
-        let stood = SLOW_START.budget(plan.capacity, now - start + SLOW_START.overload_window / 2)
-            / SLOW_START.overload_window as f64;
-        budgets += stood * pause as f64;
-        now += pause;
-        if now >= start + SLOW_START.duration {
-            break;
+/// A fleet and the server it sends to.
+struct Simulation<'a> {
+    plan: &'a Plan,
+    rng: Rng,
+    server: u64,
+    nodes: Vec<Node>,
+    /// The part of all traffic that this node and those before it see.
+    cumulative_shares: Vec<f64>,
+    /// When the server started last.
+    started_at: Micros,
+    /// When the server restarts, if at all.
+    server_restart: Option<Micros>,
+    now: Micros,
+    pressure: Pressure,
+    arrived: f64,
+    sent: f64,
+    budgets: f64,
+}
+
+impl<'a> Simulation<'a> {
+    fn new(plan: &'a Plan, seed: u64) -> Self {
+        let mut rng = Rng::with_seed(seed);
+        let server = rng.u64(..);
+        let shares = shares(plan, &mut rng);
+        let started_at = 20 * SECOND;
+        let node =
+            |(index, share): (usize, &f64)| Node::new(plan, server, index, *share, started_at, &mut rng);
+        let nodes = shares.iter().enumerate().map(node).collect();
+        let cumulative = shares.iter().scan(0.0, |sum, share| Some((*sum += share, *sum).1));
+        let cumulative_shares = cumulative.collect();
+        let server_restart = plan.server_restarts.then(|| started_at + rng.u64(SECOND..SLOW_START.duration));
+        Simulation {
+            plan,
+            rng,
+            server,
+            nodes,
+            cumulative_shares,
+            started_at,
+            server_restart,
+            now: started_at,
+            pressure: Pressure::new(),
+            arrived: 0.0,
+            sent: 0.0,
+            budgets: 0.0,
+        }
+    }
+
+    /// Calls that arrive in a window that ends at this age of the server.
+    fn demand(&self, age: Micros) -> f64 {
+        let budget = SLOW_START.budget(self.plan.capacity, age);
+        match self.plan.demand {
+            Demand::Together(times) => times * budget,
+            Demand::Everywhere(times) => times * budget.max(self.plan.nodes as f64),
         }
-        if let Some(at) = again.take_if(|at| now >= *at) {
-            start = at;
-            pressure.restart();
-            for (index, node) in nodes.iter_mut().enumerate() {
-                let since = node.restart.filter(|&restart| restart <= now).unwrap_or(0);
-                node.quota.restart(&sender(index, since), start, now, &SLOW_START);
+    }
+
+    /// Runs until the server is warm.
+    fn run(mut self) -> RunResult {
+        let peak_demand = self.demand(SLOW_START.duration + SLOW_START.overload_window);
+        while self.advance(peak_demand) {
+            self.restart_server_if_due();
+            if self.rng.f64() * peak_demand <= self.demand(self.now - self.started_at) {
+                self.call();
             }
         }
-        if rng.f64() * most > arriving(now - start) {
-            continue;
+        let (used, served) = (self.sent / self.budgets, self.sent / self.arrived);
+        RunResult { used, served, ..self.pressure.result }
+    }
+
+    /// Advances to the next call at the peak demand; returns whether the server still warms up then.
+    fn advance(&mut self, peak_demand: f64) -> bool {
+        let window = SLOW_START.overload_window;
+        let pause = (-(1.0 - self.rng.f64()).ln() / peak_demand * window as f64) as Micros;
+        let age = self.now - self.started_at;
+        let budget_per_microsecond = SLOW_START.budget(self.plan.capacity, age + window / 2) / window as f64;
+        self.budgets += budget_per_microsecond * pause as f64;
+        self.now += pause;
+        self.now < self.started_at + SLOW_START.duration
+    }
+
+    fn restart_server_if_due(&mut self) {
+        let now = self.now;
+        let Some(restart) = self.server_restart.take_if(|restart| now >= *restart) else { return };
+        self.started_at = restart;
+        self.pressure.restart();
+        for (index, node) in self.nodes.iter_mut().enumerate() {
+            let since = node.restart.filter(|&restart| restart <= now).unwrap_or(0);
+            node.quota.restart(&sender(self.plan, index, since), restart, now, &SLOW_START);
         }
-        arrived += 1.0;
-        let dice = rng.f64() * plan.nodes as f64;
-        let index = upto.partition_point(|&sum| sum < dice).min(plan.nodes - 1);
-        let node = &mut nodes[index];
-        if let Some(at) = node.restart.filter(|&at| at <= now && at > start) {
+    }
+
+    /// A call arrives at a random node, which sends it if its quota allows that.
+    fn call(&mut self) {
+        self.arrived += 1.0;
+        let dice = self.rng.f64() * self.plan.nodes as f64;
+        let index = self.cumulative_shares.partition_point(|&sum| sum < dice).min(self.plan.nodes - 1);
+        let (now, started_at) = (self.now, self.started_at);
+        let node = &mut self.nodes[index];
+        if let Some(restart) = node.restart.filter(|&restart| restart <= now && restart > started_at) {
             node.restart = None;
-            node.quota = Quota::new(server);
-            node.quota.restart(&sender(index, at), start, at, &SLOW_START);
+            node.quota = Quota::new(self.server);
+            node.quota.restart(&sender(self.plan, index, restart), started_at, restart, &SLOW_START);
         }
-        let capacity = node.estimate.now(now, &mut rng);
+        let capacity = node.estimate.now(now, &mut self.rng);
         if node.quota.remaining(&SLOW_START, capacity, now) > 0 {
             node.quota.record(&SLOW_START, now);
-            sent += 1.0;
-            pressure.call(now, SLOW_START.budget(plan.capacity, now - start));
+            self.sent += 1.0;
+            self.pressure.call(now, SLOW_START.budget(self.plan.capacity, now - started_at));
         }
     }
-    RunResult { used: sent / budgets, served: sent / arrived, ..pressure.result }
+}
+
+/// Simulates one slow start.
+pub fn play(plan: &Plan, seed: u64) -> RunResult {
+    Simulation::new(plan, seed).run()
 }
 
 /// The results of many runs of the same plan.
--- a/crates/balancer/tests/admission_queue.rs
+++ b/crates/balancer/tests/admission_queue.rs
@@ -61,6 +61,18 @@
     assert!(is_answered(&node.timer(token)));
 }
 
+#[test]
+fn a_response_that_has_begun_frees_capacity_for_a_queued_read() {
+    let (mut node, last) = node_at_its_limit();
+    assert!(sent_to(&node.read(last + 1, "late")).is_none(), "the limit is reached");
+    let started = node.handle(Event::ResponseStarted(AttemptId::new(RequestId(0), 0)));
+    let admitted = started.iter().find_map(|a| match a {
+        Action::Send { request, .. } => Some(*request),
+        _ => None,
+    });
+    assert!(admitted.is_some_and(|id| id >= RequestId(last)), "{started:?}");
+}
+
 #[test]
 fn the_queue_is_bounded_and_the_oldest_request_is_shed() {
     let (mut node, last) = node_at_its_limit();
--- a/crates/balancer/tests/hedging.rs
+++ b/crates/balancer/tests/hedging.rs
@@ -18,6 +18,19 @@
     assert_eq!(cancelled_attempts(&served), [0], "the loser is cancelled");
 }
 
+#[test]
+fn a_response_that_has_begun_cancels_the_other_attempt_and_is_not_cut_off() {
+    let mut node = Node::new(settings(CacheMode::Through), 6);
+    node.serve_many();
+    let (after, token) = first_timer(&node.read(1000, "k1")).expect("a timer for the hedged request");
+    node.now += after;
+    sent_to(&node.timer(token)).expect("a hedged request");
+    let started = node.handle(Event::ResponseStarted(AttemptId::new(RequestId(1000), 0)));
+    assert_eq!(cancelled_attempts(&started), [1], "the other attempt is cancelled");
+    node.now += 2 * SECOND;
+    assert!(node.timer(token).is_empty(), "the client reads the response as slowly as it likes");
+}
+
 #[test]
 fn hedged_requests_stay_within_their_budget() {
     let mut node = Node::new(settings(CacheMode::Through), 6);
--- a/crates/balancer/tests/property.rs
+++ b/crates/balancer/tests/property.rs
@@ -30,6 +30,20 @@
     Timer(TimerToken),
 }
 
+/// How attempts end; four of ten are served.
+const OUTCOMES: [Outcome; 10] = [
+    Outcome::Success,
+    Outcome::Success,
+    Outcome::Success,
+    Outcome::Success,
+    Outcome::ServerError,
+    Outcome::Rejected,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionReset,
+    Outcome::CacheMiss,
+    Outcome::TimedOut,
+];
+
 struct World {
     balancer: Balancer,
     settings: Settings,
@@ -46,36 +60,39 @@
     timers: usize,
 }
 
+/// Settings drawn at random, among them absurd ones.
+fn random_settings(rng: &mut fastrand::Rng) -> Settings {
+    let scope = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell][rng.usize(..3)];
+    let class = |idempotency| RequestClass { latency_objective: 300_000, priority_weight: 1.0, idempotency };
+    Settings {
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::Keyed { scope, window: rng.u64(50_000..2 * SECOND) }),
+            class(Idempotency::NonIdempotent),
+        ],
+        tenant_quotas: vec![0.5, 0.5],
+        over_quota_weight: 0.1,
+        cache_mode: if rng.bool() { CacheMode::Aside } else { CacheMode::Through },
+        watch_required: rng.bool(),
+        cancellation: rng.bool(),
+        hedging: rng.bool(),
+        max_attempts: rng.usize(1..7),
+        max_retry_after: if rng.bool() { SECOND } else { 0 },
+        slow_start_duration: 10 * SECOND,
+        initial_capacity: 0.2,
+        timer_granularity: 5_000,
+        node_count: rng.usize(1..500),
+        idle_timeout: rng.u64(0..20 * SECOND),
+        zone: Some(0),
+        cross_zone_cost: [0.0, 0.05, f64::NAN, -1.0, f64::INFINITY][rng.usize(..5)],
+        ..Settings::default()
+    }
+}
+
 impl World {
     fn new(seed: u64) -> World {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let scope =
-            [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell][rng.usize(..3)];
-        let class =
-            |idempotency| RequestClass { latency_objective: 300_000, priority_weight: 1.0, idempotency };
-        let settings = Settings {
-            classes: vec![
-                class(Idempotency::Idempotent),
-                class(Idempotency::Keyed { scope, window: rng.u64(50_000..2 * SECOND) }),
-                class(Idempotency::NonIdempotent),
-            ],
-            tenant_quotas: vec![0.5, 0.5],
-            over_quota_weight: 0.1,
-            cache_mode: if rng.bool() { CacheMode::Aside } else { CacheMode::Through },
-            watch_required: rng.bool(),
-            cancellation: rng.bool(),
-            hedging: rng.bool(),
-            max_attempts: rng.usize(1..7),
-            max_retry_after: if rng.bool() { SECOND } else { 0 },
-            slow_start_duration: 10 * SECOND,
-            initial_capacity: 0.2,
-            timer_granularity: 5_000,
-            node_count: rng.usize(1..500),
-            idle_timeout: rng.u64(0..20 * SECOND),
-            zone: Some(0),
-            cross_zone_cost: [0.0, 0.05, f64::NAN, -1.0, f64::INFINITY][rng.usize(..5)],
-            ..Settings::default()
-        };
+        let settings = random_settings(&mut rng);
         let now = rng.u64(0..1 << 50);
         let mut world = World {
             balancer: Balancer::new(settings.clone(), seed, now),
@@ -157,7 +174,6 @@
     }
 
     fn attempt_sent(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
-        use Outcome::*;
         let request = self.requests.get_mut(&id).expect("a known request");
         assert!(!request.answered, "nothing is sent after the final answer");
         assert!(request.attempts.len() < request.max_attempts);
@@ -169,45 +185,17 @@
         let out = request.attempts.iter().filter(|a| a.end.is_none()).count();
         let may_hedge = request.may_hedge && !request.write && request.idempotency == Idempotency::Idempotent;
         assert!(out == 0 || may_hedge, "a hedged request that is not allowed");
-        for earlier in request.attempts.iter().filter(|a| a.end.is_none_or(Outcome::may_have_run)) {
-            let first = &self.listed[&earlier.server];
-            match request.idempotency {
-                Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => {
-                    panic!("a non-idempotent request that may have taken effect is sent again")
-                }
-                Idempotency::Keyed { scope, window } => {
-                    assert!(self.now <= earlier.sent + window, "outside its deduplication window");
-                    match scope {
-                        DeduplicationScope::All => {}
-                        DeduplicationScope::Zone => assert_eq!(first.zone, to.zone),
-                        DeduplicationScope::Cell => assert_eq!(first.cell, to.cell),
-                    }
-                    self.repeats += 1;
-                }
-            }
-        }
+        self.repeats += check_repeats(request, to, &self.listed, self.now);
         let attempt = request.attempts.len();
         request.attempts.push(Attempt { server, sent: self.now, end: None });
         let left = request.deadline - self.now;
         let limit = if timeout == 0 { left } else { timeout.min(left) };
-        let common = [
-            Success,
-            Success,
-            Success,
-            Success,
-            ServerError,
-            Rejected,
-            ConnectFailed,
-            ConnectionReset,
-            CacheMiss,
-            TimedOut,
-        ];
-        let outcome = common[self.rng.usize(..common.len())];
-        let outcome = if outcome == CacheMiss && (to.is_origin || !aside) { Success } else { outcome };
+        let outcome = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
+        let may_miss = aside && !to.is_origin;
+        let outcome = if outcome == Outcome::CacheMiss && !may_miss { Outcome::Success } else { outcome };
         let elapsed = self.rng.u64(1_000..400_000);
-        let cut = outcome == TimedOut || elapsed >= limit;
-        let (when, outcome) = if cut { (limit, TimedOut) } else { (elapsed, outcome) };
+        let cut = outcome == Outcome::TimedOut || elapsed >= limit;
+        let (when, outcome) = if cut { (limit, Outcome::TimedOut) } else { (elapsed, outcome) };
         self.schedule(self.now + when, Due::Outcome(id, attempt, outcome));
     }
 
@@ -357,6 +345,36 @@
     }
 }
 
+/// Checks an attempt at `to` against the former attempts that may have taken effect, and counts the repeats
+/// that the servers have to discard.
+fn check_repeats(
+    request: &Expected,
+    to: &Endpoint,
+    listed: &BTreeMap<ServerId, Endpoint>,
+    now: Micros,
+) -> usize {
+    let mut repeats = 0;
+    for earlier in request.attempts.iter().filter(|a| a.end.is_none_or(Outcome::may_have_run)) {
+        let first = &listed[&earlier.server];
+        match request.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => {
+                panic!("a non-idempotent request that may have taken effect is sent again")
+            }
+            Idempotency::Keyed { scope, window } => {
+                assert!(now <= earlier.sent + window, "outside its deduplication window");
+                match scope {
+                    DeduplicationScope::All => {}
+                    DeduplicationScope::Zone => assert_eq!(first.zone, to.zone),
+                    DeduplicationScope::Cell => assert_eq!(first.cell, to.cell),
+                }
+                repeats += 1;
+            }
+        }
+    }
+    repeats
+}
+
 #[test]
 fn random_legal_events_break_no_rule() {
     let (mut answers, mut repeats) = (0, 0);
