--- a/crates/cli/tests/time_left.rs
+++ b/crates/cli/tests/time_left.rs
@@ -34,6 +34,31 @@
     Start { settings, sockets: 4_096, operator: true, ..Start::new(&known, Fake::http().addr) }.node()
 }
 
+/// How long the client of a [`Scene`] waits for each of its answers.
+const LONG_WAIT: Duration = Duration::from_secs(60);
+/// More pings than may be owed an answer, and fewer than the kernels of both sides hold.
+const PINGS: usize = 6_000;
+
+/// A node whose client has one read in flight at the cache.
+struct Scene {
+    first: Call,
+    client: Client,
+    _node: Node,
+    _origin: Fake,
+    cache: Fake,
+}
+
+impl Scene {
+    fn with_read_in_flight() -> Scene {
+        let (cache, origin) = (Fake::cache(), Fake::http());
+        let node = start(SETTINGS, cache.addr, origin.addr);
+        let mut client = node.client();
+        client.get("k", &format!("c=read,d={}", LONG_WAIT.as_millis()));
+        let first = cache.call();
+        Scene { first, client, _node: node, _origin: origin, cache }
+    }
+}
+
 /// The time that a call tells its server.
 fn time_told(call: &Call) -> Duration {
     let facts = call.words.iter().find(|word| word.contains("c=") && word.contains("d=")).expect("facts");
@@ -86,15 +111,9 @@
 
 #[test]
 fn a_command_behind_as_many_answers_as_may_be_owed_tells_what_is_left_since_it_came() {
-    const WAIT: Duration = Duration::from_secs(60);
-    const PINGS: usize = 6_000; // more than may be owed, fewer than the kernels of both sides hold
-    let (cache, origin) = (Fake::cache(), Fake::http());
-    let node = start(SETTINGS, cache.addr, origin.addr);
-    let mut client = node.client();
-    client.get("k", &format!("c=read,d={}", WAIT.as_millis()));
-    let first = cache.call();
+    let Scene { first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
     client.write(words(&["PING"]).repeat(PINGS));
-    client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", WAIT.as_millis())]);
+    client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
     thread::sleep(UNREAD);
     first.value("v");
     assert_eq!(client.answer().as_deref(), Some("v"));
@@ -102,41 +121,30 @@
         assert_eq!(client.answer().as_deref(), Some("+PONG"));
     }
     let call = cache.call();
-    assert!(time_told(&call) <= WAIT - UNREAD + GRAIN, "{:?} told", time_told(&call));
+    assert!(time_told(&call) <= LONG_WAIT - UNREAD + GRAIN, "{:?} told", time_told(&call));
     call.value("w");
     assert_eq!(client.answer().as_deref(), Some("w"));
 }
 
 #[test]
 fn a_command_that_comes_while_an_answer_is_written_tells_what_is_left_since_it_came() {
-    const WAIT: Duration = Duration::from_secs(60);
     const LONG: usize = 200_000; // passed on as it comes
-    let (cache, origin) = (Fake::cache(), Fake::http());
-    let node = start(SETTINGS, cache.addr, origin.addr);
-    let mut client = node.client();
-    client.get("k", &format!("c=read,d={}", WAIT.as_millis()));
-    let mut first = cache.call();
+    let Scene { mut first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
     first.answer(format!("*3\r\n${LONG}\r\n{}", "x".repeat(LONG / 2)));
     assert_eq!(client.line(), format!("${LONG}"));
-    client.send(&["CACHE.GET", "l", "the-next", &format!("c=read,d={}", WAIT.as_millis())]);
+    client.send(&["CACHE.GET", "l", "the-next", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
     thread::sleep(UNREAD);
     first.answer(format!("{}\r\n$3\r\nhit\r\n$-1\r\n", "x".repeat(LONG / 2)));
     assert_eq!(client.line().len(), LONG);
     let call = cache.call();
-    assert!(time_told(&call) <= WAIT - UNREAD + GRAIN, "{:?} told", time_told(&call));
+    assert!(time_told(&call) <= LONG_WAIT - UNREAD + GRAIN, "{:?} told", time_told(&call));
     call.value("w");
     assert_eq!(client.answer().as_deref(), Some("w"));
 }
 
 #[test]
 fn a_command_that_comes_after_a_pause_in_reading_has_all_its_time() {
-    const WAIT: Duration = Duration::from_secs(60);
-    const PINGS: usize = 6_000;
-    let (cache, origin) = (Fake::cache(), Fake::http());
-    let node = start(SETTINGS, cache.addr, origin.addr);
-    let mut client = node.client();
-    client.get("k", &format!("c=read,d={}", WAIT.as_millis()));
-    let first = cache.call();
+    let Scene { first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
     client.write(words(&["PING"]).repeat(PINGS));
     thread::sleep(UNREAD);
     first.value("v");
@@ -144,9 +152,9 @@
     for _ in 0..PINGS {
         assert_eq!(client.answer().as_deref(), Some("+PONG"));
     }
-    client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", WAIT.as_millis())]);
+    client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
     let call = cache.call();
-    assert!(time_told(&call) > WAIT - UNREAD / 2, "{:?} told", time_told(&call));
+    assert!(time_told(&call) > LONG_WAIT - UNREAD / 2, "{:?} told", time_told(&call));
     call.value("w");
     assert_eq!(client.answer().as_deref(), Some("w"));
 }
