--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -9,7 +9,7 @@
 use stonefold_membership::{Codec, Settings};
 use stonefold_node::config::{Config, Document, DocumentError, Source};
 use stonefold_node::membership::MembershipConfig;
-use stonefold_node::shared::Shared;
+use stonefold_node::shared::SharedState;
 use stonefold_observe::{Format, Logging, Options};
 use stonefold_store::wire::Keys;
 use stonefold_store::{daemon, follower};
@@ -61,7 +61,7 @@
     let file = File { path, flags: args.set, seed: fastrand::u64(..), stored: stored.clone() };
     let mut config = Config::from_source(Source::Document(Box::new(file))).map_err(Failure::unusable)?;
     config.started = started; // before the store, which may wait for others
-    config.shared = stored.map(|stored| stored as Arc<dyn Shared>);
+    config.shared = stored.map(|stored| stored as Arc<dyn SharedState>);
     config.membership = membership.map(|of| take_part(node.name, of)).transpose()?;
     serve(config, &log)
 }
--- a/crates/cli/src/followed.rs
+++ b/crates/cli/src/followed.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use stonefold_node::overrides::{Override, Overrides};
-use stonefold_node::shared::{Later, Shared};
+use stonefold_node::shared::{BoxFuture, SharedState};
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::subscriber::Event;
@@ -52,8 +52,8 @@
     }
 }
 
-impl Shared for Followed {
-    fn ready(&self) -> Later<'_, ()> {
+impl SharedState for Followed {
+    fn ready(&self) -> BoxFuture<'_, ()> {
         let mut ready = self.follower.ready.clone();
         Box::pin(async move { _ = ready.wait_for(|ready| *ready).await }) // one that has ended keeps nobody waiting
     }
@@ -78,7 +78,7 @@
         self.seen.swap(now, Ordering::Relaxed) != now
     }
 
-    fn set_override(&self, _: String, _: Override) -> Later<'_, Result<(), String>> {
+    fn set_override(&self, _: String, _: Override) -> BoxFuture<'_, Result<(), String>> {
         Box::pin(async {
             Err("this node follows the store, and can't change it: order at a member's node".into())
         })
@@ -96,7 +96,7 @@
         }
     }
 
-    fn may_act(&self, version: u64) -> Result<(), u64> {
+    fn adopt_list(&self, version: u64) -> Result<(), u64> {
         match self.freshness(|freshness| freshness.use_list(version)) {
             Verdict::Newer | Verdict::Current => {
                 self.follower.feed.use_list(version);
@@ -107,9 +107,9 @@
     }
 
     /// Members learn lists by themselves, and tell them.
-    fn learned(&self, _: u64, _: String, _: Vec<(String, u64)>) {}
+    fn publish_list(&self, _: u64, _: String, _: Vec<(String, u64)>) {}
 
-    fn config_after(&self, revision: u64) -> Later<'_, u64> {
+    fn config_after(&self, revision: u64) -> BoxFuture<'_, u64> {
         Box::pin(async move {
             let mut items = self.follower.feed.view_changes();
             loop {
@@ -123,7 +123,7 @@
         })
     }
 
-    fn config_taken(&self, revision: u64) {
+    fn config_applied(&self, revision: u64) {
         self.freshness(|freshness| freshness.use_config(revision));
     }
 }
--- a/crates/cli/src/shared.rs
+++ b/crates/cli/src/shared.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stonefold_node::overrides::{Override, Overrides};
-use stonefold_node::shared::{Later, Shared};
+use stonefold_node::shared::{BoxFuture, SharedState};
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::daemon::Daemon;
 use stonefold_store::freshness::Verdict;
@@ -25,7 +25,7 @@
 const SPREAD: Duration = Duration::from_millis(100);
 
 /// What a node shares, and its own file reads.
-pub trait Committed: Shared {
+pub trait Committed: SharedState {
     /// The shared part of the configuration as it is committed, and its revision.
     fn config(&self) -> Option<(u64, String)>;
 }
@@ -109,8 +109,8 @@
     }
 }
 
-impl Shared for Stored {
-    fn ready(&self) -> Later<'_, ()> {
+impl SharedState for Stored {
+    fn ready(&self) -> BoxFuture<'_, ()> {
         let mut ready = self.daemon.ready.clone();
         Box::pin(async move { _ = ready.wait_for(|ready| *ready).await }) // a store that has ended keeps nobody waiting
     }
@@ -128,7 +128,7 @@
         self.seen.swap(now, Ordering::Relaxed) != now
     }
 
-    fn set_override(&self, server: String, server_override: Override) -> Later<'_, Result<(), String>> {
+    fn set_override(&self, server: String, server_override: Override) -> BoxFuture<'_, Result<(), String>> {
         let admin_override =
             AdminOverride { out_of_service: server_override.disabled, since_ms: server_override.since_ms };
         Box::pin(async move {
@@ -157,14 +157,14 @@
         readable(list.version, &list.text)
     }
 
-    fn may_act(&self, version: u64) -> Result<(), u64> {
+    fn adopt_list(&self, version: u64) -> Result<(), u64> {
         match self.daemon.replica.freshness(|freshness, _| freshness.use_list(version)) {
             Verdict::Newer | Verdict::Current => Ok(()),
             Verdict::Stale { known } => Err(known),
         }
     }
 
-    fn learned(&self, version: u64, text: String, started: Vec<(String, u64)>) {
+    fn publish_list(&self, version: u64, text: String, started: Vec<(String, u64)>) {
         let mut learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
         learned.0 = Some(Learned { version, text, started });
         if !std::mem::replace(&mut learned.1, true)
@@ -174,7 +174,7 @@
         }
     }
 
-    fn config_after(&self, revision: u64) -> Later<'_, u64> {
+    fn config_after(&self, revision: u64) -> BoxFuture<'_, u64> {
         Box::pin(async move {
             let mut applied = self.daemon.replica.applied();
             loop {
@@ -188,7 +188,7 @@
         })
     }
 
-    fn config_taken(&self, revision: u64) {
+    fn config_applied(&self, revision: u64) {
         self.daemon.replica.freshness(|freshness, _| freshness.use_config(revision));
     }
 }
--- a/crates/node/src/clients/command.rs
+++ b/crates/node/src/clients/command.rs
@@ -1,4 +1,4 @@
-//! Commands as clients word them, in RESP2.
+//! The RESP2 commands of clients.
 
 use std::str;
 
@@ -8,86 +8,105 @@
 use stonefold_balancer::Micros;
 use stonefold_proto::resp::MalformedFrame;
 
-use crate::relay::{LARGEST, VALUE_LIMIT};
+use crate::relay::{MAX_FRAME_BYTES, MAX_VALUE_BYTES};
 use crate::request::ClientRequest;
 
-/// Key, id and facts together are no longer than this.
-const ARGUMENTS: usize = 2 << 10;
-/// The longest wait that is believed.
-const LONGEST: Micros = 3_600_000_000;
+/// The largest total length of key, id and metadata, in bytes.
+const MAX_ARGUMENT_BYTES: usize = 2 << 10;
+/// The most that surrounds the arguments in the header of a write, in bytes.
+const MAX_HEADER_OVERHEAD_BYTES: usize = 256;
+/// The longest timeout of a client, in microseconds; longer ones are cut.
+const MAX_TIMEOUT: Micros = 3_600_000_000;
 
-/// Reads a command's words.
-pub fn parse_command(parts: &[Bytes]) -> Result<ClientRequest, CommandError> {
-    let Some((name, rest)) = parts.split_first() else { return Err(CommandError::Unknown) };
-    let (key, id, facts, value) = match rest {
-        [key, id, facts] if name.eq_ignore_ascii_case(b"CACHE.GET") => (key, id, facts, None),
-        [key, id, facts, value] if name.eq_ignore_ascii_case(b"CACHE.SET") => {
-            (key, id, facts, Some(value.clone()))
-        }
-        _ if name.eq_ignore_ascii_case(b"CACHE.GET") || name.eq_ignore_ascii_case(b"CACHE.SET") => {
-            return Err(CommandError::Arguments);
-        }
-        _ => return Err(CommandError::Unknown),
-    };
-    if value.as_ref().is_some_and(|value| value.len() > VALUE_LIMIT) {
-        return Err(CommandError::TooLong);
-    }
-    // Both go on in headers.
-    let plain = |text: &Bytes| !text.is_empty() && HeaderValue::from_bytes(text).is_ok();
-    let key = str::from_utf8(key).ok().filter(|key| !key.is_empty()).ok_or(CommandError::Arguments)?;
-    if !plain(id) || !plain(facts) || key.len() + id.len() + facts.len() > ARGUMENTS {
-        return Err(CommandError::Arguments);
-    }
-    // Copied, so that they don't hold on to the whole of what was read with them.
-    let (key, [id, facts]) = (key.to_owned(), [id, facts].map(|text| Bytes::copy_from_slice(text)));
-    let mut command = ClientRequest { key, id, metadata: facts, value, timeout: 0 };
-    let wait = command.metadata_value("d").and_then(|d| d.parse::<f64>().ok());
-    let ms = wait.filter(|ms| ms.is_finite() && *ms >= 0.0).ok_or(CommandError::Wait)?;
-    command.timeout = ((ms * 1000.0) as Micros).min(LONGEST);
-    Ok(command)
-}
-
-/// Why a whole command can't be carried out.
+/// Why a complete command cannot be executed. The text is sent to the client.
 #[derive(Debug, thiserror::Error)]
-pub enum CommandError {
+pub(crate) enum CommandError {
     #[error("unknown command")]
-    Unknown,
+    UnknownCommand,
     #[error("wrong arguments")]
-    Arguments,
+    WrongArguments,
     #[error("bad or missing d")]
-    Wait,
+    InvalidDeadline,
     #[error("value over 4 MiB")]
-    TooLong,
+    ValueTooLarge,
     #[error("unknown class")]
-    Class,
+    UnknownClass,
     #[error("id in use")]
-    InUse,
+    IdInUse,
+}
+
+/// Parses the arguments of a command, the first of which is its name.
+///
+/// # Errors
+///
+/// Fails if the command is unknown or its arguments are invalid.
+pub(crate) fn parse_command(arguments: &[Bytes]) -> Result<ClientRequest, CommandError> {
+    let Some((name, rest)) = arguments.split_first() else { return Err(CommandError::UnknownCommand) };
+    let is_get = name.eq_ignore_ascii_case(b"CACHE.GET");
+    let is_set = name.eq_ignore_ascii_case(b"CACHE.SET");
+    let (key, id, metadata, value) = match rest {
+        [key, id, metadata] if is_get => (key, id, metadata, None),
+        [key, id, metadata, value] if is_set => (key, id, metadata, Some(value.clone())),
+        _ if is_get || is_set => return Err(CommandError::WrongArguments),
+        _ => return Err(CommandError::UnknownCommand),
+    };
+    if value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES) {
+        return Err(CommandError::ValueTooLarge);
+    }
+    let key = str::from_utf8(key).ok().filter(|key| !key.is_empty()).ok_or(CommandError::WrongArguments)?;
+    let total = key.len() + id.len() + metadata.len();
+    if !is_header_value(id) || !is_header_value(metadata) || total > MAX_ARGUMENT_BYTES {
+        return Err(CommandError::WrongArguments);
+    }
+    // Copied, so that they do not keep the whole read buffer alive.
+    let key = key.to_owned();
+    let [id, metadata] = [id, metadata].map(|text| Bytes::copy_from_slice(text));
+    let mut request = ClientRequest { key, id, metadata, value, timeout: 0 };
+    request.timeout = parse_timeout(&request)?;
+    Ok(request)
+}
+
+/// Whether a text can be passed on in an HTTP header.
+fn is_header_value(text: &Bytes) -> bool {
+    !text.is_empty() && HeaderValue::from_bytes(text).is_ok()
+}
+
+fn parse_timeout(request: &ClientRequest) -> Result<Micros, CommandError> {
+    let timeout_ms = request.metadata_value("d").and_then(|text| text.parse::<f64>().ok());
+    let timeout_ms =
+        timeout_ms.filter(|ms| ms.is_finite() && *ms >= 0.0).ok_or(CommandError::InvalidDeadline)?;
+    Ok(((timeout_ms * 1000.0) as Micros).min(MAX_TIMEOUT))
 }
 
-/// How long a write says that it is, by its head.
-pub fn announced(buffer: &[u8]) -> Option<usize> {
-    let head = &buffer[..buffer.len().min(ARGUMENTS + 256)];
-    let mut at = head.strip_prefix(b"*5\r\n").map(|_| 4)?;
+/// The length of a write as its header announces it, including the header.
+pub(crate) fn announced_length(buffer: &[u8]) -> Option<usize> {
+    let header = &buffer[..buffer.len().min(MAX_ARGUMENT_BYTES + MAX_HEADER_OVERHEAD_BYTES)];
+    let mut position = header.strip_prefix(b"*5\r\n").map(|_| 4)?;
     for _ in 0..4 {
-        at = next_word(head, at)?;
+        position = end_of_bulk_string(header, position)?;
     }
-    next_word(head, at).filter(|&all| all <= LARGEST)
+    end_of_bulk_string(header, position).filter(|&length| length <= MAX_FRAME_BYTES)
 }
 
-/// Where the word that begins here says that it ends.
-fn next_word(head: &[u8], at: usize) -> Option<usize> {
-    let rest = head.get(at..)?.strip_prefix(b"$")?;
-    let end = rest.windows(2).position(|pair| pair == b"\r\n")?;
-    let length: usize = str::from_utf8(&rest[..end]).ok()?.parse().ok()?;
-    (at + 1 + end + 4).checked_add(length)
+/// The announced end of the bulk string that starts at `position`.
+fn end_of_bulk_string(header: &[u8], position: usize) -> Option<usize> {
+    let rest = header.get(position..)?.strip_prefix(b"$")?;
+    let digits = rest.windows(2).position(|pair| pair == b"\r\n")?;
+    let length: usize = str::from_utf8(&rest[..digits]).ok()?.parse().ok()?;
+    // The `$`, the digits, and a line break each after the digits and the text.
+    (position + 1 + digits + 4).checked_add(length)
 }
 
-/// A command's words: an array of bulk strings.
-pub fn arguments(frame: BytesFrame) -> Result<Vec<Bytes>, MalformedFrame> {
-    let BytesFrame::Array(parts) = frame else { return Err(MalformedFrame) };
-    let words = parts.into_iter().map(|part| match part {
+/// The arguments of a command, which is an array of bulk strings.
+///
+/// # Errors
+///
+/// Fails for any other frame.
+pub(crate) fn into_arguments(frame: BytesFrame) -> Result<Vec<Bytes>, MalformedFrame> {
+    let BytesFrame::Array(elements) = frame else { return Err(MalformedFrame) };
+    let arguments = elements.into_iter().map(|element| match element {
         BytesFrame::BulkString(text) => Ok(text),
         _ => Err(MalformedFrame),
     });
-    words.collect()
+    arguments.collect()
 }
--- a/crates/node/src/clients/idle.rs
+++ b/crates/node/src/clients/idle.rs
@@ -1,4 +1,4 @@
-//! The client connections on which nothing is owed, in the order in which they are evicted for others.
+//! The client connections without a pending reply, in the order in which they are evicted for others.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -8,103 +8,116 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What is on its way from a new client has come after so long.
-const NEW: Duration = Duration::from_millis(300);
-/// A connection that has been of use is left in peace for so long.
-const IN_USE: Duration = Duration::from_secs(2);
+/// A new connection is not evicted before this time, in which its first request arrives.
+const NEW_PERIOD: Duration = Duration::from_millis(300);
+/// A connection is not evicted this soon after its last reply, if there is another.
+const RECENT_USE_PERIOD: Duration = Duration::from_secs(2);
 
-/// What a connection does on which nothing is owed; those that are evicted first come first.
+/// The state of a connection without a pending reply. The first states are evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum IdleState {
-    /// Has had no request yet.
-    Silent,
-    /// Rests between requests.
-    Resting,
-    /// Has sent a part of a command.
+pub(crate) enum IdleState {
+    /// It has not had a request yet.
+    Unused,
+    /// It is between requests.
+    BetweenRequests,
+    /// It has sent a part of a command.
     Sending,
 }
 
-/// Of one state, those that have waited for longest come first.
-type Rank = (IdleState, Instant, u64);
+/// The position of a connection: by state, then by how long it has been in it. The number makes it unique.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    state: IdleState,
+    since: Instant,
+    number: u64,
+}
 
 #[derive(Default)]
 struct Ranking {
+    /// Dropping a sender evicts its connection.
     entries: BTreeMap<Rank, oneshot::Sender<()>>,
-    last: u64,
+    last_number: u64,
 }
 
-/// All connections without an open request.
-pub struct IdleConnections {
+impl Ranking {
+    fn first(&self, state: IdleState) -> Option<Rank> {
+        self.entries.keys().find(|rank| rank.state == state).copied()
+    }
+
+    fn count(&self, state: IdleState) -> usize {
+        self.entries.keys().filter(|rank| rank.state == state).count()
+    }
+}
+
+/// All client connections without a pending reply.
+pub(crate) struct IdleConnections {
     ranking: Mutex<Ranking>,
-    most_resting: usize,
+    max_between_requests: usize,
 }
 
 impl IdleConnections {
-    /// Lets so many rest between requests, at most.
-    pub fn new(most_resting: usize) -> Self {
-        IdleConnections { ranking: Mutex::default(), most_resting }
+    /// Creates an empty set that allows `max_between_requests` connections to be idle between requests.
+    pub(crate) fn new(max_between_requests: usize) -> Self {
+        IdleConnections { ranking: Mutex::default(), max_between_requests }
     }
 
     fn ranking(&self) -> MutexGuard<'_, Ranking> {
         self.ranking.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Enters a connection, for as long as the slot is held. Beyond the most that may rest, the one that has rested
-    /// for longest is evicted.
+    /// Enters a connection for as long as the returned slot exists. If too many are idle between requests, the one that
+    /// has been so for longest is evicted.
     ///
-    /// Guards against: clients that ask once on each connection and keep it, until they may open no more. Covers
-    /// pools that never shrink. It hurts clients that keep more connections than that and use all in turn: each
-    /// request then pays for a new one.
-    pub fn enter(self: &Arc<Self>, state: IdleState, since: Instant) -> IdleSlot {
+    /// The limit protects the node from clients that open a connection per request and never close it. Its cost: a client
+    /// that uses more connections than the limit in turn pays for a new one with each request.
+    pub(crate) fn enter(self: &Arc<Self>, state: IdleState, since: Instant) -> IdleSlot {
         let mut ranking = self.ranking();
-        ranking.last += 1;
-        let rank = (state, since, ranking.last);
+        ranking.last_number += 1;
+        let rank = Rank { state, since, number: ranking.last_number };
         let (sender, evicted) = oneshot::channel();
         ranking.entries.insert(rank, sender);
-        let resting = || ranking.entries.keys().filter(|rank| rank.0 == IdleState::Resting);
-        if state == IdleState::Resting && resting().count() > self.most_resting {
-            let first = resting().next().copied();
-            first.and_then(|rank| ranking.entries.remove(&rank)); // its holder sees the sender go
+        if state == IdleState::BetweenRequests && ranking.count(state) > self.max_between_requests {
+            let first = ranking.first(state);
+            first.and_then(|rank| ranking.entries.remove(&rank));
         }
         drop(ranking);
         IdleSlot { rank, evicted, all: self.clone() }
     }
 
-    /// Has one closed: the silent first, then those at rest, and one that is just sending or new only for want of
-    /// others.
-    ///
-    /// Guards against: honest connections closed as readily as silent ones, right after an answer, when their
-    /// next request may be on its way, or while they send.
-    pub fn evict_one(&self, now: Instant) {
-        let entries = &mut self.ranking().entries;
-        let first = |state| entries.keys().find(|rank| rank.0 == state).copied();
-        let waited = |rank: &Rank, time| now >= rank.1 + time;
-        let (silent, sending) = (first(IdleState::Silent), first(IdleState::Sending));
-        let chosen = silent
-            .filter(|rank| waited(rank, NEW))
-            .or_else(|| first(IdleState::Resting).filter(|rank| waited(rank, IN_USE)))
-            .or(silent)
+    /// Evicts one connection: an unused one if there is one that is not new, then one between requests that was not used
+    /// recently, and otherwise one that is new or sending. The next request of a connection that was used recently may be
+    /// on its way.
+    pub(crate) fn evict_one(&self, now: Instant) {
+        let mut ranking = self.ranking();
+        let unused = ranking.first(IdleState::Unused);
+        let between_requests = ranking.first(IdleState::BetweenRequests);
+        let sending = ranking.first(IdleState::Sending);
+        let chosen = unused
+            .filter(|rank| now >= rank.since + NEW_PERIOD)
+            .or(between_requests.filter(|rank| now >= rank.since + RECENT_USE_PERIOD))
+            .or(unused)
             .or(sending);
         if let Some(rank) = chosen {
-            entries.remove(&rank); // its holder sees the sender go
+            ranking.entries.remove(&rank);
         }
     }
 }
 
-/// A connection's entry among those that may be evicted.
-pub struct IdleSlot {
+/// The entry of a connection in [`IdleConnections`], removed on drop.
+pub(crate) struct IdleSlot {
     rank: Rank,
     evicted: oneshot::Receiver<()>,
     all: Arc<IdleConnections>,
 }
 
 impl IdleSlot {
-    pub fn state(&self) -> IdleState {
-        self.rank.0
+    /// The state that was entered.
+    pub(crate) fn state(&self) -> IdleState {
+        self.rank.state
     }
 
-    /// Waits until the connection is evicted; for ever without a slot.
-    pub async fn evicted(slot: &mut Option<IdleSlot>) {
+    /// Waits until the connection is evicted; forever without a slot.
+    pub(crate) async fn evicted(slot: &mut Option<IdleSlot>) {
         match slot {
             Some(slot) => _ = (&mut slot.evicted).await,
             None => pending().await,
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -1,17 +1,16 @@
-//! Clients: the listener, and a session for each connection. Speaks RESP2; decides nothing.
+//! The side of the node that faces clients: the listener, and a session for each connection. Speaks RESP2 and makes no
+//! decisions.
 
-mod absent;
 mod command;
+mod disconnect;
 mod idle;
-mod owed;
+mod pending_replies;
 mod session;
 
-use std::collections::HashSet;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicUsize};
-use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use bytes::Bytes;
 use stonefold_net::{Listener, SocketErrorKind};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, watch};
@@ -22,149 +21,157 @@
 use tracing::warn;
 
 use idle::IdleConnections;
+use pending_replies::OpenIds;
 #[cfg(test)]
-pub use owed::Due;
+pub(crate) use pending_replies::ReplyDeadline;
 use session::Session;
 
-use crate::bounds::Bounds;
+use crate::client_limits::ClientLimits;
 use crate::message::{Message, SharedSettings};
 use crate::metrics::Metrics;
-use crate::relay::Budget;
+use crate::relay::MemoryBudget;
+use crate::shutdown::ShutdownSchedule;
 use crate::stall::StallMonitor;
-use crate::stopping::Plan;
 
-/// After an accept that failed, for want of descriptors say.
-const PAUSE: Duration = Duration::from_millis(5);
+/// How long to wait after a failed `accept`, and for an evicted connection to close.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How connections end when the process does.
-#[derive(Clone, Default)]
-struct Closing {
-    /// Those that have had a request close as soon as nothing is owed.
-    used: CancellationToken,
-    /// Those that have had none close too.
-    silent: CancellationToken,
+/// What the sessions need from the other parts of the node.
+pub(crate) struct ClientContext {
+    /// Sends to the driver.
+    pub(crate) driver: UnboundedSender<Message>,
+    pub(crate) limits: ClientLimits,
+    pub(crate) settings: watch::Receiver<SharedSettings>,
+    pub(crate) metrics: Arc<Metrics>,
+    pub(crate) budget: MemoryBudget,
+    pub(crate) stalls: StallMonitor,
 }
 
-/// The clients' front while it serves.
-pub struct Front {
+/// Serves clients until it is stopped.
+pub(crate) struct ClientServer {
     accepting: JoinHandle<()>,
     sessions: TaskTracker,
-    closing: Closing,
+    closing: ClosingTokens,
 }
 
-impl Front {
-    /// Serves clients that connect to this listener.
-    pub fn start(wiring: Wiring, listener: Listener) -> Front {
-        let (closing, sessions) = (Closing::default(), TaskTracker::new());
-        let clients = Clients::new(wiring, closing.clone(), sessions.clone());
-        Front { accepting: tokio::spawn(clients.accept(listener)), sessions, closing }
+impl ClientServer {
+    /// Starts to accept clients.
+    pub(crate) fn start(context: ClientContext, listener: Listener) -> ClientServer {
+        let closing = ClosingTokens::default();
+        let sessions = TaskTracker::new();
+        let acceptor = Acceptor {
+            session_context: SessionContext::new(context, closing.clone()),
+            sessions: sessions.clone(),
+        };
+        ClientServer { accepting: tokio::spawn(acceptor.run(listener)), sessions, closing }
     }
 
-    /// Stops as planned, from the time on at which word to stop came; ends when all connections have ended, or at the
-    /// plan's end.
-    pub async fn stop(self, stopped: Instant, plan: Plan) {
-        let Front { accepting, sessions, closing } = self;
-        sleep_until(stopped + plan.accepts).await;
+    /// Shuts down on schedule, counted from `stopped_at`. Returns when all connections have ended, or at the latest time
+    /// of the schedule.
+    pub(crate) async fn stop(self, stopped_at: Instant, schedule: ShutdownSchedule) {
+        let ClientServer { accepting, sessions, closing } = self;
+        sleep_until(stopped_at + schedule.accept_until).await;
         accepting.abort();
-        let _ = accepting.await; // our descriptor of the listener is closed with it, the listener only if it is the last
+        let _ = accepting.await; // closes this process's descriptor of the listener, which a successor may share
         sessions.close();
         closing.used.cancel();
         tokio::select! {
             () = sessions.wait() => return,
-            () = sleep_until(stopped + plan.silent) => closing.silent.cancel(),
+            () = sleep_until(stopped_at + schedule.close_unused_at) => closing.unused.cancel(),
         }
         tokio::select! {
             () = sessions.wait() => {}
-            () = sleep_until(stopped + plan.end) => {}
+            () = sleep_until(stopped_at + schedule.exit_at) => {}
         }
     }
 }
 
-/// The listener's side: what all sessions share.
+/// Tells sessions to close during a shutdown.
+#[derive(Clone, Default)]
+struct ClosingTokens {
+    /// For connections that have had a request, as soon as they have no pending reply.
+    used: CancellationToken,
+    /// For those that have had none too.
+    unused: CancellationToken,
+}
+
+/// What all sessions share.
 #[derive(Clone)]
-struct Clients {
-    to: UnboundedSender<Message>,
-    bounds: Bounds,
-    terms: watch::Receiver<SharedSettings>,
-    /// Connections on which nothing is owed.
+struct SessionContext {
+    /// Sends to the driver.
+    driver: UnboundedSender<Message>,
+    limits: ClientLimits,
+    settings: watch::Receiver<SharedSettings>,
     idle: Arc<IdleConnections>,
-    /// Told when a session has ended.
-    left: Arc<Notify>,
-    next_id: Arc<AtomicU32>,
-    open_ids: Arc<Mutex<HashSet<Bytes>>>,
-    /// Bytes held by the open requests of all connections.
-    held: Arc<AtomicUsize>,
-    /// Room for buffers that are not small.
-    budget: Budget,
-    closing: Closing,
-    sessions: TaskTracker,
+    /// Notified when a session has ended.
+    session_ended: Arc<Notify>,
+    next_request_id: Arc<AtomicU32>,
+    open_ids: OpenIds,
+    /// The memory of the open requests of all connections, in bytes.
+    request_memory: Arc<AtomicUsize>,
+    /// The memory for buffers that are not small.
+    budget: MemoryBudget,
+    closing: ClosingTokens,
     metrics: Arc<Metrics>,
     stalls: StallMonitor,
 }
 
-/// What the clients' side is given by the other parts of the node.
-pub struct Wiring {
-    pub to: UnboundedSender<Message>,
-    pub bounds: Bounds,
-    pub terms: watch::Receiver<SharedSettings>,
-    pub metrics: Arc<Metrics>,
-    pub budget: Budget,
-    pub stalls: StallMonitor,
-}
-
-impl Clients {
-    fn new(wiring: Wiring, closing: Closing, sessions: TaskTracker) -> Self {
-        let Wiring { to, bounds, terms, metrics, budget, stalls } = wiring;
-        let idle = Arc::new(IdleConnections::new(bounds.resting));
-        let (left, next_id, open_ids, held) = Default::default();
-        Clients {
-            to,
-            bounds,
-            terms,
-            idle,
-            left,
-            next_id,
-            open_ids,
-            held,
+impl SessionContext {
+    fn new(context: ClientContext, closing: ClosingTokens) -> Self {
+        let ClientContext { driver, limits, settings, metrics, budget, stalls } = context;
+        SessionContext {
+            driver,
+            idle: Arc::new(IdleConnections::new(limits.idle_connections)),
+            limits,
+            settings,
+            session_ended: Arc::default(),
+            next_request_id: Arc::default(),
+            open_ids: OpenIds::default(),
+            request_memory: Arc::default(),
             budget,
             closing,
-            sessions,
             metrics,
             stalls,
         }
     }
+}
+
+/// Accepts connections and starts their sessions.
+struct Acceptor {
+    session_context: SessionContext,
+    sessions: TaskTracker,
+}
 
-    /// Takes connections until it is aborted.
-    async fn accept(self, listener: Listener) {
+impl Acceptor {
+    /// Runs until it is aborted.
+    ///
+    /// Beyond the limit each new connection replaces another, so that clients leave descriptors for servers and unused
+    /// connections do not keep new clients out. An error must neither end the loop nor make it spin.
+    async fn run(self, listener: Listener) {
         loop {
-            // Guards against: clients that leave no descriptors for the servers, and crowds of silent ones
-            // that keep the usual ones out. Beyond the limit each newcomer takes the place of another. What
-            // the servers leave free is the clients' too: many have asked once and stay.
-            while self.sessions.len() >= self.bounds.limit() {
-                self.make_room().await;
+            while self.sessions.len() >= self.session_context.limits.max_connections() {
+                self.evict_connection().await;
             }
             match listener.accept().await {
-                Ok(stream) => {
-                    let session = Session::new(self.clone());
-                    self.sessions.spawn(session.run(stream));
+                Ok(socket) => {
+                    let session = Session::new(self.session_context.clone());
+                    self.sessions.spawn(session.run(socket));
                 }
-                // Guards against: an exit, or a busy loop, when descriptors run out. Only those make a client's place
-                // worth taking.
                 Err(error) => {
-                    warn!(event = "accept_failed", front = "clients", %error, "a connection is not taken");
+                    warn!(event = "accept_failed", front = "clients", %error, "a connection is not accepted");
                     match SocketErrorKind::of(&error) {
-                        SocketErrorKind::DescriptorsExhausted => self.make_room().await,
-                        _ => sleep(PAUSE).await,
+                        SocketErrorKind::DescriptorsExhausted => self.evict_connection().await,
+                        _ => sleep(ACCEPT_RETRY_INTERVAL).await,
                     }
                 }
             }
         }
     }
 
-    /// Has a connection closed, and waits for its end, or for a while.
-    async fn make_room(&self) {
-        let left = self.left.notified();
-        self.idle.evict_one(Instant::now());
-        let _ = timeout(PAUSE, left).await; // looked at again either way
+    /// Evicts a connection, and waits a moment for a session to end.
+    async fn evict_connection(&self) {
+        let session_ended = self.session_context.session_ended.notified();
+        self.session_context.idle.evict_one(Instant::now());
+        let _ = timeout(ACCEPT_RETRY_INTERVAL, session_ended).await; // the caller checks the limit again
     }
 }
--- /dev/null
+++ b/crates/node/src/clients/pending_replies.rs
@@ -0,0 +1,236 @@
+//! The replies that one connection waits for, in the order of its commands.
+
+use std::collections::{HashSet, VecDeque};
+use std::future::pending;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+
+use bytes::Bytes;
+use redis_protocol::resp2::types::BytesFrame;
+use stonefold_balancer::RequestId;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use crate::invariants::{ANSWER_SLACK, Invariant, Violations};
+use crate::metrics::InFlight;
+use crate::relay::{MemoryPermit, ValueStream};
+use crate::request::Response;
+
+/// The ids of the open requests of all connections.
+pub(crate) type OpenIds = Arc<Mutex<HashSet<Bytes>>>;
+
+/// The id of an open request, released on drop.
+pub(crate) struct OpenId {
+    id: Bytes,
+    all: OpenIds,
+}
+
+impl OpenId {
+    /// Claims an id; `None` if another open request has it.
+    pub(crate) fn claim(id: &Bytes, all: &OpenIds) -> Option<OpenId> {
+        let is_new = all.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
+        is_new.then(|| OpenId { id: id.clone(), all: all.clone() })
+    }
+}
+
+impl Drop for OpenId {
+    fn drop(&mut self) {
+        self.all.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.id);
+    }
+}
+
+/// The memory that an open request is counted with, released on drop.
+pub(crate) struct RequestMemory {
+    bytes: usize,
+    total: Arc<AtomicUsize>,
+}
+
+impl RequestMemory {
+    /// Adds `bytes` to the total of all connections.
+    pub(crate) fn add(bytes: usize, total: &Arc<AtomicUsize>) -> RequestMemory {
+        total.fetch_add(bytes, Ordering::Relaxed);
+        RequestMemory { bytes, total: total.clone() }
+    }
+}
+
+impl Drop for RequestMemory {
+    fn drop(&mut self) {
+        self.total.fetch_sub(self.bytes, Ordering::Relaxed);
+    }
+}
+
+/// The time by which the client of a request wants the reply.
+#[derive(Clone)]
+pub(crate) struct ReplyDeadline {
+    pub(crate) at: Instant,
+    /// The id of the request, as its client gave it.
+    pub(crate) request: Bytes,
+}
+
+impl ReplyDeadline {
+    /// Records a violation if a reply whose last byte was written now is late.
+    pub(crate) fn check(&self, violations: &Violations) {
+        if Instant::now() > self.at + ANSWER_SLACK {
+            violations.record(Invariant::AnswerInTime, &self.request);
+        }
+    }
+}
+
+/// A request that has not been answered completely.
+pub(crate) struct UnansweredRequest {
+    pub(crate) id: RequestId,
+    pub(crate) deadline: ReplyDeadline,
+    pub(crate) response: oneshot::Receiver<Response>,
+    pub(crate) _open_id: OpenId,
+    pub(crate) _memory: RequestMemory,
+    /// The memory of a value that is not small, occupied until it is no longer needed.
+    pub(crate) _value_permit: Option<MemoryPermit>,
+    pub(crate) _in_flight: InFlight,
+}
+
+/// A reply that the client waits for.
+pub(crate) enum PendingReply {
+    /// A reply that can be written.
+    Ready(BytesFrame),
+    /// The reply to a request.
+    Request(UnansweredRequest),
+    /// The rejection of a request that was never opened.
+    Rejection(oneshot::Receiver<Response>),
+    /// A value that has started to arrive.
+    Value(ValueStream, UnansweredRequest),
+}
+
+impl PendingReply {
+    fn is_open_request(&self) -> bool {
+        matches!(self, PendingReply::Request(_) | PendingReply::Value(..))
+    }
+}
+
+/// A complete reply.
+pub(crate) struct FrameReply {
+    pub(crate) frame: BytesFrame,
+    /// Known if it is the reply to a request.
+    pub(crate) deadline: Option<ReplyDeadline>,
+}
+
+/// A reply that can be written.
+pub(crate) enum Reply {
+    Frame(FrameReply),
+    /// A value that is still arriving. Its request is open until it was written.
+    Value(ValueStream, UnansweredRequest),
+}
+
+/// A response as RESP2 has it.
+enum Encoded {
+    Frame(BytesFrame),
+    Value(ValueStream),
+}
+
+impl From<Response> for Encoded {
+    fn from(response: Response) -> Encoded {
+        Encoded::Frame(match response {
+            Response::Stream(stream) => return Encoded::Value(stream),
+            Response::Value(value) => BytesFrame::BulkString(value),
+            Response::Rejected { retry_after: 0 } => BytesFrame::Error("BUSY".into()),
+            Response::Rejected { retry_after } => {
+                BytesFrame::Error(format!("BUSY {}", retry_after.div_ceil(1000)).into())
+            }
+            Response::Failed => BytesFrame::Error("ERR failed".into()),
+        })
+    }
+}
+
+/// The replies that one connection waits for, in the order of its commands.
+#[derive(Default)]
+pub(crate) struct PendingReplies {
+    replies: VecDeque<PendingReply>,
+    open_requests: usize,
+}
+
+impl PendingReplies {
+    /// Adds the reply to the latest command.
+    pub(crate) fn push(&mut self, reply: PendingReply) {
+        self.open_requests += usize::from(reply.is_open_request());
+        self.replies.push_back(reply);
+    }
+
+    /// Removes the reply to the oldest command.
+    pub(crate) fn pop(&mut self) -> Option<PendingReply> {
+        let reply = self.replies.pop_front()?;
+        self.open_requests -= usize::from(reply.is_open_request());
+        Some(reply)
+    }
+
+    /// The number of pending replies.
+    pub(crate) fn len(&self) -> usize {
+        self.replies.len()
+    }
+
+    /// Whether there are none.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.replies.is_empty()
+    }
+
+    /// The number of open requests among them.
+    pub(crate) fn open_requests(&self) -> usize {
+        self.open_requests
+    }
+
+    /// Waits for the reply to the oldest command; forever if there is none. A response that is lost counts as failed.
+    ///
+    /// # Cancel safety
+    ///
+    /// Cancel safe: no reply is lost.
+    pub(crate) async fn next(&mut self) -> Reply {
+        let response = match self.replies.front_mut() {
+            Some(PendingReply::Request(request)) => {
+                Some((&mut request.response).await.unwrap_or(Response::Failed))
+            }
+            Some(PendingReply::Rejection(response)) => Some(response.await.unwrap_or(Response::Failed)),
+            Some(PendingReply::Ready(_) | PendingReply::Value(..)) => None,
+            None => pending().await,
+        };
+        match (self.pop(), response.map(Encoded::from)) {
+            (Some(PendingReply::Request(request)), Some(Encoded::Value(stream))) => {
+                Reply::Value(stream, request)
+            }
+            (Some(PendingReply::Value(stream, request)), _) => Reply::Value(stream, request),
+            (Some(PendingReply::Request(request)), Some(Encoded::Frame(frame))) => {
+                Reply::Frame(FrameReply { frame, deadline: Some(request.deadline) })
+            }
+            (Some(PendingReply::Ready(frame)), _) | (_, Some(Encoded::Frame(frame))) => {
+                Reply::Frame(FrameReply { frame, deadline: None })
+            }
+            (_, _) => pending().await,
+        }
+    }
+
+    /// Takes the reply to the oldest command if it can be written completely now. A lost response is left to
+    /// [`next`](Self::next).
+    pub(crate) fn take_ready(&mut self) -> Option<FrameReply> {
+        let (frame, deadline) = match self.replies.front_mut()? {
+            PendingReply::Ready(frame) => (std::mem::replace(frame, BytesFrame::Null), None),
+            PendingReply::Rejection(response) => match Encoded::from(response.try_recv().ok()?) {
+                Encoded::Frame(frame) => (frame, None),
+                Encoded::Value(_) => return None,
+            },
+            PendingReply::Request(request) => match Encoded::from(request.response.try_recv().ok()?) {
+                Encoded::Frame(frame) => (frame, Some(request.deadline.clone())),
+                Encoded::Value(stream) => {
+                    self.start_value(stream);
+                    return None;
+                }
+            },
+            PendingReply::Value(..) => return None,
+        };
+        self.pop();
+        Some(FrameReply { frame, deadline })
+    }
+
+    /// Replaces the oldest pending reply, which is that of a request, by the value that has started to arrive.
+    fn start_value(&mut self, stream: ValueStream) {
+        if let Some(PendingReply::Request(request)) = self.replies.pop_front() {
+            self.replies.push_front(PendingReply::Value(stream, request));
+        }
+    }
+}
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -1,322 +1,297 @@
-//! One client's connection: reads its commands, writes the answers.
+//! The connection of one client: reads its commands and writes the replies.
 
 mod commands;
+mod replies;
 
-use std::collections::VecDeque;
 use std::io;
 use std::time::Duration;
 
 use bytes::BytesMut;
-use redis_protocol::resp2::types::BytesFrame;
 use stonefold_net::{Socket, SocketErrorKind};
 use tokio::task::yield_now;
-use tokio::time::{Instant, sleep_until, timeout};
+use tokio::time::{Instant, sleep_until};
 use tracing::{debug, trace};
 
-use super::Clients;
-use super::absent::{UnreadSince, gone, linger, unless_gone};
-use super::command::announced;
+use super::SessionContext;
+use super::command::announced_length;
+use super::disconnect::{UnreadSince, disconnected, linger};
 use super::idle::{IdleSlot, IdleState};
-use super::owed::{Due, Outgoing, Owed, encode, next, outgoing};
+use super::pending_replies::{PendingReplies, PendingReply};
+use crate::client_status::ClientStatus;
 use crate::invariants::Invariant;
 use crate::message::Message;
-use crate::presence::Presence;
-use crate::relay::{CHUNK, Room, STUCK, WHOLE};
+use crate::relay::{CHUNK_BYTES, MAX_BUFFERED_BYTES, MemoryPermit};
 
-/// Room for a command that does not tell how long it is.
-const UNTOLD: usize = 2 * WHOLE;
-/// Requests that one connection may have open; those beyond are refused.
-const PIPELINED: usize = 64;
-/// Answers owed on one connection, errors among them; beyond that it is not read.
-const OWED: usize = 1024;
-/// Commands begun, and bytes of answers written, before others have their turn.
-const TURN: usize = 32;
-const WRITTEN: usize = 16 << 10;
-/// A buffer of up to this size is any connection's; larger ones are for a few at a time.
-const SMALL: usize = 8 << 10;
-/// What an open request is reckoned to hold in memory beside its command.
-const PER_REQUEST: usize = 4 << 10;
-/// A connection that has had nothing good to say for so long is closed: silent, or in the midst of a command.
-const PATIENCE: Duration = Duration::from_millis(2500);
-/// After what can't be read, answers that are owed are waited for so long.
-const PARTING: Duration = Duration::from_millis(1500);
-/// A client that can't be understood is owed an error or a close within 3 s.
-const _: () = assert!(PATIENCE.as_millis() < 3_000 && PARTING.as_millis() < 3_000);
+/// A read buffer of up to this size is available to every connection, in bytes. Larger ones need a permit.
+const SMALL_BUFFER_BYTES: usize = 8 << 10;
+/// The buffer for a large command that does not announce its length, in bytes.
+const UNANNOUNCED_BUFFER_BYTES: usize = 2 * MAX_BUFFERED_BYTES;
+/// A connection that does not send a valid command for this long is closed.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long pending replies may delay the close after a malformed command.
+const MALFORMED_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// A client that cannot be understood gets an error or a close within this time.
+const PROTOCOL_ERROR_LIMIT: Duration = Duration::from_millis(3_000);
+const _: () = assert!(CLIENT_TIMEOUT.as_millis() < PROTOCOL_ERROR_LIMIT.as_millis());
+const _: () = assert!(MALFORMED_TIMEOUT.as_millis() < PROTOCOL_ERROR_LIMIT.as_millis());
 
-/// Why a client's connection ended, where that was no error.
+/// Why a connection ended without an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ending {
-    /// The client closed it, or its sending side.
+    /// The client closed it, or its sending direction.
     ClosedByClient,
-    /// The node is to stop, and nothing is owed.
-    Stopping,
-    /// After a malformed frame.
+    /// The node shuts down, and there is no pending reply.
+    ShuttingDown,
+    /// The client sent a malformed command.
     Malformed,
-    /// Nothing good came for too long.
-    Silent,
-    /// Its place was needed for another.
+    /// The client sent no valid command for too long.
+    TimedOut,
+    /// It was closed in favour of another connection.
     Evicted,
 }
 
-pub struct Session {
-    shared: Clients,
-    presence: Presence,
+/// What a session waits for in one turn.
+struct Turn {
+    has_pending_replies: bool,
+    shutting_down: bool,
+    /// Whether commands are read.
+    reads: bool,
+    /// Whether there is memory to read into; otherwise a permit is needed first.
+    has_buffer: bool,
+    /// The size of the buffer to get a permit for, in bytes.
+    wanted_bytes: usize,
+    /// Whether the socket is watched for a disconnect, since nothing is read from it.
+    watches_disconnect: bool,
+    may_time_out: bool,
+    times_out_at: Instant,
+}
+
+/// The connection of one client.
+pub(crate) struct Session {
+    context: SessionContext,
+    status: ClientStatus,
     buffer: BytesMut,
-    /// The room of a buffer that is not small.
-    large: Option<Room>,
-    /// How much of it had come when the client's patience was last reckoned from.
-    come: usize,
-    /// When the bytes that were read last came, at the earliest.
-    came_at: Instant,
+    /// The permit for a buffer that is not small.
+    buffer_permit: Option<MemoryPermit>,
+    /// The length of the buffer when the client's timeout last started, for a buffer that is not small.
+    progress_bytes: usize,
+    /// The earliest time at which the bytes that were read last may have arrived.
+    received_at: Instant,
     /// When they were read.
     read_at: Instant,
     unread: UnreadSince,
-    owed: VecDeque<Owed>,
-    /// How many of those owed are requests.
-    open: usize,
-    /// Whether it has ever sent a command that is good.
-    heard: bool,
-    /// Whether it has ever had a request. Guards against: crowds that ask whether the node is there, and stay.
-    asked: bool,
-    /// Since when nothing good has come: its start, its last answer, or a command's first byte.
-    since: Instant,
-    /// Whether the buffer may hold another whole command.
-    more: bool,
-    /// When a malformed frame came: nothing more is read.
-    broken: Option<Instant>,
+    pending: PendingReplies,
+    /// Whether the client has ever sent a valid command.
+    has_sent_command: bool,
+    /// Whether it has ever sent a request, rather than only a `PING`.
+    has_sent_request: bool,
+    /// When the client's timeout started: with the connection, the last reply or the first byte of a command.
+    waiting_since: Instant,
+    /// Whether the buffer may hold another complete command.
+    may_have_more: bool,
+    /// When a malformed command was read, after which nothing more is read.
+    malformed_at: Option<Instant>,
 }
 
 impl Session {
-    pub fn new(shared: Clients) -> Self {
+    /// Prepares a session for a new connection.
+    pub(crate) fn new(context: SessionContext) -> Self {
         let now = Instant::now();
         Session {
-            presence: Presence::default(),
+            status: ClientStatus::default(),
             buffer: BytesMut::new(),
-            large: None,
-            come: 0,
-            came_at: now,
+            buffer_permit: None,
+            progress_bytes: 0,
+            received_at: now,
             read_at: now,
-            unread: UnreadSince::new(shared.stalls.clone()),
-            owed: VecDeque::new(),
-            open: 0,
-            heard: false,
-            asked: false,
-            since: now,
-            more: false,
-            broken: None,
-            shared,
+            unread: UnreadSince::new(context.stalls.clone()),
+            pending: PendingReplies::default(),
+            has_sent_command: false,
+            has_sent_request: false,
+            waiting_since: now,
+            may_have_more: false,
+            malformed_at: None,
+            context,
         }
     }
 
-    pub async fn run(mut self, stream: Socket) {
-        // Whether it ended by a break or between requests is all one here.
-        let ended = self.serve(&stream).await;
-        self.presence.end();
-        let left = self.owed.is_empty() && ended.is_ok();
-        self.note_ending(&ended);
-        for owed in self.owed.drain(..) {
-            if let Owed::Waiting(pending) = owed {
-                let _ = self.shared.to.send(Message::ClientDisconnected(pending.id));
+    /// Serves the client until its connection ends.
+    pub(crate) async fn run(mut self, socket: Socket) {
+        let ended = self.serve(&socket).await;
+        self.status.mark_disconnected();
+        let lingers = self.pending.is_empty() && ended.is_ok();
+        self.log_end(&ended);
+        while let Some(reply) = self.pending.pop() {
+            if let PendingReply::Request(request) = reply {
+                let _ = self.context.driver.send(Message::ClientDisconnected(request.id)); // fails if the driver has ended
             }
         }
-        if left {
-            linger(&stream, &mut self.unread).await;
+        if lingers {
+            linger(&socket, &mut self.unread).await;
         }
-        drop(stream);
-        self.shared.left.notify_waiters();
+        drop(socket);
+        self.context.session_ended.notify_waiters();
     }
 
-    /// Logs the connection's end, and counts it if answers are owed.
-    fn note_ending(&self, ended: &io::Result<Ending>) {
-        if self.owed.is_empty() {
-            trace!(
-                event = "client_left",
-                unread = self.buffer.len(),
-                ?ended,
-                "a client's connection is closed"
-            );
+    /// Logs the end of the connection, and counts it if replies are pending.
+    fn log_end(&self, ended: &io::Result<Ending>) {
+        let unread = self.buffer.len();
+        if self.pending.is_empty() {
+            trace!(event = "client_disconnected", unread, ?ended, "a client's connection is closed");
             return;
         }
-        let figures = &self.shared.metrics.unanswered_closes;
-        match ended {
-            Ok(_) => figures.by_client.increment(),
-            Err(error)
-                if matches!(
-                    SocketErrorKind::of(error),
-                    SocketErrorKind::PeerClosed | SocketErrorKind::Unreachable
-                ) =>
-            {
-                figures.by_client.increment();
-            }
-            Err(_) => {
-                figures.by_node.increment();
-                self.shared.metrics.violations.record(Invariant::NoUnansweredClose, &[]);
-            }
+        let closed = &self.context.metrics.unanswered_closes;
+        if is_ended_by_client(ended) {
+            closed.by_client.increment();
+        } else {
+            closed.by_node.increment();
+            self.context.metrics.violations.record(Invariant::NoUnansweredClose, &[]);
         }
         debug!(
-            event = "client_left_owed",
-            owed = self.owed.len(),
-            unread = self.buffer.len(),
+            event = "client_disconnected_early",
+            pending_replies = self.pending.len(),
+            unread,
             ?ended,
-            stopping = self.shared.closing.used.is_cancelled(),
-            "a client's connection is closed with answers owed"
+            shutting_down = self.context.closing.used.is_cancelled(),
+            "a client's connection is closed with pending replies"
         );
     }
 
-    async fn serve(&mut self, client: &Socket) -> io::Result<Ending> {
-        let (closing, budget) = (self.shared.closing.clone(), self.shared.budget.clone());
+    async fn serve(&mut self, socket: &Socket) -> io::Result<Ending> {
+        let closing = self.context.closing.clone();
+        let budget = self.context.budget.clone();
         let mut slot = None;
         loop {
-            let unowed = self.owed.is_empty();
-            let stopping = closing.used.is_cancelled();
-            let parting = stopping && self.asked || closing.silent.is_cancelled();
-            if unowed && (self.broken.is_some() || parting && self.buffer.is_empty()) {
-                client.shutdown_write()?;
-                return Ok(if self.broken.is_some() { Ending::Malformed } else { Ending::Stopping });
-            }
-            let idle = unowed.then(|| self.idle_state());
-            if idle != slot.as_ref().map(IdleSlot::state) {
-                slot = idle.map(|state| self.shared.idle.enter(state, self.since));
+            let shutting_down = closing.used.is_cancelled();
+            if let Some(ending) = self.ending(shutting_down) {
+                socket.shutdown_write()?;
+                return Ok(ending);
             }
-            // Guards against: a client that always has a command under way and so keeps a node that is to
-            // stop until it is killed with something unanswered. What is not read, the client sends again.
-            let reading = self.may_begin() && !self.more && (!stopping || unowed);
-            let roomy = self.buffer.len() < SMALL || self.large.is_some();
-            let wanted = if roomy { 0 } else { announced(&self.buffer).unwrap_or(UNTOLD) };
-            let looks = !(self.more || reading && roomy);
-            let (may_give_up, give_up_at) = (self.may_give_up(), self.give_up_at());
+            self.update_idle_slot(&mut slot);
+            let turn = self.next_turn(shutting_down);
             tokio::select! {
                 biased;
-                read = client.read_buf(&mut self.buffer), if reading && roomy => {
+                read = socket.read_buf(&mut self.buffer), if turn.reads && turn.has_buffer => {
                     let read = read?;
                     if read == 0 {
                         return Ok(Ending::ClosedByClient);
                     }
-                    self.note_read(client, read);
+                    self.on_read(socket, read);
                 }
-                // Guards against: a client that leaves while it is not read, and whose requests go on.
-                () = gone(client, &mut self.unread), if looks => return Ok(Ending::ClosedByClient),
-                // Guards against: long commands on all connections at once, which outgrow the memory.
-                Ok(room) = budget.room(wanted), if reading && !roomy => {
-                    self.buffer.reserve(wanted.saturating_sub(self.buffer.len()));
-                    (self.large, self.come) = (Some(room), self.buffer.len());
-                    self.since = Instant::now(); // it was we who let the client wait
+                () = disconnected(socket, &mut self.unread), if turn.watches_disconnect => {
+                    return Ok(Ending::ClosedByClient);
+                }
+                Ok(permit) = budget.reserve(turn.wanted_bytes), if turn.reads && !turn.has_buffer => {
+                    self.grow_buffer(turn.wanted_bytes, permit);
+                }
+                reply = self.pending.next(), if turn.has_pending_replies => {
+                    self.write_reply(socket, reply).await?;
+                }
+                () = yield_now(), if self.may_have_more => {}
+                () = closing.used.cancelled(), if !turn.shutting_down => {}
+                () = closing.unused.cancelled(), if !closing.unused.is_cancelled() => {}
+                () = sleep_until(turn.times_out_at), if turn.may_time_out => {
+                    return replies::time_out(socket).await;
                 }
-                outgoing = next(&mut self.owed), if !unowed => self.write_out(client, outgoing).await?,
-                () = yield_now(), if self.more => {}
-                () = closing.used.cancelled(), if !stopping => {}
-                () = closing.silent.cancelled(), if !closing.silent.is_cancelled() => {}
-                () = sleep_until(give_up_at), if may_give_up => return give_up(client).await,
                 () = IdleSlot::evicted(&mut slot) => {
-                    client.shutdown_write()?;
+                    socket.shutdown_write()?;
                     return Ok(Ending::Evicted);
                 }
             }
-            self.begin();
+            self.start_commands();
         }
     }
 
-    /// Bytes have come: so many, and now.
-    fn note_read(&mut self, client: &Socket, read: usize) {
-        let now = Instant::now();
-        self.came_at = self.unread.read(client);
-        self.read_at = now;
-        if self.heard && read == self.buffer.len() {
-            self.since = now; // a command's first byte
+    /// Why the connection is to be closed now, if it is.
+    fn ending(&self, shutting_down: bool) -> Option<Ending> {
+        if !self.pending.is_empty() {
+            return None;
         }
-        // A long value may take its time as long as it comes on.
-        if self.large.is_some() && self.buffer.len() >= self.come + CHUNK {
-            (self.since, self.come) = (now, self.buffer.len());
+        if self.malformed_at.is_some() {
+            return Some(Ending::Malformed);
         }
+        let closes = shutting_down && self.has_sent_request || self.context.closing.unused.is_cancelled();
+        (closes && self.buffer.is_empty()).then_some(Ending::ShuttingDown)
     }
 
-    /// Writes an answer, and those behind it that are at hand, as long as the client is there.
-    async fn write_out(&mut self, client: &Socket, outgoing: Outgoing) -> io::Result<()> {
-        match outgoing {
-            Outgoing::Frame(frame, due) => {
-                let (text, dues) = self.answers(frame, due);
-                let write = async { timeout(STUCK, client.write_all(&text)).await? };
-                unless_gone(client, &mut self.unread, write).await?;
-                dues.iter().for_each(|due| due.check(&self.shared.metrics.violations));
-            }
-            // A long value takes as long as its client and its server make it.
-            Outgoing::Value(stream, _pending) => {
-                unless_gone(client, &mut self.unread, stream.write_to(&mut { client })).await?;
-            }
+    /// Enters the connection among those that can be evicted while it has no pending reply, under its current state.
+    fn update_idle_slot(&self, slot: &mut Option<IdleSlot>) {
+        let state = self.pending.is_empty().then(|| self.idle_state());
+        if state != slot.as_ref().map(IdleSlot::state) {
+            *slot = state.map(|state| self.context.idle.enter(state, self.waiting_since));
         }
-        self.recount();
-        self.since = Instant::now();
-        Ok(())
     }
 
     fn idle_state(&self) -> IdleState {
-        match (self.buffer.is_empty(), self.asked) {
+        match (self.buffer.is_empty(), self.has_sent_request) {
             (false, _) => IdleState::Sending,
-            (true, true) => IdleState::Resting,
-            (true, false) => IdleState::Silent,
+            (true, true) => IdleState::BetweenRequests,
+            (true, false) => IdleState::Unused,
+        }
+    }
+
+    fn next_turn(&self, shutting_down: bool) -> Turn {
+        let all_replied = self.pending.is_empty();
+        // During a shutdown nothing is read behind pending replies, since a client that always has a request open would
+        // keep the node running until it is killed. The client repeats on another connection what was not read.
+        let reads = self.may_start_command() && !self.may_have_more && (!shutting_down || all_replied);
+        let has_buffer = self.buffer.len() < SMALL_BUFFER_BYTES || self.buffer_permit.is_some();
+        let wanted_bytes =
+            if has_buffer { 0 } else { announced_length(&self.buffer).unwrap_or(UNANNOUNCED_BUFFER_BYTES) };
+        Turn {
+            has_pending_replies: !all_replied,
+            shutting_down,
+            reads,
+            has_buffer,
+            wanted_bytes,
+            watches_disconnect: !(self.may_have_more || reads && has_buffer),
+            may_time_out: self.may_time_out(),
+            times_out_at: self.times_out_at(),
         }
     }
 
-    /// Whether the client is waited for only for a while.
-    ///
-    /// Guards against: silent connections and halves of commands, which would be held for ever, and an error
-    /// that waits behind an answer which is long in coming.
-    fn may_give_up(&self) -> bool {
-        let waits_for_us = self.buffer.len() >= SMALL && self.large.is_none();
-        let silent = self.owed.is_empty() && (!self.heard || !self.buffer.is_empty());
-        self.broken.is_some() || silent && !waits_for_us
+    /// Whether the timeout of the client runs: after a malformed command, before the first valid one and within one,
+    /// unless the node makes the client wait for a buffer.
+    fn may_time_out(&self) -> bool {
+        let waits_for_buffer = self.buffer.len() >= SMALL_BUFFER_BYTES && self.buffer_permit.is_none();
+        let sends_nothing = self.pending.is_empty() && (!self.has_sent_command || !self.buffer.is_empty());
+        self.malformed_at.is_some() || sends_nothing && !waits_for_buffer
     }
 
-    fn give_up_at(&self) -> Instant {
-        self.broken.map_or(self.since + PATIENCE, |at| at + PARTING)
+    fn times_out_at(&self) -> Instant {
+        self.malformed_at.map_or(self.waiting_since + CLIENT_TIMEOUT, |at| at + MALFORMED_TIMEOUT)
     }
 
-    /// The text of an answer, and of those behind it that are at hand, and when they are due.
-    fn answers(&mut self, first: BytesFrame, due: Option<Due>) -> (BytesMut, Vec<Due>) {
-        let mut text = BytesMut::new();
-        let mut dues = Vec::from_iter(due);
-        encode(&mut text, &first);
-        while text.len() < WRITTEN {
-            let frame = match self.owed.front_mut() {
-                Some(Owed::Ready(frame)) => std::mem::replace(frame, BytesFrame::Null),
-                Some(Owed::Refused(answer)) => match answer.try_recv().map(outgoing) {
-                    Ok(Ok(frame)) => frame,
-                    _ => break, // not yet, as below
-                },
-                Some(Owed::Waiting(pending)) => match pending.answer.try_recv() {
-                    Ok(answer) => match outgoing(answer) {
-                        Ok(frame) => {
-                            dues.push(pending.due.clone());
-                            frame
-                        }
-                        Err(stream) => {
-                            if let Some(Owed::Waiting(pending)) = self.owed.pop_front() {
-                                self.owed.push_front(Owed::Coming(stream, pending));
-                            }
-                            break;
-                        }
-                    },
-                    Err(_) => break, // not yet; should its sender be gone, the next turn says so
-                },
-                Some(Owed::Coming(..)) | None => break,
-            };
-            self.owed.pop_front();
-            encode(&mut text, &frame);
+    /// Records the arrival of bytes in the buffer.
+    fn on_read(&mut self, socket: &Socket, read: usize) {
+        let now = Instant::now();
+        self.received_at = self.unread.earliest_arrival(socket);
+        self.read_at = now;
+        if self.has_sent_command && read == self.buffer.len() {
+            self.waiting_since = now; // the first bytes of a command
+        }
+        // A large value may take its time as long as it makes progress.
+        if self.buffer_permit.is_some() && self.buffer.len() >= self.progress_bytes + CHUNK_BYTES {
+            self.waiting_since = now;
+            self.progress_bytes = self.buffer.len();
         }
-        (text, dues)
     }
 
-    fn recount(&mut self) {
-        self.open = self.owed.iter().filter(|owed| owed.is_open()).count();
+    /// Makes room for a command that does not fit in a small buffer.
+    fn grow_buffer(&mut self, wanted_bytes: usize, permit: MemoryPermit) {
+        self.buffer.reserve(wanted_bytes.saturating_sub(self.buffer.len()));
+        self.buffer_permit = Some(permit);
+        self.progress_bytes = self.buffer.len();
+        self.waiting_since = Instant::now(); // it was the node that made the client wait
     }
 }
 
-/// Tells a client of which nothing good has come for too long so, and ends its connection.
-async fn give_up(client: &Socket) -> io::Result<Ending> {
-    let error = BytesFrame::Error("ERR no whole command".into());
-    let mut text = BytesMut::new();
-    encode(&mut text, &error);
-    timeout(STUCK, client.write_all(&text)).await??;
-    client.shutdown_write()?;
-    Ok(Ending::Silent)
+/// Whether a connection ended because of the client rather than of the node.
+fn is_ended_by_client(ended: &io::Result<Ending>) -> bool {
+    match ended {
+        Ok(_) => true,
+        Err(error) => {
+            matches!(SocketErrorKind::of(error), SocketErrorKind::PeerClosed | SocketErrorKind::Unreachable)
+        }
+    }
 }
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -1,4 +1,4 @@
-//! A session's commands: which of them are begun, and what becomes of them.
+//! Which commands a session starts, and how.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -11,130 +11,155 @@
 use tokio::time::Instant;
 use tracing::trace;
 
-use super::{OWED, PER_REQUEST, PIPELINED, SMALL, Session, TURN, UNTOLD};
-use crate::clients::command::{CommandError, arguments, parse_command};
-use crate::clients::owed::{Due, Held, OpenId, Owed, Pending};
+use super::{SMALL_BUFFER_BYTES, Session, UNANNOUNCED_BUFFER_BYTES};
+use crate::clients::command::{CommandError, into_arguments, parse_command};
+use crate::clients::pending_replies::{
+    OpenId, PendingReply, ReplyDeadline, RequestMemory, UnansweredRequest,
+};
 use crate::invariants::Invariant;
 use crate::message::{ExcessRequest, IncomingRequest, Message};
 use crate::metrics::InFlight;
-use crate::relay::LARGEST;
+use crate::relay::MAX_FRAME_BYTES;
 use crate::request::ClientRequest;
 
+/// The requests that one connection may have open; more are rejected.
+const MAX_OPEN_REQUESTS: usize = 64;
+/// The replies, including errors, that one connection may have pending; beyond that it is not read.
+const MAX_PENDING_REPLIES: usize = 1024;
+/// How many commands are started before other sessions have their turn.
+const MAX_COMMANDS_PER_TURN: usize = 32;
+/// What an open request is counted with in memory beside its command, in bytes.
+const REQUEST_OVERHEAD_BYTES: usize = 4 << 10;
+
 impl Session {
-    /// The longest command that is read: no longer than there is room for it.
-    pub(super) fn frame_limit(&self) -> usize {
-        match &self.large {
-            Some(room) => room.num_permits().max(UNTOLD),
-            None => LARGEST,
+    /// The largest command that is read, in bytes: no larger than the buffer that there is a permit for.
+    fn frame_limit(&self) -> usize {
+        match &self.buffer_permit {
+            Some(permit) => permit.num_permits().max(UNANNOUNCED_BUFFER_BYTES),
+            None => MAX_FRAME_BYTES,
         }
     }
 
-    /// Whether another command may be begun.
-    pub(super) fn may_begin(&self) -> bool {
-        let room = || self.shared.held.load(Ordering::Relaxed) < self.shared.bounds.memory / 2;
-        self.broken.is_none() && self.owed.len() < OWED && (self.owed.is_empty() || room())
+    /// Whether another command may be started. Open requests may occupy one half of the clients' memory, beyond which
+    /// each connection may have one.
+    pub(super) fn may_start_command(&self) -> bool {
+        let has_memory = || {
+            let used = self.context.request_memory.load(Ordering::Relaxed);
+            used < self.context.limits.memory_bytes / 2
+        };
+        self.malformed_at.is_none()
+            && self.pending.len() < MAX_PENDING_REPLIES
+            && (self.pending.is_empty() || has_memory())
     }
 
-    /// Begins commands that have come whole, as many as have their turn.
-    pub(super) fn begin(&mut self) {
+    /// Starts the complete commands in the buffer, as many as one turn allows.
+    pub(super) fn start_commands(&mut self) {
         let before = self.buffer.len();
-        self.more = self.begin_some();
+        self.may_have_more = self.start_some_commands();
         if self.buffer.is_empty() {
-            self.buffer = BytesMut::new(); // what has grown goes back
+            self.buffer = BytesMut::new(); // frees what has grown
         }
         if self.buffer.len() < before {
-            self.since = Instant::now();
-            self.large = None; // it was for the command that has gone; the next one tells anew
+            self.waiting_since = Instant::now();
+            self.buffer_permit = None; // it was for the command just taken
         }
     }
 
-    /// Tells whether there may be more.
-    pub(super) fn begin_some(&mut self) -> bool {
-        for _ in 0..TURN {
-            if !self.may_begin() {
+    /// Returns whether there may be more complete commands.
+    fn start_some_commands(&mut self) -> bool {
+        for _ in 0..MAX_COMMANDS_PER_TURN {
+            if !self.may_start_command() {
                 return false;
             }
-            let (before, limit) = (self.buffer.len(), self.frame_limit());
-            let owed = match decode_frame(&mut self.buffer, limit).map(|f| f.map(arguments)) {
+            let before = self.buffer.len();
+            let limit = self.frame_limit();
+            let reply = match decode_frame(&mut self.buffer, limit).map(|frame| frame.map(into_arguments)) {
                 Ok(None) => return false,
-                Ok(Some(Ok(parts))) => self.command(&parts, before - self.buffer.len()),
-                Ok(Some(Err(MalformedFrame))) | Err(MalformedFrame) => {
-                    self.broken = Some(Instant::now());
-                    self.buffer.clear();
-                    Owed::Ready(BytesFrame::Error("ERR malformed command".into()))
-                }
+                Ok(Some(Ok(arguments))) => self.start_command(&arguments, before - self.buffer.len()),
+                Ok(Some(Err(MalformedFrame))) | Err(MalformedFrame) => self.reject_malformed(),
             };
-            self.owed.push_back(owed);
+            self.pending.push(reply);
         }
         true
     }
 
-    pub(super) fn command(&mut self, parts: &[Bytes], length: usize) -> Owed {
-        let owed = match parts {
+    fn reject_malformed(&mut self) -> PendingReply {
+        self.malformed_at = Some(Instant::now());
+        self.buffer.clear();
+        PendingReply::Ready(BytesFrame::Error("ERR malformed command".into()))
+    }
+
+    /// Starts a command that had `length` bytes in the buffer.
+    fn start_command(&mut self, arguments: &[Bytes], length: usize) -> PendingReply {
+        let reply = match arguments {
             [name] if name.eq_ignore_ascii_case(b"PING") => {
-                Ok(Owed::Ready(BytesFrame::SimpleString("PONG".into())))
+                Ok(PendingReply::Ready(BytesFrame::SimpleString("PONG".into())))
             }
-            _ => parse_command(parts).and_then(|command| self.request(command, length)),
+            _ => parse_command(arguments).and_then(|request| self.start_request(request, length)),
         };
-        self.heard |= owed.is_ok();
-        owed.unwrap_or_else(|error| Owed::Ready(BytesFrame::Error(format!("ERR {error}").into())))
+        self.has_sent_command |= reply.is_ok();
+        reply.unwrap_or_else(|error| PendingReply::Ready(BytesFrame::Error(format!("ERR {error}").into())))
     }
 
-    pub(super) fn request(&mut self, command: ClientRequest, length: usize) -> Result<Owed, CommandError> {
-        // Guards against: requests that name a class which the settings lack, sent on to servers that turn
-        // them away. One that names none is served.
-        if command
-            .metadata_value("c")
-            .is_some_and(|class| !self.shared.terms.borrow().class_names.contains(class))
-        {
-            return Err(CommandError::Class);
-        }
-        if self.open >= PIPELINED {
-            return Ok(self.refuse(&command));
-        }
-        // Guards against: the answer to another client's request, or one for both.
-        let open_id = OpenId::take(&command.id, &self.shared.open_ids).ok_or(CommandError::InUse)?;
-        let room = if length >= SMALL { self.large.take() } else { None };
-        let in_flight = InFlight::new(&self.shared.metrics);
-        let held = Held::new(PER_REQUEST + length, &self.shared.held);
-        let id = RequestId(self.shared.next_id.fetch_add(1, Ordering::Relaxed));
-        let (sender, answer) = oneshot::channel();
-        if self.shared.stalls.earliest_arrival(self.read_at) < self.read_at {
-            self.shared.metrics.read_after_stall.increment();
+    fn start_request(&mut self, request: ClientRequest, length: usize) -> Result<PendingReply, CommandError> {
+        // Servers would reject a class that the settings lack. A request that names no class is served.
+        let is_unknown = |class: &str| !self.context.settings.borrow().class_names.contains(class);
+        if request.metadata_value("c").is_some_and(is_unknown) {
+            return Err(CommandError::UnknownClass);
         }
-        trace!(event = "taken", request = %String::from_utf8_lossy(&command.id), wait_us = command.timeout,
-            came_us_ago = self.came_at.elapsed().as_micros() as u64, "a request is taken");
-        if self.shared.closing.silent.is_cancelled() {
-            self.shared.metrics.violations.record(Invariant::NoLateRequest, &command.id);
+        if self.pending.open_requests() >= MAX_OPEN_REQUESTS {
+            return Ok(self.reject_excess(&request));
         }
-        let due =
-            Due { at: self.came_at + Duration::from_micros(command.timeout), request: command.id.clone() };
-        let client = self.presence.clone();
-        let arrival =
-            IncomingRequest { id, request: command, received_at: self.came_at, response: sender, client };
-        // A driver that is gone drops the sender, and the request ends as failed.
-        let _ = self.shared.to.send(Message::RequestReceived(arrival));
-        self.open += 1;
-        self.asked = true;
-        Ok(Owed::Waiting(Pending {
+        // Servers treat requests with the same id as one, so that two clients would get one answer.
+        let open_id = OpenId::claim(&request.id, &self.context.open_ids).ok_or(CommandError::IdInUse)?;
+        let value_permit = if length >= SMALL_BUFFER_BYTES { self.buffer_permit.take() } else { None };
+        let in_flight = InFlight::new(&self.context.metrics);
+        let memory = RequestMemory::add(REQUEST_OVERHEAD_BYTES + length, &self.context.request_memory);
+        let id = RequestId(self.context.next_request_id.fetch_add(1, Ordering::Relaxed));
+        self.record_arrival(&request);
+        let (sender, response) = oneshot::channel();
+        let deadline = ReplyDeadline {
+            at: self.received_at + Duration::from_micros(request.timeout),
+            request: request.id.clone(),
+        };
+        let client = self.status.clone();
+        let incoming =
+            IncomingRequest { id, request, received_at: self.received_at, response: sender, client };
+        // If the driver has ended, the sender is dropped and the request fails.
+        let _ = self.context.driver.send(Message::RequestReceived(incoming));
+        self.has_sent_request = true;
+        Ok(PendingReply::Request(UnansweredRequest {
             id,
-            due,
-            answer,
+            deadline,
+            response,
             _open_id: open_id,
-            _held: held,
-            _room: room,
+            _memory: memory,
+            _value_permit: value_permit,
             _in_flight: in_flight,
         }))
     }
 
-    /// Refuses a request that was never begun, so that its client may try again. How long it is to wait first is
-    /// the driver's to say.
-    pub(super) fn refuse(&mut self, command: &ClientRequest) -> Owed {
-        let (sender, answer) = oneshot::channel();
-        let class = command.metadata_value("c").map(str::to_owned);
-        // A driver that is gone drops the sender, and the request ends as failed.
-        let _ = self.shared.to.send(Message::ExcessRequest(ExcessRequest { class, response: sender }));
-        self.asked = true;
-        Owed::Refused(answer)
+    /// Counts and logs the arrival of a request.
+    fn record_arrival(&self, request: &ClientRequest) {
+        let metrics = &self.context.metrics;
+        if self.context.stalls.earliest_arrival(self.read_at) < self.read_at {
+            metrics.read_after_stall.increment();
+        }
+        trace!(event = "request_received", request = %String::from_utf8_lossy(&request.id),
+            timeout_us = request.timeout, received_us_ago = self.received_at.elapsed().as_micros() as u64,
+            "a request has arrived");
+        if self.context.closing.unused.is_cancelled() {
+            metrics.violations.record(Invariant::NoLateRequest, &request.id);
+        }
+    }
+
+    /// Rejects a request that is never opened, so that its client may retry. The driver decides after what time.
+    fn reject_excess(&mut self, request: &ClientRequest) -> PendingReply {
+        let (sender, response) = oneshot::channel();
+        let class = request.metadata_value("c").map(str::to_owned);
+        // If the driver has ended, the sender is dropped and the request fails.
+        let _ = self.context.driver.send(Message::ExcessRequest(ExcessRequest { class, response: sender }));
+        self.has_sent_request = true;
+        PendingReply::Rejection(response)
     }
 }
--- /dev/null
+++ b/crates/node/src/clients/session/replies.rs
@@ -0,0 +1,77 @@
+//! How a session writes replies.
+
+use std::io;
+
+use bytes::BytesMut;
+use redis_protocol::resp2::encode::extend_encode;
+use redis_protocol::resp2::types::BytesFrame;
+use stonefold_net::Socket;
+use tokio::time::{Instant, timeout};
+
+use super::{Ending, Session};
+use crate::clients::disconnect::while_connected;
+use crate::clients::pending_replies::{FrameReply, Reply, ReplyDeadline};
+use crate::relay::PROGRESS_TIMEOUT;
+
+/// How many bytes of replies are collected for one write before other sessions have their turn.
+const MAX_BATCH_BYTES: usize = 16 << 10;
+
+/// Replies that are written together.
+struct Batch {
+    text: BytesMut,
+    /// The deadlines of those that have one.
+    deadlines: Vec<ReplyDeadline>,
+}
+
+impl Batch {
+    fn add(&mut self, reply: FrameReply) {
+        encode(&mut self.text, &reply.frame);
+        self.deadlines.extend(reply.deadline);
+    }
+}
+
+impl Session {
+    /// Writes a reply, and those after it that are ready, while the client is connected.
+    pub(super) async fn write_reply(&mut self, socket: &Socket, reply: Reply) -> io::Result<()> {
+        match reply {
+            Reply::Frame(first) => {
+                let batch = self.collect_batch(first);
+                let write = async { timeout(PROGRESS_TIMEOUT, socket.write_all(&batch.text)).await? };
+                while_connected(socket, &mut self.unread, write).await?;
+                for deadline in &batch.deadlines {
+                    deadline.check(&self.context.metrics.violations);
+                }
+            }
+            // A large value takes as long as its client and its server need. The request is open until then.
+            Reply::Value(stream, _request) => {
+                while_connected(socket, &mut self.unread, stream.write_to(&mut { socket })).await?;
+            }
+        }
+        self.waiting_since = Instant::now();
+        Ok(())
+    }
+
+    fn collect_batch(&mut self, first: FrameReply) -> Batch {
+        let mut batch = Batch { text: BytesMut::new(), deadlines: Vec::new() };
+        batch.add(first);
+        while batch.text.len() < MAX_BATCH_BYTES {
+            let Some(reply) = self.pending.take_ready() else { break };
+            batch.add(reply);
+        }
+        batch
+    }
+}
+
+/// Tells a client that has sent no valid command for too long, and closes the sending direction.
+pub(super) async fn time_out(socket: &Socket) -> io::Result<Ending> {
+    let mut text = BytesMut::new();
+    encode(&mut text, &BytesFrame::Error("ERR no whole command".into()));
+    timeout(PROGRESS_TIMEOUT, socket.write_all(&text)).await??;
+    socket.shutdown_write()?;
+    Ok(Ending::TimedOut)
+}
+
+fn encode(text: &mut BytesMut, frame: &BytesFrame) {
+    // Fails only for frames that RESP2 lacks, which are never used.
+    let _ = extend_encode(text, frame, false);
+}
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -12,13 +12,13 @@
 use stonefold_balancer::settings_document::{ResolvedSettings, SettingsError};
 use stonefold_proto::endpoints::EndpointList;
 
-use crate::bounds::Bounds;
+use crate::client_limits::ClientLimits;
 use crate::handover;
 use crate::membership::MembershipConfig;
-use crate::momentary::{Momentary, until_done_blocking};
 use crate::operator::MAX_CONNECTIONS as OPERATOR_CONNECTIONS;
-use crate::relay::Budget;
-use crate::shared::Shared;
+use crate::relay::MemoryBudget;
+use crate::shared::SharedState;
+use crate::transient::{TransientError, retry_transient_blocking};
 
 pub use document::check_file;
 pub(crate) use source::ConfigSource;
@@ -57,7 +57,7 @@
     /// When the process started, as far as is known: the time to ready counts from here.
     pub started: Instant,
     /// The store that all nodes share, where an installation has one.
-    pub shared: Option<Arc<dyn Shared>>,
+    pub shared: Option<Arc<dyn SharedState>>,
     /// How this node takes part in the membership, where it is enabled.
     pub membership: Option<MembershipConfig>,
 }
@@ -97,9 +97,9 @@
     ShuttingDown,
 }
 
-impl Momentary for ConfigError {
-    fn is_momentary(&self) -> bool {
-        matches!(self, ConfigError::Unreadable(_, error) if error.is_momentary())
+impl TransientError for ConfigError {
+    fn is_transient(&self) -> bool {
+        matches!(self, ConfigError::Unreadable(_, error) if error.is_transient())
     }
 }
 
@@ -110,7 +110,7 @@
     /// If it can't be read, lacks something or states what can't be used.
     pub fn from_source(source: Source) -> Result<Config, ConfigError> {
         let started = Instant::now();
-        let (document, value) = until_done_blocking(|| source.read())?;
+        let (document, value) = retry_transient_blocking(|| source.read())?;
         let processes = if handover::is_passed() { 2 } else { 1 };
         let sockets = document.limits.sockets.unwrap_or(DEFAULT_SOCKETS);
         if sockets < 2 * RESERVED_SOCKETS * processes {
@@ -136,17 +136,23 @@
     /// What clients may use: a third of the descriptors, and more while connections to servers use less than their part,
     /// with an eighth left for those to come; a quarter of the memory. Both processes of an upgrade share the third,
     /// since a client of the new one has left the old.
-    pub(crate) fn client_bounds(&self, to_servers: Arc<AtomicUsize>) -> Bounds {
-        let with_servers = (self.sockets - RESERVED_SOCKETS - self.sockets / 8) / self.processes;
-        let connections = self.sockets / 3;
+    pub(crate) fn client_limits(&self, server_connections: Arc<AtomicUsize>) -> ClientLimits {
+        let total_connections = (self.sockets - RESERVED_SOCKETS - self.sockets / 8) / self.processes;
+        let guaranteed_connections = self.sockets / 3;
         // A quarter stays free for new connections of the clients, and for those that a successor accepts.
-        let resting = (connections * 3 / 4 / self.processes).max(1);
-        Bounds { connections, with_servers, resting, to_servers, memory: self.memory / 4 }
+        let idle_connections = (guaranteed_connections * 3 / 4 / self.processes).max(1);
+        ClientLimits {
+            guaranteed_connections,
+            total_connections,
+            idle_connections,
+            server_connections,
+            memory_bytes: self.memory / 4,
+        }
     }
 
     /// The memory for long values that are relayed: a quarter.
-    pub(crate) fn relay_budget(&self) -> Budget {
-        Budget::new(self.memory / 4)
+    pub(crate) fn relay_budget(&self) -> MemoryBudget {
+        MemoryBudget::new(self.memory / 4)
     }
 
     /// The maximum of connections to servers.
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -8,206 +8,225 @@
 use tokio::time::Instant;
 use tracing::trace;
 
-use super::open_request::{Open, Running};
-use super::{Driver, Due};
+use super::open_request::{Attempt, RunningAttempt};
+use super::{Driver, Timer};
 use crate::invariants::Invariant;
 use crate::message::{FinishedAttempt, Message};
-use crate::relay::{Pass, Stream};
+use crate::relay::{RelayContext, ValueStream};
 use crate::request::Response;
 use crate::upstream::attempt;
-use crate::upstream::connection::Connection;
+use crate::upstream::connection::ServerConnection;
 use crate::upstream::directory::Target;
 use crate::upstream::send_permit::{SendConditions, SendStart};
 
+/// An attempt that the balancer asks for.
+pub(super) struct NewAttempt {
+    pub(super) request: RequestId,
+    pub(super) server: ServerId,
+    /// After this time the attempt is abandoned.
+    pub(super) timeout: Duration,
+    /// A retry must start before this time, so that servers still recognise the repeated request.
+    pub(super) send_before: Option<Instant>,
+}
+
+/// How an attempt ended, for the balancer.
+struct AttemptOutcome {
+    outcome: Outcome,
+    elapsed: Duration,
+    cache_hit: Option<bool>,
+}
+
+impl AttemptOutcome {
+    /// The outcome of an attempt that was not made.
+    const NOT_MADE: AttemptOutcome =
+        AttemptOutcome { outcome: Outcome::NotSent, elapsed: Duration::ZERO, cache_hit: None };
+}
+
 impl Driver {
-    pub(super) fn send(
-        &mut self,
-        id: RequestId,
-        server: ServerId,
-        wait: Duration,
-        repeat_until: Option<Instant>,
-    ) {
-        let (now, due) = (Instant::now(), self.now + wait);
+    /// Starts an attempt, if the request, its client and the limits on connections allow it.
+    pub(super) fn send(&mut self, new: NewAttempt) {
+        let NewAttempt { request: id, server, timeout, send_before } = new;
+        let now = Instant::now();
+        let due = self.now + timeout;
         let Some(open) = self.open.get_mut(&id) else { return };
-        let attempt = open.attempts.len();
-        let (client, stalls) = (open.client.clone(), self.stalls.clone());
-        let conditions = SendConditions { client, stalls, repeat_until, start: SendStart::default() };
-        let repeats = open.must_not_repeat();
-        open.starts.push(conditions.start.clone());
-        if repeats {
-            self.metrics.violations.record(Invariant::NoUnsafeRetry, &open.command.id);
-            open.attempts.push(None);
-            return self.report_end(id, attempt, Outcome::NotSent, Duration::ZERO, None);
+        let attempt = AttemptId::new(id, open.attempts.len());
+        let start = SendStart::default();
+        let conditions = SendConditions {
+            client: open.client.clone(),
+            stalls: self.stalls.clone(),
+            send_before,
+            start: start.clone(),
+        };
+        let must_not_repeat = open.must_not_repeat();
+        open.attempts.push(Attempt { start, running: None });
+        if must_not_repeat {
+            self.metrics.violations.record(Invariant::NoUnsafeRetry, &open.request.id);
+            return self.report_end(attempt, AttemptOutcome::NOT_MADE);
         }
-        if open.client.has_ended() {
-            // Word of it waits in the inbox, behind what made the module send.
-            open.attempts.push(None);
-            self.gone(id);
-            return self.report_end(id, attempt, Outcome::NotSent, Duration::ZERO, None);
+        if open.client.is_disconnected() {
+            // The message about it is still in the inbox, behind the one that made the balancer send.
+            self.on_client_disconnected(id);
+            return self.report_end(attempt, AttemptOutcome::NOT_MADE);
         }
-        let place = self.directory.check_out(server, now, conditions).filter(|(_, pooled)| {
-            let held = self.running + self.directory.idle();
-            self.held.store(held, Ordering::Relaxed);
-            if pooled.is_none() && held >= self.connections {
-                self.directory.close_oldest();
-            }
-            pooled.is_some() || self.running < self.connections
-        });
-        let Some((target, pooled)) = place else {
-            open.attempts.push(None);
-            return self.report_end(id, attempt, Outcome::NotSent, Duration::ZERO, None);
+        let Some((target, pooled)) = self.check_out(server, now, conditions) else {
+            return self.report_end(attempt, AttemptOutcome::NOT_MADE);
         };
-        let timer = self.timers.insert_at(Due::Attempt(id, attempt), due);
-        trace!(event = "sent", request = %open.name(), attempt, at = %target.addr,
-            fresh = pooled.is_none(), wait_us = wait.as_micros() as u64, "an attempt is out");
-        // A fetch may run on for others; its server is told of no more than its own client's time.
+        let timer = self.timers.insert_at(Timer::AttemptTimeout(attempt), due);
+        let open = &self.open[&id];
+        trace!(event = "attempt_started", request = %open.client_id(), attempt = attempt.number, at = %target.addr,
+            new_connection = pooled.is_none(), timeout_us = timeout.as_micros() as u64, "an attempt is in flight");
+        // An attempt may continue for other requests; its server gets no more time than its own client.
         let deadline = due.min(open.deadline);
-        let task = self.start(id, attempt, server, target, pooled, deadline);
-        let open = self.open.get_mut(&id).expect("looked up above");
-        open.attempts.push(Some(Running { sent: now, task, timer: Some(timer), coming: None }));
+        let task = self.spawn_attempt(attempt, server, target, pooled, deadline);
+        let running = RunningAttempt { started_at: now, task, timeout: Some(timer), first_byte_after: None };
+        let open = self.open.get_mut(&id).expect("the request is open");
+        open.attempts[attempt.number].running = Some(running);
         self.running += 1;
     }
 
-    fn start(
+    /// Returns the target of an attempt and an idle connection to it, or `None` if the server is unknown or there are too
+    /// many connections. May close the oldest idle connection in favour of a new one.
+    fn check_out(
+        &mut self,
+        server: ServerId,
+        now: Instant,
+        conditions: SendConditions,
+    ) -> Option<(Target, Option<ServerConnection>)> {
+        let (target, pooled) = self.directory.check_out(server, now, conditions)?;
+        let connections = self.running + self.directory.idle_connections();
+        self.server_connections.store(connections, Ordering::Relaxed);
+        if pooled.is_none() && connections >= self.max_connections {
+            self.directory.close_oldest();
+        }
+        (pooled.is_some() || self.running < self.max_connections).then_some((target, pooled))
+    }
+
+    fn spawn_attempt(
         &self,
-        id: RequestId,
-        attempt: usize,
+        id: AttemptId,
         server: ServerId,
         target: Target,
-        pooled: Option<Connection>,
+        pooled: Option<ServerConnection>,
         deadline: Instant,
     ) -> AbortHandle {
-        let (command, to) = (self.open[&id].command.clone(), self.to_self.clone());
-        let connect_timeout = Duration::from_micros(self.setup.connect_timeout);
-        let metrics = self.metrics.clone();
-        let begun = self.to_self.clone();
-        // A driver that is gone drops the stream, and the attempt ends.
-        let begin = move |stream| {
-            _ = begun.send(Message::ResponseStarted { attempt: AttemptId::new(id, attempt), stream })
+        let sender = self.sender.clone();
+        // If the driver has ended, the stream is dropped and the attempt ends.
+        let on_start = move |stream| _ = sender.send(Message::ResponseStarted { attempt: id, stream });
+        let addr = target.addr;
+        let attempt = attempt::Attempt {
+            target,
+            pooled,
+            request: self.open[&id.request].request.clone(),
+            deadline,
+            connect_timeout: Duration::from_micros(self.setup.connect_timeout),
+            metrics: self.metrics.clone(),
+            relay: RelayContext { budget: self.budget.clone(), on_start: Box::new(on_start) },
         };
-        let pass = Pass { budget: self.budget.clone(), begin: Box::new(begin) };
+        let sender = self.sender.clone();
         let work = async move {
-            let addr = target.addr;
-            let (reply, connection) =
-                attempt::run(target, pooled, &command, deadline, connect_timeout, &metrics, pass).await;
-            let _ = to.send(Message::AttemptFinished(FinishedAttempt {
-                attempt: AttemptId { request: id, number: attempt },
-                reply,
-                server,
-                addr,
-                connection,
-            }));
+            let (result, connection) = attempt.run().await;
+            let finished = FinishedAttempt { attempt: id, result, server, addr, connection };
+            let _ = sender.send(Message::AttemptFinished(finished)); // fails if the driver has ended
         };
         tokio::spawn(work).abort_handle()
     }
 
-    /// Strikes an attempt off; nothing if it has ended before.
-    fn close(&mut self, id: RequestId, attempt: usize) -> Option<Running> {
-        let running = self.open.get_mut(&id)?.attempts.get_mut(attempt)?.take()?;
+    /// Removes an attempt from those in flight; `None` if it has ended before.
+    fn take_running(&mut self, attempt: AttemptId) -> Option<RunningAttempt> {
+        let open = self.open.get_mut(&attempt.request)?;
+        let running = open.attempts.get_mut(attempt.number)?.running.take()?;
         self.running -= 1;
         Some(running)
     }
 
-    /// Stops waiting for an attempt: its connection closes.
-    pub(super) fn give_up(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
-        let Some(running) = self.close(id, attempt) else { return };
+    /// Abandons an attempt in flight, which closes its connection.
+    pub(super) fn abandon(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let Some(running) = self.take_running(attempt) else { return };
         running.task.abort();
-        if let Some(timer) = running.timer.filter(|_| outcome != Outcome::TimedOut) {
+        if let Some(timer) = running.timeout.filter(|_| outcome != Outcome::TimedOut) {
             self.timers.try_remove(&timer);
         }
-        self.report_end(id, attempt, outcome, running.sent.elapsed(), None);
+        let elapsed = running.started_at.elapsed();
+        self.report_end(attempt, AttemptOutcome { outcome, elapsed, cache_hit: None });
     }
 
-    /// Stops what of an ended request is not yet written: nobody waits for it, and it never ran, so that this
-    /// is no cancelling, which settings may bar. Who waits for its fetch fetches under an id of its own.
-    ///
-    /// Guards against: a request that is sent on after its final answer, or after its client has left, by an
-    /// attempt whose connection came up late.
-    pub(super) fn stop_unwritten(&mut self, id: RequestId) {
-        let Some(open) = self.open.get(&id).filter(|open| open.answer.is_none()) else { return };
-        let unwritten = |&n: &usize| open.attempts[n].is_some() && !open.starts[n].is_set();
-        let unwritten: Vec<usize> = (0..open.attempts.len()).filter(unwritten).collect();
-        unwritten.into_iter().for_each(|attempt| self.give_up(id, attempt, Outcome::NotSent));
+    /// Abandons the attempts of an ended request of which nothing has been written, such as one whose connection is not
+    /// open yet. They were never executed, so that this is allowed even where the settings forbid cancelling. Requests
+    /// that wait for the same key fetch it with an attempt of their own.
+    pub(super) fn stop_unwritten_attempts(&mut self, id: RequestId) {
+        let Some(open) = self.open.get(&id).filter(|open| open.response.is_none()) else { return };
+        for number in open.unwritten_attempts() {
+            self.abandon(AttemptId::new(id, number), Outcome::NotSent);
+        }
     }
 
-    pub(super) fn ended(&mut self, ended: FinishedAttempt) {
-        let FinishedAttempt {
-            attempt: AttemptId { request: id, number: attempt },
-            reply,
-            server,
-            addr,
-            connection,
-        } = ended;
-        let running = self.close(id, attempt);
+    /// Handles the end of an attempt's task.
+    pub(super) fn on_attempt_finished(&mut self, finished: FinishedAttempt) {
+        let FinishedAttempt { attempt, result, server, addr, connection } = finished;
+        let running = self.take_running(attempt);
         if let Some(connection) = connection {
             self.directory.check_in(server, addr, connection, Instant::now());
         }
-        let Some(running) = running else { return }; // given up before: a late outcome changes nothing
-        if let Some(timer) = running.timer {
+        let Some(running) = running else { return }; // abandoned before
+        if let Some(timer) = running.timeout {
             self.timers.try_remove(&timer);
         }
-        match running.coming {
-            Some(_) => self.count_end(id, reply.outcome == Outcome::Success),
-            None if reply.outcome == Outcome::Success => self.answer(id, Response::Value(reply.value)),
+        let succeeded = result.outcome == Outcome::Success;
+        match running.first_byte_after {
+            Some(_) => self.count_relayed(attempt.request, succeeded),
+            None if succeeded => self.respond(attempt.request, Response::Value(result.value)),
             None => {}
         }
-        // How long a long value takes tells of its length and its client, not of the server.
-        let elapsed = running.coming.unwrap_or_else(|| running.sent.elapsed());
-        self.report_end(id, attempt, reply.outcome, elapsed, reply.hit);
-        self.stop_unwritten(id);
+        // How long a large value takes depends on its length and its client rather than on the server.
+        let elapsed = running.first_byte_after.unwrap_or_else(|| running.started_at.elapsed());
+        let outcome = AttemptOutcome { outcome: result.outcome, elapsed, cache_hit: result.cache_hit };
+        self.report_end(attempt, outcome);
+        self.stop_unwritten_attempts(attempt.request);
     }
 
-    /// The first value to begin is the answer, whatever becomes of it. Others are dropped, and end for it.
-    pub(super) fn begun(&mut self, id: RequestId, attempt: usize, stream: Stream) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(Some(running)) = open.attempts.get_mut(attempt) else { return }; // given up before
-        let Some(sender) = open.answer.take() else { return };
-        if let Some(timer) = running.timer.take() {
+    /// Handles the first bytes of a large value. The first value to start is the final response, whatever becomes of it;
+    /// dropping the stream of another one ends its attempt.
+    pub(super) fn on_response_started(&mut self, attempt: AttemptId, stream: ValueStream) {
+        let Some(open) = self.open.get_mut(&attempt.request) else { return };
+        let Some(entry) = open.attempts.get_mut(attempt.number) else { return };
+        let Some(running) = &mut entry.running else { return }; // abandoned before
+        let Some(sender) = open.response.take() else { return };
+        if let Some(timer) = running.timeout.take() {
             self.timers.try_remove(&timer);
         }
-        running.coming = Some(running.sent.elapsed());
-        open.answered_at = Some(Instant::now());
-        let _ = sender.send(Response::Stream(stream)); // the client may have left
-        self.events.push_back(Event::ResponseStarted(AttemptId::new(id, attempt)));
-        self.stop_unwritten(id);
+        running.first_byte_after = Some(running.started_at.elapsed());
+        open.responded_at = Some(Instant::now());
+        let _ = sender.send(Response::Stream(stream)); // the client may have disconnected
+        self.events.push_back(Event::ResponseStarted(attempt));
+        self.stop_unwritten_attempts(attempt.request);
     }
 
-    /// Counts how a value ended that had begun to come.
-    fn count_end(&self, id: RequestId, whole: bool) {
+    /// Counts the outcome of a relayed value.
+    fn count_relayed(&self, id: RequestId, complete: bool) {
         if let Some(outcomes) = self.open.get(&id).and_then(|open| open.outcomes.as_ref()) {
-            if whole { outcomes.succeeded.increment() } else { outcomes.failed.increment() }
+            let outcome = if complete { &outcomes.succeeded } else { &outcomes.failed };
+            outcome.increment();
         }
     }
 
-    fn report_end(
-        &mut self,
-        id: RequestId,
-        attempt: usize,
-        outcome: Outcome,
-        elapsed: Duration,
-        hit: Option<bool>,
-    ) {
-        // A value that has begun to come is not the end yet.
-        let coming = |open: &Open| open.attempts.iter().flatten().any(|running| running.coming.is_some());
-        let settled = self.open.get(&id).is_none_or(|open| open.answer.is_none() && !coming(open));
+    /// Reports the end of an attempt to the balancer, and drops the request if it is done.
+    fn report_end(&mut self, attempt: AttemptId, ended: AttemptOutcome) {
+        let AttemptOutcome { outcome, elapsed, cache_hit } = ended;
+        let AttemptId { request: id, number } = attempt;
         let elapsed = elapsed.as_micros() as Micros;
-        let mut begun = true;
+        // A relayed value is not settled before its end.
+        let settled = self.open.get(&id).is_none_or(|open| open.response.is_none() && !open.is_relaying());
+        let mut bytes_sent = true;
         if let Some(open) = self.open.get_mut(&id) {
-            begun = open.starts.get(attempt).is_none_or(SendStart::is_set);
-            open.may_have_run |= begun && outcome.may_have_run();
-            if open.began_after_end(attempt) {
-                self.metrics.violations.record(Invariant::NoSendAfterEnd, &open.command.id);
+            bytes_sent = open.attempts.get(number).is_none_or(|attempt| attempt.start.is_set());
+            open.may_have_run |= bytes_sent && outcome.may_have_run();
+            if open.started_after_end(number) {
+                self.metrics.violations.record(Invariant::NoSendAfterEnd, &open.request.id);
             }
-            trace!(event = "attempt_ended", request = %open.name(), attempt, ?outcome, elapsed_us = elapsed,
-                "an attempt has ended");
+            trace!(event = "attempt_ended", request = %open.client_id(), attempt = number, ?outcome,
+                elapsed_us = elapsed, "an attempt has ended");
         }
-        let end = AttemptEnd {
-            elapsed,
-            settled,
-            cache_hit: hit,
-            bytes_sent: begun,
-            ..AttemptEnd::new(AttemptId::new(id, attempt), outcome)
-        };
+        let end = AttemptEnd { elapsed, settled, cache_hit, bytes_sent, ..AttemptEnd::new(attempt, outcome) };
         self.events.push_back(Event::AttemptEnded(end));
         self.remove_if_done(id);
     }
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -1,6 +1,8 @@
-//! The one task that owns the module, the open requests and the timers.
+//! The task that owns the balancer, the open requests and the timers.
 
 mod attempts;
+mod clock;
+mod control;
 mod open_request;
 mod requests;
 
@@ -10,324 +12,286 @@
 use std::sync::atomic::AtomicUsize;
 use std::time::Duration;
 
-use stonefold_balancer::settings_document::{ResolvedSettings, micros_from_millis};
+use stonefold_balancer::settings_document::ResolvedSettings;
 use stonefold_balancer::{
-    Action, AttemptId, Balancer, CacheCounts, EndpointUpdate, Event, Micros, Outcome, RequestId, TimerToken,
+    Action, AttemptId, Balancer, CacheCounts, EndpointUpdate, Event, Outcome, RequestId, TimerToken,
 };
 use stonefold_proto::endpoints::EndpointList;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver, UnboundedSender};
 use tokio::time::Instant;
 use tokio_util::time::DelayQueue;
-use tracing::info;
 
-use open_request::{Clock, Open};
+use attempts::NewAttempt;
+use clock::Clock;
+use open_request::OpenRequest;
 
 use crate::config::Config;
-use crate::message::{Control, Message, SharedSettings};
+use crate::message::{Control, Message};
 use crate::metrics::Metrics;
 use crate::overrides::Overrides;
-use crate::relay::Budget;
+use crate::relay::MemoryBudget;
 use crate::request::Response;
-use crate::shared::Ledger;
+use crate::shared::SharedEndpoints;
 use crate::stall::StallMonitor;
 use crate::upstream::directory::Directory;
-use crate::upstream::starts::ListDate;
+use crate::upstream::start_times::ListArrival;
 
-/// The timers' queue panics at times of some years, which odd settings could ask for.
-const LONGEST_TIMER: Duration = Duration::from_secs(86_400);
-/// How often idle connections are looked at.
-const SWEEP: Duration = Duration::from_secs(1);
-/// How often the servers are counted for the figures, which may lag half a second.
-const COUNT: Duration = Duration::from_millis(250);
+/// The longest timer. The queue panics at times of some years, which unusual settings could ask for.
+const MAX_TIMER: Duration = Duration::from_secs(86_400);
+/// How often idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the metrics that only the balancer knows are updated. They may be half a second old.
+const METRICS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a turn of the driver is about.
-enum Come {
+/// The number of control messages that may wait for the driver.
+pub(crate) const CONTROL_CAPACITY: usize = 16;
+
+/// What wakes the driver.
+enum Wakeup {
     Control(Control),
-    Due(Due),
+    Timer(Timer),
     Message(Message),
 }
 
-enum Due {
-    Module(TimerToken),
-    Attempt(RequestId, usize),
+/// What a timer of the driver is for.
+enum Timer {
+    Balancer(TimerToken),
+    AttemptTimeout(AttemptId),
     Sweep,
-    /// At this time.
-    Count(Instant),
+    UpdateMetrics { due: Instant },
 }
 
-/// How the driver hangs together with the other parts.
-pub struct Wiring {
-    pub stalls: StallMonitor,
-    pub budget: Budget,
-    pub metrics: Arc<Metrics>,
-    /// How many connections to servers there are, for the clients' side.
-    pub held: Arc<AtomicUsize>,
-    /// Told when the list is to be subscribed to.
-    pub subscribe: Arc<Notify>,
-    pub to_self: UnboundedSender<Message>,
-    pub inbox: UnboundedReceiver<Message>,
-    pub control: Receiver<Control>,
+/// What the driver shares with the other parts of the node.
+pub(crate) struct DriverContext {
+    pub(crate) stalls: StallMonitor,
+    pub(crate) budget: MemoryBudget,
+    pub(crate) metrics: Arc<Metrics>,
+    /// The number of connections to servers, for the limit on client connections.
+    pub(crate) server_connections: Arc<AtomicUsize>,
+    /// Notified when the endpoint list is to be subscribed to.
+    pub(crate) subscribe: Arc<Notify>,
+    /// Sends to `inbox`.
+    pub(crate) sender: UnboundedSender<Message>,
+    pub(crate) inbox: UnboundedReceiver<Message>,
+    pub(crate) control: Receiver<Control>,
 }
 
-/// Carries out what the module decides, and tells it what happens.
-pub struct Driver {
+/// Carries out the actions of the balancer and reports events to it.
+pub(crate) struct Driver {
     balancer: Balancer,
     metrics: Arc<Metrics>,
     stalls: StallMonitor,
     setup: ResolvedSettings,
     clock: Clock,
-    /// The time that this turn goes by, read before anything else in it.
-    ///
-    /// Guards against a stall between two readings of the clock, which would make all that is due later by as much.
+    /// The time of the current turn, read before anything else in it. A stall between two readings of the clock would
+    /// delay everything that is due later.
     now: Instant,
     directory: Directory,
-    /// Whether discovery has answered: what it tells from then on has happened while this process ran.
-    answered: bool,
-    open: HashMap<RequestId, Open>,
-    budget: Budget,
-    /// Attempts under way: each holds a connection, or is making one.
+    /// Whether discovery has answered: changes that it reports from then on happened while this process ran.
+    discovery_answered: bool,
+    open: HashMap<RequestId, OpenRequest>,
+    budget: MemoryBudget,
+    /// The number of attempts in flight, each of which has a connection or is opening one.
     running: usize,
-    connections: usize,
-    /// How many connections to servers there are, for the clients' side.
-    held: Arc<AtomicUsize>,
-    timers: DelayQueue<Due>,
-    /// What has happened and is not yet told.
+    max_connections: usize,
+    /// The number of connections to servers, for the limit on client connections.
+    server_connections: Arc<AtomicUsize>,
+    timers: DelayQueue<Timer>,
+    /// Events that have not been reported to the balancer yet.
     events: VecDeque<Event>,
+    /// An empty buffer for the balancer's actions.
     actions: Vec<Action>,
     subscribe: Arc<Notify>,
-    to_self: UnboundedSender<Message>,
+    sender: UnboundedSender<Message>,
     inbox: UnboundedReceiver<Message>,
     control: Receiver<Control>,
     overrides: Overrides,
-    /// The list for the others; nothing where nothing is kept together.
-    ledger: Option<Ledger>,
+    /// The endpoint list for the other nodes; `None` if nothing is shared.
+    shared_endpoints: Option<SharedEndpoints>,
 }
 
 impl Driver {
-    /// A driver that holds so many connections to servers at most.
-    pub fn new(config: Config, connections: usize, wiring: Wiring, overrides: Overrides) -> Self {
-        let Wiring { stalls, budget, metrics, held, subscribe, to_self, inbox, control } = wiring;
-        let (clock, now, settings) = (Clock::new(), Instant::now(), config.settings.settings.clone());
-        let directory = Directory::new(Duration::from_micros(settings.idle_timeout), metrics.clone());
+    /// Creates a driver, and applies the list and the overrides known at the start.
+    pub(crate) fn new(config: Config, context: DriverContext, overrides: Overrides) -> Self {
+        let clock = Clock::new();
+        let now = Instant::now();
+        let settings = config.settings.settings.clone();
+        let idle_timeout = Duration::from_micros(settings.idle_timeout);
         let mut driver = Driver {
-            balancer: Balancer::new(settings, config.seed, clock.at(now)),
-            metrics,
-            stalls,
+            directory: Directory::new(idle_timeout, context.metrics.clone()),
+            max_connections: config.server_connections(),
+            balancer: Balancer::new(settings, config.seed, clock.to_micros(now)),
+            metrics: context.metrics,
+            stalls: context.stalls,
             setup: config.settings,
             clock,
             now,
-            directory,
-            answered: false,
+            discovery_answered: false,
             open: HashMap::new(),
-            budget,
+            budget: context.budget,
             running: 0,
-            connections,
-            held,
+            server_connections: context.server_connections,
             timers: DelayQueue::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
-            subscribe,
-            to_self,
-            inbox,
-            control,
+            subscribe: context.subscribe,
+            sender: context.sender,
+            inbox: context.inbox,
+            control: context.control,
             overrides: Overrides::new(),
-            ledger: config.shared.map(Ledger::new),
+            shared_endpoints: config.shared.map(SharedEndpoints::new),
         };
-        driver.timers.insert(Due::Sweep, SWEEP);
-        driver.count_later();
-        driver.apply_overrides(overrides, None);
-        let known = EndpointList { full: true, ..config.known };
-        if driver.ledger.as_mut().is_none_or(|ledger| ledger.enter(&known)) {
-            driver.list(known);
-        }
-        driver.decide();
-        driver.count();
+        driver.initialize(overrides, EndpointList { full: true, ..config.known });
         driver
     }
 
-    /// Runs until nobody can tell it anything.
-    pub async fn run(mut self) {
+    fn initialize(&mut self, overrides: Overrides, known: EndpointList) {
+        self.timers.insert(Timer::Sweep, SWEEP_INTERVAL);
+        self.schedule_metrics_update();
+        self.apply_overrides(overrides, None);
+        self.apply_list_if_current(known);
+        self.decide();
+        self.update_metrics();
+    }
+
+    /// Runs until all senders of messages are dropped.
+    pub(crate) async fn run(mut self) {
         while self.step().await {}
     }
 
-    /// Waits for what comes next, and does what follows from it; false once nobody can tell it anything. Cancelled,
-    /// it has done nothing.
-    pub async fn step(&mut self) -> bool {
-        let come = tokio::select! {
+    /// Waits for the next wakeup and handles it. Returns false once all senders of messages are dropped.
+    ///
+    /// # Cancel safety
+    ///
+    /// Cancel safe: nothing has been handled or lost.
+    pub(crate) async fn step(&mut self) -> bool {
+        let wakeup = tokio::select! {
             biased;
-            Some(control) = self.control.recv() => Come::Control(control),
-            Some(due) = poll_fn(|cx| self.timers.poll_expired(cx)) => Come::Due(due.into_inner()),
+            Some(control) = self.control.recv() => Wakeup::Control(control),
+            Some(timer) = poll_fn(|cx| self.timers.poll_expired(cx)) => Wakeup::Timer(timer.into_inner()),
             message = self.inbox.recv() => match message {
-                Some(message) => Come::Message(message),
+                Some(message) => Wakeup::Message(message),
                 None => return false,
             },
         };
         self.now = Instant::now();
-        match come {
-            Come::Control(control) => self.on_control(control),
-            Come::Due(due) => self.on_timer(due),
-            Come::Message(message) => self.on_message(message),
+        match wakeup {
+            Wakeup::Control(control) => self.on_control(control),
+            Wakeup::Timer(timer) => self.on_timer(timer),
+            Wakeup::Message(message) => self.on_message(message),
         }
         self.decide();
         true
     }
 
-    /// Takes a message at once, and does what follows from it.
-    pub fn take(&mut self, message: Message) {
+    /// Handles a message at once, without the inbox.
+    pub(crate) fn handle(&mut self, message: Message) {
         self.now = Instant::now();
         self.on_message(message);
         self.decide();
     }
 
-    /// The servers as they are known.
-    pub fn directory(&self) -> &Directory {
+    /// The servers as they were last listed.
+    pub(crate) fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// How many caches the balancer has, and how many of them it avoids.
-    pub fn cache_counts(&self) -> CacheCounts {
+    /// The number of cache servers that the balancer knows, and how many of them it avoids.
+    pub(crate) fn cache_counts(&self) -> CacheCounts {
         self.balancer.cache_counts()
     }
 
-    fn on_control(&mut self, control: Control) {
-        match control {
-            Control::Shutdown(at) => {
-                self.events.push_back(Event::Shutdown { deadline: self.clock.at(at) });
-            }
-            // Who asked may have left.
-            Control::IsKnownServer { name, reply: answer } => _ = answer.send(self.directory.knows(&name)),
-            Control::Reload(stated, answer) => {
-                let terms = self.setup.updated_with(*stated).map(|setup| self.apply_settings(setup));
-                self.decide();
-                let _ = answer.send(terms);
-            }
-            Control::Overrides { overrides, applied } => {
-                self.apply_overrides(overrides, Some(self.clock.at(self.now)));
-                self.decide();
-                let _ = applied.map(|applied| applied.send(()));
-            }
-        }
-    }
-
-    /// Goes by new settings. Requests that are open keep the rules they arrived under.
-    fn apply_settings(&mut self, setup: ResolvedSettings) -> SharedSettings {
-        self.setup = setup;
-        let settings = &self.setup.settings;
-        self.directory.set_keepalive(Duration::from_micros(settings.idle_timeout));
-        self.events.push_back(Event::Settings(Box::new(settings.clone())));
-        SharedSettings::from(&self.setup)
-    }
-
-    /// Applies the overrides that differ from those in force. One that is set while the process runs counts from `now`;
-    /// an older one from its time on the wall clock.
-    fn apply_overrides(&mut self, overrides: Overrides, now: Option<Micros>) {
-        for (name, server_override) in &overrides {
-            if self.overrides.get(name) == Some(server_override) {
-                continue;
-            }
-            let disabled = server_override.disabled;
-            let server = self.directory.ban(name, disabled);
-            let event = match disabled {
-                true => Event::Disable(server),
-                false => {
-                    let since = now.unwrap_or(micros_from_millis(server_override.since_ms as f64));
-                    Event::Enable { server, since }
-                }
-            };
-            let (event_name, words) = match disabled {
-                true => ("server_out", "out of use by hand"),
-                false => ("server_back", "back in use by hand"),
-            };
-            info!(event = event_name, server = name, words);
-            self.events.push_back(event);
-        }
-        self.overrides = overrides;
-    }
-
     fn on_message(&mut self, message: Message) {
         match message {
-            Message::RequestReceived(arrival) => self.arrived(arrival),
-            Message::ExcessRequest(surplus) => self.refuse(surplus),
-            Message::ClientDisconnected(id) => self.gone(id),
-            Message::ResponseStarted { attempt: AttemptId { request: id, number: attempt }, stream } => {
-                self.begun(id, attempt, stream)
-            }
-            Message::AttemptFinished(ended) => self.ended(ended),
+            Message::RequestReceived(incoming) => self.on_request_received(incoming),
+            Message::ExcessRequest(excess) => self.reject_excess(excess),
+            Message::ClientDisconnected(id) => self.on_client_disconnected(id),
+            Message::ResponseStarted { attempt, stream } => self.on_response_started(attempt, stream),
+            Message::AttemptFinished(finished) => self.on_attempt_finished(finished),
             Message::EndpointList(list) => {
-                if self.ledger.as_mut().is_none_or(|ledger| ledger.enter(&list)) {
-                    self.list(list);
-                }
-                self.answered = true;
+                self.apply_list_if_current(list);
+                self.discovery_answered = true;
             }
-            // The watch comes again by itself; the list stays as it was.
+            // The watch tries again by itself; the list stays as it was.
             Message::EndpointListFailed => self.metrics.failed_polls.increment(),
         }
     }
 
-    fn on_timer(&mut self, due: Due) {
-        match due {
-            Due::Module(token) => self.events.push_back(Event::Timer(token)),
-            Due::Attempt(id, attempt) => self.give_up(id, attempt, Outcome::TimedOut),
-            Due::Sweep => {
-                self.directory.sweep(Instant::now());
-                self.timers.insert(Due::Sweep, SWEEP);
+    fn on_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Balancer(token) => self.events.push_back(Event::Timer(token)),
+            Timer::AttemptTimeout(attempt) => self.abandon(attempt, Outcome::TimedOut),
+            Timer::Sweep => {
+                self.directory.close_expired(Instant::now());
+                self.timers.insert(Timer::Sweep, SWEEP_INTERVAL);
             }
-            Due::Count(at) => {
-                self.metrics.loop_lag.record(at.elapsed());
-                self.count();
-                self.count_later();
+            Timer::UpdateMetrics { due } => {
+                self.metrics.loop_lag.record(due.elapsed());
+                self.update_metrics();
+                self.schedule_metrics_update();
             }
         }
     }
 
-    /// Tells the module what has happened, and does what it asks for, until nothing is left.
+    /// Reports the events to the balancer and executes its actions, until there are no more events.
     fn decide(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            self.balancer.on_event(self.clock.at(self.now), event, &mut actions);
-            actions.drain(..).for_each(|action| self.execute(action));
+            self.balancer.on_event(self.clock.to_micros(self.now), event, &mut actions);
+            for action in actions.drain(..) {
+                self.execute(action);
+            }
             self.actions = actions;
         }
     }
 
     fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request: id, server, timeout, send_before: repeat_until } => {
-                let repeat_until = repeat_until.map(|until| self.clock.instant(until));
-                self.send(id, server, Duration::from_micros(timeout), repeat_until);
+            Action::Send { request, server, timeout, send_before } => {
+                let timeout = Duration::from_micros(timeout);
+                let send_before = send_before.map(|time| self.clock.to_instant(time));
+                self.send(NewAttempt { request, server, timeout, send_before });
             }
-            Action::Cancel(AttemptId { request: id, number: attempt }) => {
-                self.give_up(id, attempt, Outcome::Canceled)
+            Action::Cancel(attempt) => self.abandon(attempt, Outcome::Canceled),
+            Action::Reject { request, retry_after } => {
+                self.finish(request, Response::Rejected { retry_after });
             }
-            Action::Reject { request: id, retry_after } => self.end(id, Response::Rejected { retry_after }),
-            Action::Fail(id) => self.end(id, Response::Failed),
+            Action::Fail(request) => self.finish(request, Response::Failed),
             Action::SetTimer { after, token } => {
-                let after = Duration::from_micros(after).min(LONGEST_TIMER);
-                self.timers.insert_at(Due::Module(token), self.now + after);
+                let after = Duration::from_micros(after).min(MAX_TIMER);
+                self.timers.insert_at(Timer::Balancer(token), self.now + after);
             }
             Action::WatchEndpoints => self.subscribe.notify_one(),
             Action::CloseIdleConnections(server) => self.directory.disconnect(server),
         }
     }
 
-    /// Copies what the module alone knows into the figures.
-    fn count(&self) {
+    /// Copies what only the balancer knows into the metrics.
+    fn update_metrics(&self) {
         let caches = self.balancer.cache_counts();
         self.metrics.listed_servers.set(caches.listed as u64);
         self.metrics.unavailable_servers.set(caches.avoided as u64);
     }
 
-    fn count_later(&mut self) {
-        let at = Instant::now() + COUNT;
-        self.timers.insert_at(Due::Count(at), at);
+    fn schedule_metrics_update(&mut self) {
+        let due = Instant::now() + METRICS_INTERVAL;
+        self.timers.insert_at(Timer::UpdateMetrics { due }, due);
+    }
+
+    /// Applies a list, unless the other nodes know a newer one.
+    fn apply_list_if_current(&mut self, list: EndpointList) {
+        if self.shared_endpoints.as_mut().is_none_or(|shared| shared.apply(&list)) {
+            self.apply_list(list);
+        }
     }
 
-    fn list(&mut self, list: EndpointList) {
-        let scope = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
-        let now = self.clock.at(self.now);
-        let dated = if self.answered { ListDate::Later(now) } else { ListDate::First(now) };
-        let members = self.directory.apply(list, dated, &mut self.setup);
-        self.events.push_back(Event::Endpoints { update: scope, endpoints: members });
+    fn apply_list(&mut self, list: EndpointList) {
+        let update = if list.full { EndpointUpdate::Full } else { EndpointUpdate::Delta };
+        let now = self.clock.to_micros(self.now);
+        let arrival =
+            if self.discovery_answered { ListArrival::Update(now) } else { ListArrival::First(now) };
+        let endpoints = self.directory.apply(list, arrival, &mut self.setup);
+        self.events.push_back(Event::Endpoints { update, endpoints });
     }
 }
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -1,105 +1,107 @@
-//! What the driver keeps of each request, and its clock.
+//! What the driver stores for each open request.
 
 use std::borrow::Cow;
 use std::sync::Arc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
-use stonefold_balancer::{Idempotency, Micros};
+use stonefold_balancer::Idempotency;
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 use tokio_util::time::delay_queue;
 use tracing::debug;
 
+use crate::client_status::ClientStatus;
 use crate::metrics::Outcomes;
-use crate::presence::Presence;
 use crate::request::{ClientRequest, Response};
 use crate::upstream::send_permit::SendStart;
 
-/// A request that is owed an answer or has an attempt out.
-pub struct Open {
-    pub command: Arc<ClientRequest>,
-    /// Until when its client waits, less [`RESPONSE_RESERVE`](crate::request::RESPONSE_RESERVE).
-    pub deadline: Instant,
-    /// Taken by the final answer.
-    pub answer: Option<oneshot::Sender<Response>>,
-    /// By their numbers; nothing once an attempt has ended.
-    pub attempts: Vec<Option<Running>>,
-    /// Of each of them, whether and when its first byte went out.
-    pub starts: Vec<SendStart>,
-    /// Whether it may be sent again after it may have run.
-    pub effect: Idempotency,
-    /// Whether an attempt has ended that may have run.
-    pub may_have_run: bool,
-    /// When its final answer was given.
-    pub answered_at: Option<Instant>,
-    pub client: Presence,
-    /// Where its end is counted; nowhere for a request of no class.
-    pub outcomes: Option<Arc<Outcomes>>,
+/// A request that has no response yet, or has an attempt in flight.
+pub(crate) struct OpenRequest {
+    pub(crate) request: Arc<ClientRequest>,
+    /// Until when the client waits, less [`RESPONSE_RESERVE`](crate::request::RESPONSE_RESERVE).
+    pub(crate) deadline: Instant,
+    /// Where the final response goes; `None` once it was sent.
+    pub(crate) response: Option<oneshot::Sender<Response>>,
+    /// By attempt number, in the order in which they were started.
+    pub(crate) attempts: Vec<Attempt>,
+    /// Whether the request may be repeated after it may have been executed.
+    pub(crate) idempotency: Idempotency,
+    /// Whether an attempt has ended that may have been executed.
+    pub(crate) may_have_run: bool,
+    /// When the final response was sent.
+    pub(crate) responded_at: Option<Instant>,
+    pub(crate) client: ClientStatus,
+    /// Where the outcome is counted; `None` for a request without a class.
+    pub(crate) outcomes: Option<Arc<Outcomes>>,
 }
 
-impl Open {
-    /// Its id, as the client gave it and as it is passed on.
-    pub fn name(&self) -> Cow<'_, str> {
-        String::from_utf8_lossy(&self.command.id)
-    }
+/// An attempt of an open request.
+#[derive(Default)]
+pub(crate) struct Attempt {
+    /// When its first byte was written.
+    pub(crate) start: SendStart,
+    /// `None` once it has ended, or if it was never made.
+    pub(crate) running: Option<RunningAttempt>,
+}
 
-    /// Whether another attempt would break a rule, as far as the node itself knows: what may have run and may not be
-    /// repeated.
-    pub fn must_not_repeat(&self) -> bool {
-        let out = |(running, start): (&Option<Running>, &SendStart)| running.is_some() && start.is_set();
-        self.effect == Idempotency::NonIdempotent
-            && (self.may_have_run || self.attempts.iter().zip(&self.starts).any(out))
-    }
+/// An attempt in flight.
+pub(crate) struct RunningAttempt {
+    pub(crate) started_at: Instant,
+    pub(crate) task: AbortHandle,
+    /// The timeout; `None` once the value has started to arrive.
+    pub(crate) timeout: Option<delay_queue::Key>,
+    /// After what time the value started to arrive, if it is being relayed.
+    pub(crate) first_byte_after: Option<Duration>,
+}
 
-    /// Whether an attempt began after the request's end: its final answer, or the end of its client.
-    pub fn began_after_end(&self, attempt: usize) -> bool {
-        let Some(start) = self.starts.get(attempt) else { return false };
-        let ends = [self.answered_at, self.client.ended_at()];
-        ends.into_iter().flatten().any(|end| start.after(end))
+impl OpenRequest {
+    /// The id of the request, as the client gave it and servers get it.
+    pub(crate) fn client_id(&self) -> Cow<'_, str> {
+        String::from_utf8_lossy(&self.request.id)
     }
 
-    /// What is said of a request that was not served.
-    pub fn note_end(&self, answer: &Response) {
-        let (event, retry_after_us) = match answer {
-            Response::Value(_) | Response::Stream(_) => return,
-            Response::Rejected { retry_after: wait } => ("refused", *wait),
-            Response::Failed => ("failed", 0),
-        };
-        debug!(event, class = self.command.metadata_value("c"), tenant = self.command.metadata_value("t"),
-            request = %self.name(), attempts = self.attempts.len(), retry_after_us,
-            "a request is not served");
+    /// Whether another attempt is forbidden: the request must not be repeated, and may have been executed.
+    pub(crate) fn must_not_repeat(&self) -> bool {
+        let may_run = |attempt: &Attempt| attempt.running.is_some() && attempt.start.is_set();
+        self.idempotency == Idempotency::NonIdempotent
+            && (self.may_have_run || self.attempts.iter().any(may_run))
     }
-}
 
-pub struct Running {
-    pub sent: Instant,
-    pub task: AbortHandle,
-    /// When it is given up; nothing once its value has begun to come.
-    pub timer: Option<delay_queue::Key>,
-    /// After what time its value began to come.
-    pub coming: Option<Duration>,
-}
+    /// Whether the request has its response and no attempt is in flight.
+    pub(crate) fn is_done(&self) -> bool {
+        self.response.is_none() && self.attempts.iter().all(|attempt| attempt.running.is_none())
+    }
 
-/// Time since 1970, which never goes back.
-pub struct Clock {
-    start: Instant,
-    offset: Duration,
-}
+    /// Whether the value of an attempt is being relayed.
+    pub(crate) fn is_relaying(&self) -> bool {
+        let mut running = self.attempts.iter().filter_map(|attempt| attempt.running.as_ref());
+        running.any(|running| running.first_byte_after.is_some())
+    }
 
-impl Clock {
-    pub fn new() -> Self {
-        let offset = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), offset }
+    /// The attempts in flight of which nothing has been written.
+    pub(crate) fn unwritten_attempts(&self) -> Vec<usize> {
+        let attempts = self.attempts.iter().enumerate();
+        let unwritten = attempts.filter(|(_, attempt)| attempt.running.is_some() && !attempt.start.is_set());
+        unwritten.map(|(number, _)| number).collect()
     }
 
-    /// A time of this clock on the monotonic one.
-    pub fn instant(&self, time: Micros) -> Instant {
-        self.start + Duration::from_micros(time).saturating_sub(self.offset)
+    /// Whether an attempt was started after the final response, or after the client had disconnected.
+    pub(crate) fn started_after_end(&self, attempt: usize) -> bool {
+        let Some(attempt) = self.attempts.get(attempt) else { return false };
+        let ends = [self.responded_at, self.client.disconnected_at()];
+        ends.into_iter().flatten().any(|end| attempt.start.is_after(end))
     }
 
-    /// A time of the monotonic clock on this one.
-    pub fn at(&self, time: Instant) -> Micros {
-        (self.offset + time.saturating_duration_since(self.start)).as_micros() as Micros
+    /// Logs the final response of a request that was not served.
+    pub(crate) fn log_response(&self, response: &Response) {
+        let (event, retry_after_us) = match response {
+            Response::Value(_) | Response::Stream(_) => return,
+            Response::Rejected { retry_after } => ("request_rejected", *retry_after),
+            Response::Failed => ("request_failed", 0),
+        };
+        debug!(event, class = self.request.metadata_value("c"), tenant = self.request.metadata_value("t"),
+            request = %self.client_id(), attempts = self.attempts.len(), retry_after_us,
+            "a request is not served");
     }
 }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -10,7 +10,7 @@
 use socket2::Socket;
 use tokio::net::{TcpListener, TcpSocket};
 
-use crate::momentary::until_done;
+use crate::transient::retry_transient;
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
@@ -52,7 +52,7 @@
             inherit(fd, address)
         }
         None => {
-            let bound = until_done(|| bind(address)).await;
+            let bound = retry_transient(|| bind(address)).await;
             bound.map_err(|error| ListenError::Bind(address, error))
         }
     }
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -12,10 +12,9 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::CONTROLS;
 use crate::config::{Config, ConfigSource};
 use crate::discovery::EndpointWatcher;
-use crate::driver::{Driver, Wiring};
+use crate::driver::{CONTROL_CAPACITY, Driver, DriverContext};
 use crate::message::{Message, SharedSettings};
 use crate::metrics::Metrics;
 use crate::overrides::{self, OverrideFile, OverrideStore, Overrides};
@@ -31,7 +30,8 @@
 impl AppliedList<'_> {
     /// How a server was last listed, and when it started in milliseconds of Unix time; `None` if it is not listed.
     pub fn listed(&self, name: &str) -> Option<(EndpointState, f64)> {
-        self.driver.directory().listed(name)
+        let listing = self.driver.directory().listing(name)?;
+        Some((listing.state, listing.started_ms))
     }
 
     /// How many servers are listed, as the node has it and as the balancer does.
@@ -57,7 +57,7 @@
     fn start(mut config: Config) -> HollowNode {
         let (to_self, inbox) = mpsc::unbounded_channel();
         let (to_driver, watcher_messages) = mpsc::unbounded_channel();
-        let (control_sender, control) = mpsc::channel(CONTROLS);
+        let (control_sender, control) = mpsc::channel(CONTROL_CAPACITY);
         let (address_sender, address) = watch::channel(config.discovery);
         let (settings_sender, settings) = watch::channel(SharedSettings::from(&config.settings));
         let subscribe = Arc::new(Notify::new());
@@ -71,19 +71,18 @@
         let metrics = Arc::new(Metrics::new(Dropped::default()));
         let stalls = StallMonitor::new();
         let heartbeat = stalls.clone().run(metrics.clone());
-        let wiring = Wiring {
+        let context = DriverContext {
             stalls,
             budget: config.relay_budget(),
             metrics,
-            held: Arc::new(AtomicUsize::new(0)),
+            server_connections: Arc::new(AtomicUsize::new(0)),
             subscribe,
-            to_self: to_self.clone(),
+            sender: to_self.clone(),
             inbox,
             control,
         };
-        let max_connections = config.server_connections();
         let overrides = store.load().unwrap_or_else(|_| Overrides::new());
-        let driver = Driver::new(config, max_connections, wiring, overrides);
+        let driver = Driver::new(config, context, overrides);
         let overrides = overrides::follow(store, false, control_sender, to_self);
         HollowNode {
             driver,
@@ -116,7 +115,7 @@
             biased;
             Some(message) = node.watcher_messages.recv() => {
                 let version = if let Message::EndpointList(list) = &message { Some(list.version) } else { None };
-                node.driver.take(message);
+                node.driver.handle(message);
                 if let Some(version) = version {
                     node.version = version;
                     on_list(node.applied_list());
--- a/crates/node/src/invariants/tests.rs
+++ b/crates/node/src/invariants/tests.rs
@@ -3,7 +3,7 @@
 use tokio::time::Instant;
 
 use super::*;
-use crate::clients::Due;
+use crate::clients::ReplyDeadline;
 
 fn counts(violations: &Violations) -> Vec<u64> {
     Invariant::ALL.into_iter().map(|invariant| violations.0[invariant as usize].get()).collect()
@@ -25,11 +25,11 @@
 #[tokio::test(start_paused = true)]
 async fn an_answer_is_late_only_beyond_the_slack() {
     let violations = Violations::default();
-    let due = Due { at: Instant::now() + Duration::from_millis(100), request: "id".into() };
+    let deadline = ReplyDeadline { at: Instant::now() + Duration::from_millis(100), request: "id".into() };
     tokio::time::advance(Duration::from_millis(100) + ANSWER_SLACK).await;
-    due.check(&violations);
+    deadline.check(&violations);
     assert_eq!(counts(&violations).iter().sum::<u64>(), 0);
     tokio::time::advance(Duration::from_millis(1)).await;
-    due.check(&violations);
+    deadline.check(&violations);
     assert_eq!(violations.0[Invariant::AnswerInTime as usize].get(), 1);
 }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -10,18 +10,17 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+use crate::client_status::ClientStatus;
 use crate::overrides::Overrides;
-use crate::presence::Presence;
-use crate::relay::Stream;
+use crate::relay::ValueStream;
 use crate::request::{ClientRequest, Response};
-use crate::upstream::connection::Connection;
-use crate::upstream::reply::Reply;
+use crate::upstream::attempt::AttemptResult;
+use crate::upstream::connection::ServerConnection;
 
 /// What the other parts of the node notify the driver of.
 ///
-/// The channel has no bound of its own: sessions and attempts, of which there are only so many, each
-/// have few messages under way.
-pub enum Message {
+/// The channel is unbounded: the number of sessions and attempts is limited, and each has few messages in the channel.
+pub(crate) enum Message {
     /// A client sent a request.
     RequestReceived(IncomingRequest),
     /// A client sent a request beyond what its connection may have open.
@@ -29,7 +28,7 @@
     /// The client of a request disconnected.
     ClientDisconnected(RequestId),
     /// The value of an attempt has begun to arrive and is forwarded while it does.
-    ResponseStarted { attempt: AttemptId, stream: Stream },
+    ResponseStarted { attempt: AttemptId, stream: ValueStream },
     /// An attempt ran to its end.
     AttemptFinished(FinishedAttempt),
     /// An endpoint list, complete or changed entries only.
@@ -39,7 +38,7 @@
 }
 
 /// Control messages, which the driver takes before all others, however many of those wait.
-pub enum Control {
+pub(crate) enum Control {
     /// Graceful shutdown: the process ends at this time, and every request must have its response by then.
     Shutdown(Instant),
     /// Asks whether there is a server of this name.
@@ -52,24 +51,24 @@
 
 /// What the settings mean for the parts of the node around the driver.
 #[derive(Clone)]
-pub struct SharedSettings {
+pub(crate) struct SharedSettings {
     /// Classes that clients may name.
-    pub class_names: HashSet<String>,
+    pub(crate) class_names: HashSet<String>,
     /// The longest deadline of any class, counted from the request.
-    pub max_deadline: Duration,
+    pub(crate) max_deadline: Duration,
     /// How the endpoint list is followed.
-    pub discovery: DiscoverySettings,
+    pub(crate) discovery: DiscoverySettings,
 }
 
 /// How the endpoint list is followed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct DiscoverySettings {
+pub(crate) struct DiscoverySettings {
     /// Whether a fleet shares one discovery service that has to be watched; else an agent pushes lists.
-    pub watch: bool,
+    pub(crate) watch: bool,
     /// Without a watch the list is polled at least this often.
-    pub max_poll_interval: Duration,
+    pub(crate) max_poll_interval: Duration,
     /// Nodes that share the discovery service, this one included.
-    pub node_count: usize,
+    pub(crate) node_count: usize,
 }
 
 impl From<&ResolvedSettings> for SharedSettings {
@@ -88,30 +87,30 @@
 }
 
 /// A client's request as it reaches the driver.
-pub struct IncomingRequest {
-    pub id: RequestId,
-    pub request: ClientRequest,
+pub(crate) struct IncomingRequest {
+    pub(crate) id: RequestId,
+    pub(crate) request: ClientRequest,
     /// When its last byte was read.
-    pub received_at: Instant,
+    pub(crate) received_at: Instant,
     /// Takes the response.
-    pub response: oneshot::Sender<Response>,
-    pub client: Presence,
+    pub(crate) response: oneshot::Sender<Response>,
+    pub(crate) client: ClientStatus,
 }
 
 /// A request beyond what one connection may have open. It is rejected at once and never forwarded.
-pub struct ExcessRequest {
+pub(crate) struct ExcessRequest {
     /// The class that it names.
-    pub class: Option<String>,
+    pub(crate) class: Option<String>,
     /// Takes the response.
-    pub response: oneshot::Sender<Response>,
+    pub(crate) response: oneshot::Sender<Response>,
 }
 
 /// An attempt that has run to its end.
-pub struct FinishedAttempt {
-    pub attempt: AttemptId,
-    pub reply: Reply,
-    pub server: ServerId,
-    pub addr: SocketAddr,
+pub(crate) struct FinishedAttempt {
+    pub(crate) attempt: AttemptId,
+    pub(crate) result: AttemptResult,
+    pub(crate) server: ServerId,
+    pub(crate) addr: SocketAddr,
     /// The connection, if it can be used again.
-    pub connection: Option<Connection>,
+    pub(crate) connection: Option<ServerConnection>,
 }
--- a/crates/node/src/overrides/file.rs
+++ b/crates/node/src/overrides/file.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Overrides, now_ms};
-use crate::momentary::Momentary;
+use crate::transient::TransientError;
 
 /// The version of the file's form. A file of another version is not read.
 const VERSION: u32 = 1;
@@ -56,9 +56,9 @@
     }
 }
 
-impl Momentary for OverrideError {
-    fn is_momentary(&self) -> bool {
-        matches!(self, OverrideError::Io(_, error) if error.is_momentary())
+impl TransientError for OverrideError {
+    fn is_transient(&self) -> bool {
+        matches!(self, OverrideError::Io(_, error) if error.is_transient())
     }
 }
 
--- a/crates/node/src/overrides/store.rs
+++ b/crates/node/src/overrides/store.rs
@@ -10,8 +10,8 @@
 
 use super::{Override, OverrideError, OverrideFile, Overrides, now_ms};
 use crate::message::{Control, Message};
-use crate::momentary::{Momentary, until_done};
-use crate::shared::Shared;
+use crate::shared::SharedState;
+use crate::transient::{TransientError, retry_transient};
 
 /// How often changes by other processes and nodes are looked for.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -21,7 +21,7 @@
     /// A file of this machine.
     File(OverrideFile),
     /// The store that all nodes share.
-    Shared(Arc<dyn Shared>),
+    Shared(Arc<dyn SharedState>),
 }
 
 /// The overrides that a process starts with.
@@ -45,11 +45,11 @@
 
     /// The overrides that a process starts with; none if they can't be read.
     pub(crate) async fn load_at_start(&self) -> InitialOverrides {
-        match until_done(|| self.load()).await {
+        match retry_transient(|| self.load()).await {
             Ok(overrides) => InitialOverrides { overrides, unread: false },
             Err(error) => {
                 error!(event = "overrides_unreadable", %error, "no overrides are in force");
-                InitialOverrides { overrides: Overrides::new(), unread: error.is_momentary() }
+                InitialOverrides { overrides: Overrides::new(), unread: error.is_transient() }
             }
         }
     }
@@ -76,7 +76,7 @@
                         overrides.insert(server.clone(), new);
                     }
                 };
-                until_done(|| file.change(change)).await
+                retry_transient(|| file.change(change)).await
             }
             OverrideStore::Shared(shared) => {
                 if is_change(&shared.overrides(), &server, disabled) {
@@ -118,7 +118,7 @@
             }
             Err(error) => {
                 error!(event = "overrides_unreadable", %error, "those in force stay");
-                unread = error.is_momentary();
+                unread = error.is_transient();
             }
         }
     }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,4 +1,4 @@
-//! Values on their way through the node, in chunks of bounded size and under one budget of memory.
+//! Large values relayed between a server and a client in chunks, within one memory budget.
 
 use std::io;
 use std::sync::Arc;
@@ -9,128 +9,156 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::timeout;
 
-/// The longest value.
-pub const VALUE_LIMIT: usize = 4 << 20;
-/// A value of up to this length is passed on whole, once it has been checked.
-pub const WHOLE: usize = 64 << 10;
-/// Longer ones pass in pieces of up to this size.
-pub const CHUNK: usize = 16 << 10;
-/// A side that neither gives nor takes a byte for so long is given up.
-pub const STUCK: Duration = Duration::from_secs(5);
-
-/// The longest command or answer, with what stands round the value.
-pub const LARGEST: usize = VALUE_LIMIT + (4 << 10);
-
-/// A part of the budget, given back when it is dropped.
-pub type Room = OwnedSemaphorePermit;
-
-/// The memory that values under way may take, in both directions together.
+/// The largest value that is accepted, in bytes.
+pub(crate) const MAX_VALUE_BYTES: usize = 4 << 20;
+/// The largest value that is read completely and checked before it is passed on, in bytes.
+pub(crate) const MAX_BUFFERED_BYTES: usize = 64 << 10;
+/// The largest chunk in which longer values are relayed, in bytes.
+pub(crate) const CHUNK_BYTES: usize = 16 << 10;
+/// A transfer in which no byte moves for this long is abandoned.
+pub(crate) const PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
+/// The largest command or reply, in bytes: a value and what surrounds it.
+pub(crate) const MAX_FRAME_BYTES: usize = MAX_VALUE_BYTES + (4 << 10);
+
+/// A part of the memory budget, returned to it on drop.
+pub(crate) type MemoryPermit = OwnedSemaphorePermit;
+
+/// The memory that values in transit may occupy, in both directions together. Clones share one budget.
 #[derive(Clone)]
-pub struct Budget(Arc<Semaphore>);
+pub(crate) struct MemoryBudget(Arc<Semaphore>);
 
-impl Budget {
-    /// A budget of so many bytes; at least what the longest value takes.
-    pub fn new(bytes: usize) -> Budget {
-        Budget(Arc::new(Semaphore::new(bytes.max(LARGEST))))
+impl MemoryBudget {
+    /// Creates a budget of `bytes`, or of the largest frame if that is more.
+    pub(crate) fn new(bytes: usize) -> MemoryBudget {
+        MemoryBudget(Arc::new(Semaphore::new(bytes.max(MAX_FRAME_BYTES))))
     }
 
-    /// Waits until so much is free, for what has to be held whole. Who comes later waits behind.
-    pub async fn room(&self, bytes: usize) -> io::Result<Room> {
+    /// Waits until `bytes` are free, for a value that has to be buffered completely. Requests are served in order.
+    ///
+    /// # Errors
+    ///
+    /// Fails only if the budget is closed, which never happens.
+    pub(crate) async fn reserve(&self, bytes: usize) -> io::Result<MemoryPermit> {
         self.0.clone().acquire_many_owned(bytes as u32).await.map_err(io::Error::other)
     }
 
-    /// Waits until a chunk of this size has room. Whoever holds one passes it on or gives up in bounded time,
-    /// and nobody waits for a second one while holding the first.
-    async fn reserve(&self, size: usize) -> io::Result<Room> {
-        self.0.clone().acquire_many_owned(size.min(CHUNK) as u32).await.map_err(io::Error::other)
+    /// Waits until a chunk of this size is free. The holder of a chunk passes it on or gives up in bounded time, and
+    /// nobody waits for a second chunk while holding the first, so that this cannot deadlock.
+    async fn reserve_chunk(&self, bytes: usize) -> io::Result<MemoryPermit> {
+        self.reserve(bytes.min(CHUNK_BYTES)).await
     }
 
-    /// A piece of a value, counted until it is dropped.
-    pub async fn hold(&self, bytes: Bytes) -> io::Result<Chunk> {
-        let held = self.reserve(bytes.len()).await?;
-        Ok(Chunk { bytes, _held: held })
+    /// Counts bytes that have been read as a chunk.
+    ///
+    /// # Errors
+    ///
+    /// Fails only if the budget is closed, which never happens.
+    pub(crate) async fn chunk(&self, bytes: Bytes) -> io::Result<Chunk> {
+        let permit = self.reserve_chunk(bytes.len()).await?;
+        Ok(Chunk { bytes, _permit: permit })
     }
 
-    /// Reads the next piece of a value of which so much is left; nothing at the end of the stream.
-    pub async fn read(&self, from: &mut (impl AsyncRead + Unpin), left: usize) -> io::Result<Option<Chunk>> {
-        let size = left.min(CHUNK);
-        let held = self.reserve(size).await?;
+    /// Reads the next chunk of a value of which `remaining` bytes are missing. Returns `None` at the end of the stream.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the stream breaks or stays silent for [`PROGRESS_TIMEOUT`].
+    pub(crate) async fn read_chunk(
+        &self,
+        from: &mut (impl AsyncRead + Unpin),
+        remaining: usize,
+    ) -> io::Result<Option<Chunk>> {
+        let size = remaining.min(CHUNK_BYTES);
+        let permit = self.reserve_chunk(size).await?;
         let mut buffer = BytesMut::with_capacity(size);
-        let read = timeout(STUCK, from.read_buf(&mut (&mut buffer).limit(size))).await??;
-        Ok((read > 0).then(|| Chunk { bytes: buffer.freeze(), _held: held }))
+        let read = timeout(PROGRESS_TIMEOUT, from.read_buf(&mut (&mut buffer).limit(size))).await??;
+        Ok((read > 0).then(|| Chunk { bytes: buffer.freeze(), _permit: permit }))
     }
 }
 
-/// A piece of a value, counted in the budget while it lives.
-pub struct Chunk {
-    pub bytes: Bytes,
-    _held: Room,
+/// A part of a value, counted in the budget until it is dropped.
+pub(crate) struct Chunk {
+    pub(crate) bytes: Bytes,
+    _permit: MemoryPermit,
 }
 
-/// A value on its way: its length, and its pieces as they come.
-pub struct Stream {
-    pub length: usize,
+/// The receiving end of a value in transit.
+pub(crate) struct ValueStream {
+    /// The length of the whole value, in bytes.
+    pub(crate) length: usize,
     chunks: mpsc::Receiver<Chunk>,
 }
 
-/// Where the pieces of a value go in. Dropped before all have gone in, it leaves the value spoilt.
-pub struct Sink(mpsc::Sender<Chunk>);
+/// The sending end of a value in transit. If it is dropped before the last chunk, the value is incomplete.
+pub(crate) struct ValueSink(mpsc::Sender<Chunk>);
 
-/// The receiver of a value has left.
+/// The receiver of a value has dropped its stream.
 #[derive(Debug)]
-pub struct Left;
+pub(crate) struct ReceiverDropped;
 
-/// A way for a value of this length. It holds one piece; whoever gives another waits.
-pub fn way(length: usize) -> (Sink, Stream) {
+/// Creates a channel for a value of `length` bytes. It buffers one chunk.
+pub(crate) fn value_channel(length: usize) -> (ValueSink, ValueStream) {
     let (sender, chunks) = mpsc::channel(1);
-    (Sink(sender), Stream { length, chunks })
+    (ValueSink(sender), ValueStream { length, chunks })
 }
 
-impl Sink {
-    pub async fn give(&self, chunk: Chunk) -> Result<(), Left> {
-        self.0.send(chunk).await.map_err(|_| Left)
+impl ValueSink {
+    /// Sends a chunk, waiting while another one is buffered.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the receiver has dropped its stream.
+    pub(crate) async fn send(&self, chunk: Chunk) -> Result<(), ReceiverDropped> {
+        self.0.send(chunk).await.map_err(|_| ReceiverDropped)
     }
-    /// Waits until nobody wants the rest.
-    pub async fn left(&self) {
+
+    /// Waits until the receiver has dropped its stream.
+    pub(crate) async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-/// A value that is at hand whole, with the room that it takes.
-pub fn whole(bytes: Bytes, room: Room) -> Stream {
-    let (sender, chunks) = mpsc::channel(1);
-    let length = bytes.len();
-    let _ = sender.try_send(Chunk { bytes, _held: room }); // it is empty, and holds one
-    Stream { length, chunks }
-}
+impl ValueStream {
+    /// A stream of a value that has already been read completely, and the memory that it occupies.
+    pub(crate) fn buffered(bytes: Bytes, permit: MemoryPermit) -> ValueStream {
+        let (sender, chunks) = mpsc::channel(1);
+        let length = bytes.len();
+        let _ = sender.try_send(Chunk { bytes, _permit: permit }); // the channel is empty and holds one
+        ValueStream { length, chunks }
+    }
 
-impl Stream {
-    /// The next piece; nothing after the last, or where the rest is lost.
-    pub async fn next(&mut self) -> Option<Chunk> {
+    /// Returns the next chunk, or `None` after the last one or if the rest is lost.
+    pub(crate) async fn next_chunk(&mut self) -> Option<Chunk> {
         self.chunks.recv().await
     }
 
-    /// Writes the value as RESP2 has it. An error if it did not come whole, or the client takes no more: the
-    /// connection then has to close, so that the client can tell.
-    pub async fn write_to(mut self, to: &mut (impl AsyncWrite + Unpin)) -> io::Result<()> {
-        let head = format!("${}\r\n", self.length);
-        timeout(STUCK, to.write_all(head.as_bytes())).await??;
-        let mut left = self.length;
-        while left > 0 {
-            let chunk = self.next().await.ok_or(io::ErrorKind::UnexpectedEof)?;
-            left = left.checked_sub(chunk.bytes.len()).ok_or(io::ErrorKind::InvalidData)?;
-            for part in chunk.bytes.chunks(CHUNK) {
-                timeout(STUCK, to.write_all(part)).await??;
+    /// Writes the value as a RESP2 bulk string.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the value is incomplete or the client reads nothing for [`PROGRESS_TIMEOUT`]. The connection then has to
+    /// be closed, so that the client notices.
+    pub(crate) async fn write_to(mut self, to: &mut (impl AsyncWrite + Unpin)) -> io::Result<()> {
+        let header = format!("${}\r\n", self.length);
+        timeout(PROGRESS_TIMEOUT, to.write_all(header.as_bytes())).await??;
+        let mut remaining = self.length;
+        while remaining > 0 {
+            let chunk = self.next_chunk().await.ok_or(io::ErrorKind::UnexpectedEof)?;
+            remaining = remaining.checked_sub(chunk.bytes.len()).ok_or(io::ErrorKind::InvalidData)?;
+            for part in chunk.bytes.chunks(CHUNK_BYTES) {
+                timeout(PROGRESS_TIMEOUT, to.write_all(part)).await??;
             }
         }
-        timeout(STUCK, to.write_all(b"\r\n")).await?
+        timeout(PROGRESS_TIMEOUT, to.write_all(b"\r\n")).await?
     }
 }
 
-/// How an attempt tells that its value has begun to come, and from which budget it reads.
-pub struct Pass {
-    pub budget: Budget,
-    pub begin: Box<dyn FnOnce(Stream) + Send>,
+/// What an attempt needs to relay a large value.
+pub(crate) struct RelayContext {
+    /// The budget that its chunks count in.
+    pub(crate) budget: MemoryBudget,
+    /// Called with the value's stream once its first bytes have been read.
+    pub(crate) on_start: Box<dyn FnOnce(ValueStream) + Send>,
 }
 
 #[cfg(test)]
--- a/crates/node/src/relay/tests.rs
+++ b/crates/node/src/relay/tests.rs
@@ -1,24 +1,24 @@
 use super::*;
 use tokio::io::duplex;
 
-fn budget_left(budget: &Budget) -> usize {
+fn free_bytes(budget: &MemoryBudget) -> usize {
     budget.0.available_permits()
 }
 
-/// Relays a value from one pipe to another, and tells whether it came whole.
+/// Relays a value from one pipe to another; returns whether it was complete.
 async fn relay(
-    budget: Budget,
+    budget: MemoryBudget,
     length: usize,
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
 ) -> bool {
-    let (sink, stream) = way(length);
+    let (sink, stream) = value_channel(length);
     let pump = async move {
-        let mut left = length;
-        while left > 0 {
-            let Ok(Some(chunk)) = budget.read(&mut from, left).await else { return };
-            left -= chunk.bytes.len();
-            if sink.give(chunk).await.is_err() {
+        let mut remaining = length;
+        while remaining > 0 {
+            let Ok(Some(chunk)) = budget.read_chunk(&mut from, remaining).await else { return };
+            remaining -= chunk.bytes.len();
+            if sink.send(chunk).await.is_err() {
                 return;
             }
         }
@@ -28,9 +28,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn many_large_values_stay_under_one_budget_and_all_come_whole() {
+async fn many_large_values_stay_within_the_budget_and_arrive_complete() {
     const LENGTH: usize = 1 << 20;
-    let budget = Budget(Arc::new(Semaphore::new(4 * CHUNK)));
+    let budget = MemoryBudget(Arc::new(Semaphore::new(4 * CHUNK_BYTES)));
     let mut relays = tokio::task::JoinSet::new();
     for n in 0..16u8 {
         // Pipes that cut the value anywhere, and a client that reads slowly.
@@ -43,9 +43,9 @@
                 client.read_to_end(&mut got).await.unwrap();
                 got
             };
-            let (whole, got) = tokio::join!(relay(budget, LENGTH, from, to), reading);
+            let (complete, got) = tokio::join!(relay(budget, LENGTH, from, to), reading);
             let head = format!("${LENGTH}\r\n");
-            assert!(whole && got.starts_with(head.as_bytes()) && got.ends_with(b"\r\n"));
+            assert!(complete && got.starts_with(head.as_bytes()) && got.ends_with(b"\r\n"));
             assert!(got[head.len()..head.len() + LENGTH].iter().all(|&b| b == n));
             assert_eq!(got.len(), head.len() + LENGTH + 2);
         });
@@ -53,34 +53,34 @@
     while let Some(done) = relays.join_next().await {
         done.unwrap();
     }
-    assert_eq!(budget_left(&budget), 4 * CHUNK, "all is given back");
+    assert_eq!(free_bytes(&budget), 4 * CHUNK_BYTES, "all memory is returned");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_that_takes_nothing_holds_a_few_chunks_and_is_given_up() {
-    let budget = Budget(Arc::new(Semaphore::new(64 * CHUNK)));
-    let ((mut server, from), (to, client)) = (duplex(CHUNK), duplex(100));
-    tokio::spawn(async move { server.write_all(&vec![7; VALUE_LIMIT]).await });
-    let pending = tokio::spawn(relay(budget.clone(), VALUE_LIMIT, from, to));
-    tokio::time::sleep(STUCK / 2).await;
-    assert!(budget_left(&budget) >= 61 * CHUNK, "{} left", budget_left(&budget));
+async fn client_that_reads_nothing_holds_few_chunks_and_is_abandoned() {
+    let budget = MemoryBudget(Arc::new(Semaphore::new(64 * CHUNK_BYTES)));
+    let ((mut server, from), (to, client)) = (duplex(CHUNK_BYTES), duplex(100));
+    tokio::spawn(async move { server.write_all(&vec![7; MAX_VALUE_BYTES]).await });
+    let pending = tokio::spawn(relay(budget.clone(), MAX_VALUE_BYTES, from, to));
+    tokio::time::sleep(PROGRESS_TIMEOUT / 2).await;
+    assert!(free_bytes(&budget) >= 61 * CHUNK_BYTES, "{} left", free_bytes(&budget));
     assert!(!pending.await.unwrap());
-    assert_eq!(budget_left(&budget), 64 * CHUNK);
+    assert_eq!(free_bytes(&budget), 64 * CHUNK_BYTES);
     drop(client);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_value_that_breaks_off_or_falls_silent_is_not_whole() {
+async fn truncated_or_stalled_value_is_incomplete() {
     for silent in [false, true] {
-        let ((mut server, from), (to, mut client)) = (duplex(CHUNK), duplex(CHUNK));
+        let ((mut server, from), (to, mut client)) = (duplex(CHUNK_BYTES), duplex(CHUNK_BYTES));
         server.write_all(&[7; 1000]).await.unwrap();
-        let _held = silent.then_some(server);
+        let _open = silent.then_some(server);
         let reading = async {
             let mut got = Vec::new();
             client.read_to_end(&mut got).await.unwrap();
             got.len()
         };
-        let (whole, got) = tokio::join!(relay(Budget::new(0), 100_000, from, to), reading);
-        assert!(!whole && got < 100_000);
+        let (complete, got) = tokio::join!(relay(MemoryBudget::new(0), 100_000, from, to), reading);
+        assert!(!complete && got < 100_000);
     }
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -13,8 +13,8 @@
 use crate::config::{ConfigError, ConfigSource};
 use crate::message::{Control, SharedSettings};
 use crate::metrics::Metrics;
-use crate::momentary::until_done;
-use crate::shared::Shared;
+use crate::shared::SharedState;
+use crate::transient::retry_transient;
 
 /// Requests of a class that a reload has removed are still accepted for this time, since some are in flight.
 const REMOVED_CLASS_GRACE: Duration = Duration::from_secs(1);
@@ -32,7 +32,7 @@
     /// Takes the settings of the parts around the driver.
     pub(crate) settings: watch::Sender<SharedSettings>,
     /// The store that all nodes share, if there is one.
-    pub(crate) shared: Option<Arc<dyn Shared>>,
+    pub(crate) shared: Option<Arc<dyn SharedState>>,
 }
 
 /// The settings without removed classes, and when they take effect.
@@ -58,7 +58,7 @@
                     if let Some(reloaded) = self.reload().await {
                         pending = Some(reloaded);
                         if let Some(shared) = &shared {
-                            shared.config_taken(revision);
+                            shared.config_applied(revision);
                         }
                     }
                 }
@@ -87,7 +87,7 @@
     /// Puts the configuration as it is now into force; returns the settings without removed classes. An
     /// error leaves everything as it was.
     async fn try_reload(&mut self) -> Result<SharedSettings, ConfigError> {
-        let (config, document) = until_done(|| self.source.read()).await?;
+        let (config, document) = retry_transient(|| self.source.read()).await?;
         let (sender, answer) = oneshot::channel();
         let sent = self.control.send(Control::Reload(Box::new(config.settings), sender)).await;
         sent.map_err(|_| ConfigError::ShuttingDown)?;
@@ -110,7 +110,7 @@
 }
 
 /// Waits for a revision of the shared configuration later than the one seen; forever where nothing is shared.
-async fn next_revision(shared: &Option<Arc<dyn Shared>>, seen: u64) -> u64 {
+async fn next_revision(shared: &Option<Arc<dyn SharedState>>, seen: u64) -> u64 {
     match shared {
         Some(shared) => shared.config_after(seen).await,
         None => std::future::pending().await,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -5,41 +5,41 @@
 
 use bytes::Bytes;
 use stonefold_balancer::Micros;
-use stonefold_proto::metadata;
+use stonefold_proto::metadata::metadata_value;
 
-use crate::relay::Stream;
+use crate::relay::ValueStream;
 
 /// Part of a client's time that is reserved for the way of the response and the granularity of timers.
-pub const RESPONSE_RESERVE: Duration = Duration::from_millis(5);
+pub(crate) const RESPONSE_RESERVE: Duration = Duration::from_millis(5);
 
 /// The metadata field that states the time left, in whole milliseconds.
 const TIME_LEFT_FIELD: &str = "d=";
 
 /// A client's request.
 #[derive(Debug)]
-pub struct ClientRequest {
-    pub key: String,
+pub(crate) struct ClientRequest {
+    pub(crate) key: String,
     /// The id that the client gave it, forwarded as it is.
-    pub id: Bytes,
+    pub(crate) id: Bytes,
     /// Names and values, as `name=value` parts separated by commas.
-    pub metadata: Bytes,
+    pub(crate) metadata: Bytes,
     /// What a write stores; nothing for a read.
-    pub value: Option<Bytes>,
+    pub(crate) value: Option<Bytes>,
     /// How long the client will wait.
-    pub timeout: Micros,
+    pub(crate) timeout: Micros,
 }
 
 impl ClientRequest {
     /// A metadata value by its name.
-    pub fn metadata_value(&self, name: &str) -> Option<&str> {
-        metadata::metadata_value(str::from_utf8(&self.metadata).ok()?, name)
+    pub(crate) fn metadata_value(&self, name: &str) -> Option<&str> {
+        metadata_value(str::from_utf8(&self.metadata).ok()?, name)
     }
 
     /// The metadata as received, except that `d` states the time left, in whole milliseconds.
     ///
-    /// To be called right before an attempt is written: time spent on earlier attempts, or on connecting, is gone,
-    /// and a server that is told more works on for a client that has given up.
-    pub fn metadata_with_time_left(&self, left: Duration) -> Vec<u8> {
+    /// Must be called right before an attempt is written: a server that gets more time than is left works for a client
+    /// that has given up.
+    pub(crate) fn metadata_with_time_left(&self, left: Duration) -> Vec<u8> {
         let time_left = format!("{TIME_LEFT_FIELD}{}", left.as_millis());
         let fields = self.metadata.split(|&byte| byte == b',').map(|field| {
             if field.starts_with(TIME_LEFT_FIELD.as_bytes()) { time_left.as_bytes() } else { field }
@@ -49,11 +49,11 @@
 }
 
 /// The final response to a request.
-pub enum Response {
+pub(crate) enum Response {
     /// The value.
     Value(Bytes),
     /// The value as it arrives from the server.
-    Stream(Stream),
+    Stream(ValueStream),
     /// Rejected without effect; the client should wait this long before a retry, if it is not 0.
     Rejected { retry_after: Micros },
     /// Failed, with no promise about the effect.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,5 +1,4 @@
-//! What a node keeps together with its siblings, where an installation has that: the node's side of it. On this
-//! platform there is none.
+//! State that a node shares with the other nodes, where an installation has a store for it.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -12,69 +11,89 @@
 
 use crate::overrides::{Override, Overrides};
 
-/// A future of a trait object.
-pub type Later<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+/// A boxed future, as returned by the methods of a trait object.
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+
+/// State that outlives this process and is the same at all nodes. Only methods that return a future may block.
+pub trait SharedState: Send + Sync + 'static {
+    /// Waits until the committed state is known, up to a limit of the implementation's.
+    fn ready(&self) -> BoxFuture<'_, ()>;
 
-/// State that outlives this process, and that all nodes have alike. Nothing here waits but what returns a future.
-pub trait Shared: Send + Sync + 'static {
-    /// Waits until it is known what is committed, or was waited for long enough.
-    fn ready(&self) -> Later<'_, ()>;
     /// The overrides in force.
     fn overrides(&self) -> Overrides;
-    /// Whether anything may have changed since this was last asked.
+
+    /// Whether anything may have changed since the last call.
     fn changed(&self) -> bool;
-    /// Sets a server's override at all nodes, durably.
-    fn set_override(&self, server: String, server_override: Override) -> Later<'_, Result<(), String>>;
-    /// The committed list, if it is newer than the one acted on.
+
+    /// Sets the override of a server at all nodes, durably.
+    fn set_override(&self, server: String, server_override: Override) -> BoxFuture<'_, Result<(), String>>;
+
+    /// The committed endpoint list, if it is newer than the one adopted here.
     fn newer_list(&self) -> Option<EndpointList>;
-    /// Whether a list of this version may be acted on; it is from then on. An error tells the version that is known.
-    fn may_act(&self, version: u64) -> Result<(), u64>;
-    /// A list was learned: all of it, and when each server was started. The others are told in time.
-    fn learned(&self, version: u64, text: String, started: Vec<(String, u64)>);
-    /// Waits for a configuration of a later revision than this, and tells which it is.
-    fn config_after(&self, revision: u64) -> Later<'_, u64>;
-    /// The configuration of this revision is in force here.
-    fn config_taken(&self, revision: u64);
+
+    /// Adopts a list of this version.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the known version if that is newer.
+    fn adopt_list(&self, version: u64) -> Result<(), u64>;
+
+    /// Publishes a complete endpoint list to the other nodes, with the start time of each server in milliseconds of Unix
+    /// time.
+    fn publish_list(&self, version: u64, text: String, started: Vec<(String, u64)>);
+
+    /// Waits for a configuration of a later revision, and returns that revision.
+    fn config_after(&self, revision: u64) -> BoxFuture<'_, u64>;
+
+    /// Reports that the configuration of this revision is in force here.
+    fn config_applied(&self, revision: u64);
 }
 
-/// The list as this node has it, for the others.
-pub struct Ledger {
-    shared: Arc<dyn Shared>,
+/// The endpoint list as this node knows it, published to the other nodes when it changes.
+pub struct SharedEndpoints {
+    shared: Arc<dyn SharedState>,
     version: u64,
-    entries: BTreeMap<String, ListedServer>,
+    servers: BTreeMap<String, ListedServer>,
 }
 
-impl Ledger {
-    /// A ledger with nothing in it.
-    pub fn new(shared: Arc<dyn Shared>) -> Ledger {
-        Ledger { shared, version: 0, entries: BTreeMap::new() }
+impl SharedEndpoints {
+    /// Starts with an empty list.
+    pub fn new(shared: Arc<dyn SharedState>) -> SharedEndpoints {
+        SharedEndpoints { shared, version: 0, servers: BTreeMap::new() }
     }
 
-    /// Enters a list, whole or of changes; false if a newer one is known, and this one may not be acted on.
-    pub fn enter(&mut self, list: &EndpointList) -> bool {
-        if let Err(known) = self.shared.may_act(list.version) {
-            warn!(event = "list_too_old", version = list.version, known, "a list is not acted on");
+    /// Applies a complete list or a list of changes. Returns false if a newer one is known, so that this one must not be
+    /// used.
+    pub fn apply(&mut self, list: &EndpointList) -> bool {
+        if let Err(known) = self.shared.adopt_list(list.version) {
+            warn!(event = "list_outdated", version = list.version, known, "an endpoint list is ignored");
             return false;
         }
         if list.full {
-            self.entries.clear();
+            self.servers.clear();
         }
-        for entry in &list.servers {
-            match entry.state {
-                ServerState::Deleted => _ = self.entries.remove(&entry.id),
-                _ => _ = self.entries.insert(entry.id.clone(), entry.clone()),
+        for server in &list.servers {
+            match server.state {
+                ServerState::Deleted => _ = self.servers.remove(&server.id),
+                ServerState::Serving | ServerState::Draining => {
+                    _ = self.servers.insert(server.id.clone(), server.clone());
+                }
             }
         }
         if list.version > self.version {
             self.version = list.version;
-            let servers: Vec<&ListedServer> = self.entries.values().collect();
-            let text = json!({"version": list.version, "full": true, "servers": servers}).to_string();
-            let started = servers.iter().filter(|entry| entry.started_ms > 0.0);
-            let started = started.map(|entry| (entry.id.clone(), entry.started_ms as u64)).collect();
-            self.shared.learned(list.version, text, started);
+            self.publish();
         }
         true
     }
+
+    fn publish(&self) {
+        let servers: Vec<&ListedServer> = self.servers.values().collect();
+        let text = json!({"version": self.version, "full": true, "servers": servers}).to_string();
+        let started = servers.iter().filter(|server| server.started_ms > 0.0);
+        let started = started.map(|server| (server.id.clone(), server.started_ms as u64)).collect();
+        self.shared.publish_list(self.version, text, started);
+    }
 }
 
 #[cfg(test)]
--- a/crates/node/src/shared/tests.rs
+++ b/crates/node/src/shared/tests.rs
@@ -14,8 +14,8 @@
 #[derive(Default)]
 struct Recorder(Mutex<Vec<Learned>>);
 
-impl Shared for Recorder {
-    fn ready(&self) -> Later<'_, ()> {
+impl SharedState for Recorder {
+    fn ready(&self) -> BoxFuture<'_, ()> {
         Box::pin(async {})
     }
     fn overrides(&self) -> Overrides {
@@ -24,22 +24,22 @@
     fn changed(&self) -> bool {
         false
     }
-    fn set_override(&self, _: String, _: Override) -> Later<'_, Result<(), String>> {
+    fn set_override(&self, _: String, _: Override) -> BoxFuture<'_, Result<(), String>> {
         Box::pin(async { Ok(()) })
     }
     fn newer_list(&self) -> Option<EndpointList> {
         None
     }
-    fn may_act(&self, _: u64) -> Result<(), u64> {
+    fn adopt_list(&self, _: u64) -> Result<(), u64> {
         Ok(())
     }
-    fn learned(&self, version: u64, text: String, started: Vec<(String, u64)>) {
+    fn publish_list(&self, version: u64, text: String, started: Vec<(String, u64)>) {
         self.0.lock().unwrap().push((version, text, started));
     }
-    fn config_after(&self, _: u64) -> Later<'_, u64> {
+    fn config_after(&self, _: u64) -> BoxFuture<'_, u64> {
         Box::pin(std::future::pending())
     }
-    fn config_taken(&self, _: u64) {}
+    fn config_applied(&self, _: u64) {}
 }
 
 #[test]
@@ -57,7 +57,7 @@
     assert_eq!((second.zone.as_str(), second.kind.as_str(), second.cell), ("", "", 0));
     assert_eq!((second.state, second.weight, second.started_ms), (ServerState::Draining, None, 0.0));
     let shared = Arc::new(Recorder::default());
-    assert!(Ledger::new(shared.clone()).enter(&list));
+    assert!(SharedEndpoints::new(shared.clone()).apply(&list));
     let written = std::mem::take(&mut *shared.0.lock().unwrap());
     assert_eq!(written, [(43, RECORDED.trim_end().to_owned(), vec![("s-1".to_owned(), 1_790_000_000_123)])]);
 }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,52 +1,91 @@
-//! One attempt at a server: a connection, the request, the answer.
+//! A single attempt at a server: connect if necessary, send the request, read the reply.
 
+use std::sync::Arc;
 use std::time::Duration;
 
+use bytes::Bytes;
 use stonefold_balancer::Outcome;
 use stonefold_net::SocketErrorKind;
 use tokio::time::{Instant, timeout};
 
-use super::connection::Connection;
+use super::connection::ServerConnection;
 use super::directory::Target;
-use super::reply::Reply;
 use crate::metrics::Metrics;
-use crate::relay::Pass;
+use crate::relay::RelayContext;
 use crate::request::ClientRequest;
 
 #[cfg(test)]
 mod tests;
 
-/// Makes one attempt, which states the time left until its deadline. The connection comes back if another request
-/// may use it.
-pub async fn run(
-    target: Target,
-    pooled: Option<Connection>,
-    command: &ClientRequest,
-    deadline: Instant,
-    connect_timeout: Duration,
-    metrics: &Metrics,
-    pass: Pass,
-) -> (Reply, Option<Connection>) {
-    let connection = match pooled {
-        Some(connection) => connection,
-        None => match timeout(connect_timeout, Connection::open(target.addr, target.origin)).await {
-            Ok(Ok(connection)) => connection,
-            // The machine is short of something: no fault of the server's.
-            Ok(Err(error)) if SocketErrorKind::of(&error).is_local() => {
-                return (Reply::of(Outcome::NotSent), None);
+/// How an attempt ended.
+pub(crate) struct AttemptResult {
+    /// The outcome as the balancer counts it.
+    pub(crate) outcome: Outcome,
+    /// The value to serve after `Outcome::Success`, unless it was relayed as a stream.
+    pub(crate) value: Bytes,
+    /// Whether the cache had the value, if it said so.
+    pub(crate) cache_hit: Option<bool>,
+}
+
+impl AttemptResult {
+    /// A result without a value.
+    pub(crate) fn of(outcome: Outcome) -> Self {
+        AttemptResult { outcome, value: Bytes::new(), cache_hit: None }
+    }
+}
+
+/// An attempt that is to be made.
+pub(crate) struct Attempt {
+    /// The server, and the permit to send to it.
+    pub(crate) target: Target,
+    /// An idle connection to the server, if there is one.
+    pub(crate) pooled: Option<ServerConnection>,
+    /// The request.
+    pub(crate) request: Arc<ClientRequest>,
+    /// The server is given the time until then.
+    pub(crate) deadline: Instant,
+    /// How long to wait for a new connection.
+    pub(crate) connect_timeout: Duration,
+    pub(crate) metrics: Arc<Metrics>,
+    pub(crate) relay: RelayContext,
+}
+
+impl Attempt {
+    /// Makes the attempt. Returns the connection too if another request may use it.
+    ///
+    /// # Cancel safety
+    ///
+    /// Cancelling closes the connection. The server may have received the request.
+    pub(crate) async fn run(self) -> (AttemptResult, Option<ServerConnection>) {
+        let Attempt { target, pooled, request, deadline, connect_timeout, metrics, relay } = self;
+        let connection = match pooled {
+            Some(connection) => connection,
+            None => match connect(&target, connect_timeout).await {
+                Ok(connection) => connection,
+                Err(outcome) => return (AttemptResult::of(outcome), None),
+            },
+        };
+        match connection {
+            ServerConnection::Cache(connection) => {
+                let (result, connection) =
+                    connection.request(&request, deadline, target.permit, &metrics, relay).await;
+                (result, connection.map(ServerConnection::Cache))
+            }
+            ServerConnection::Origin(connection) => {
+                let (result, connection) =
+                    connection.request(&request, deadline, target, &metrics, relay).await;
+                (result, connection.map(ServerConnection::Origin))
             }
-            Ok(Err(_)) | Err(_) => return (Reply::of(Outcome::ConnectFailed), None),
-        },
-    };
-    match connection {
-        Connection::Cache(connection) => {
-            let (reply, connection) = connection.ask(command, deadline, target.permit, metrics, pass).await;
-            (reply, connection.map(Connection::Cache))
-        }
-        Connection::Origin(connection) => {
-            let (reply, connection) =
-                connection.ask(command, deadline, target.addr, target.permit, metrics, pass).await;
-            (reply, connection.map(Connection::Origin))
         }
     }
 }
+
+/// Opens a connection; an error is the outcome of the attempt.
+async fn connect(target: &Target, connect_timeout: Duration) -> Result<ServerConnection, Outcome> {
+    match timeout(connect_timeout, ServerConnection::open(target.addr, target.origin)).await {
+        Ok(Ok(connection)) => Ok(connection),
+        // This machine lacks a resource; the server is not at fault.
+        Ok(Err(error)) if SocketErrorKind::of(&error).is_local() => Err(Outcome::NotSent),
+        Ok(Err(_)) | Err(_) => Err(Outcome::ConnectFailed),
+    }
+}
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! What an attempt does right after a stall: real sockets, one thread, as in a node.
+//! Attempts right after a stall of the event loop, with real sockets on one thread, as in a node.
 
 use std::io::Read;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use tokio::net::TcpListener;
 
 use super::*;
-use crate::presence::Presence;
-use crate::relay::Budget;
+use crate::client_status::ClientStatus;
+use crate::relay::MemoryBudget;
 use crate::stall::StallMonitor;
 use crate::upstream::send_permit::{SendConditions, SendPermit, ServingFlag};
 
@@ -17,47 +17,51 @@
 const STALL: Duration = Duration::from_millis(60);
 const WAIT: Duration = Duration::from_secs(5);
 
-fn command() -> ClientRequest {
-    let (id, facts) = ("id".into(), "c=read,d=5000".into());
-    ClientRequest { key: "k".into(), id, metadata: facts, value: None, timeout: 5_000_000 }
+fn request() -> ClientRequest {
+    let (id, metadata) = ("id".into(), "c=read,d=5000".into());
+    ClientRequest { key: "k".into(), id, metadata, value: None, timeout: 5_000_000 }
 }
 
-/// A client's connection whose end is noted as a session notes it.
-async fn watched_client() -> (std::net::TcpStream, Presence) {
+/// A client connection whose end is recorded as by a session.
+async fn watched_client() -> (std::net::TcpStream, ClientStatus) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let session = Socket::new(listener.accept().await.unwrap().0).unwrap();
-    let presence = Presence::default();
-    let seen = presence.clone();
+    let status = ClientStatus::default();
+    let seen = status.clone();
     tokio::spawn(async move {
         session.peer_closed().await;
-        seen.end();
+        seen.mark_disconnected();
     });
-    tokio::task::yield_now().await; // it waits
-    (client, presence)
+    tokio::task::yield_now().await; // the task waits now
+    (client, status)
 }
 
 #[tokio::test]
-async fn nothing_is_written_after_a_stall_in_which_the_client_has_left() {
+async fn nothing_is_written_after_a_stall_in_which_the_client_disconnected() {
     let stalls = StallMonitor::new();
     let metrics = Arc::new(Metrics::default());
     tokio::spawn(stalls.clone().run(metrics.clone()));
     let cache = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = cache.local_addr().unwrap();
-    let pooled = Connection::open(addr, false).await.unwrap();
+    let pooled = ServerConnection::open(addr, false).await.unwrap();
     let mut served = cache.accept().unwrap().0;
-    let (client, presence) = watched_client().await;
-    let conditions = SendConditions { client: presence, stalls, ..SendConditions::default() };
+    let (client, status) = watched_client().await;
+    let conditions = SendConditions { client: status, stalls, ..SendConditions::default() };
     let permit = SendPermit::new(ServingFlag::new(), conditions);
     let target = Target { addr, origin: false, permit };
 
     let attempt = tokio::spawn(async move {
-        // The thread stands still, and the client leaves meanwhile: no socket is looked at before the attempt's turn.
+        // The thread stalls while the client disconnects: no socket is polled before the attempt runs.
         drop(client);
         thread::sleep(STALL);
-        let pass = Pass { budget: Budget::new(0), begin: Box::new(|_| {}) };
+        let relay = RelayContext { budget: MemoryBudget::new(0), on_start: Box::new(|_| {}) };
         let deadline = Instant::now() + WAIT;
-        run(target, Some(pooled), &command(), deadline, WAIT, &metrics, pass).await.0.outcome
+        let request = Arc::new(request());
+        let connect_timeout = WAIT;
+        let attempt =
+            Attempt { target, pooled: Some(pooled), request, deadline, connect_timeout, metrics, relay };
+        attempt.run().await.0.outcome
     });
     let outcome = timeout(WAIT, attempt).await.expect("it waits for an answer to what it has written");
     assert_eq!(outcome.unwrap(), Outcome::NotSent);
--- /dev/null
+++ b/crates/node/src/upstream/cache_connection.rs
@@ -0,0 +1,175 @@
+//! A connection to a cache server: RESP2, one request at a time.
+
+use std::io;
+
+use bytes::{Bytes, BytesMut};
+use stonefold_balancer::Outcome;
+use stonefold_net::Socket;
+use stonefold_proto::resp::decode_frame;
+use tokio::time::{Instant, timeout};
+
+use super::attempt::AttemptResult;
+use super::cache_protocol::{command_header, parse_reply, take_large_value_header};
+use super::send_permit::{SendPermit, StatedTime};
+use crate::metrics::Metrics;
+use crate::relay::{
+    Chunk, MAX_BUFFERED_BYTES, MemoryBudget, PROGRESS_TIMEOUT, ReceiverDropped, RelayContext, ValueSink,
+    value_channel,
+};
+use crate::request::ClientRequest;
+
+/// The most that surrounds a value in a reply, in bytes.
+const MAX_ENVELOPE_BYTES: usize = 2 << 10;
+/// The largest reply that is not relayed in chunks, in bytes.
+const MAX_REPLY_BYTES: usize = MAX_BUFFERED_BYTES + MAX_ENVELOPE_BYTES;
+/// The start of a reply with an empty value. Put before the end of a relayed reply, it makes that a complete one.
+const EMPTY_VALUE_REPLY: &[u8] = b"*3\r\n$0\r\n";
+
+/// A connection to a cache server, between requests.
+pub(crate) struct CacheConnection(Socket);
+
+impl CacheConnection {
+    /// Wraps a connected socket.
+    pub(crate) fn new(socket: Socket) -> Self {
+        CacheConnection(socket)
+    }
+
+    /// Whether the connection is open and the server has sent nothing unsolicited. Asks the kernel, since the runtime may
+    /// not have noticed a close yet.
+    pub(crate) fn is_reusable(&self) -> bool {
+        self.0.is_idle()
+    }
+
+    /// Whether the server has sent bytes that no request asked for, such as a second copy of its reply.
+    pub(crate) fn has_unsolicited_bytes(&self) -> bool {
+        self.0.has_unread_bytes()
+    }
+
+    /// Sends one request, which states the time left until `deadline`, and waits for the reply. Returns the connection
+    /// too if another request may use it.
+    pub(crate) async fn request(
+        mut self,
+        request: &ClientRequest,
+        deadline: Instant,
+        permit: SendPermit,
+        metrics: &Metrics,
+        relay: RelayContext,
+    ) -> (AttemptResult, Option<Self>) {
+        permit.wait_stall_over().await;
+        let Some(stated) = permit.start(deadline) else {
+            return (AttemptResult::of(Outcome::NotSent), None);
+        };
+        // If the connection breaks before the last byte is written, the request was not executed. Later it may have been.
+        if self.write_request(request, stated).await.is_err() {
+            return (AttemptResult::of(Outcome::ConnectFailed), None);
+        }
+        metrics.attempts_written.increment();
+        metrics.deadline_excess.record(stated.excess(Instant::now()));
+        match self.read_reply(relay).await {
+            Ok(Reply { result, reusable }) => (result, reusable.then_some(self)),
+            Err(outcome) => (AttemptResult::of(outcome), None),
+        }
+    }
+
+    async fn write_request(&self, request: &ClientRequest, stated: StatedTime) -> io::Result<()> {
+        self.0.write_all(&command_header(request, stated.remaining())).await?;
+        if let Some(value) = &request.value {
+            self.0.write_all(value).await?;
+            self.0.write_all(b"\r\n").await?;
+        }
+        Ok(())
+    }
+
+    /// Reads a reply; an error is the outcome of the attempt, after which the connection cannot be used.
+    async fn read_reply(&mut self, relay: RelayContext) -> Result<Reply, Outcome> {
+        let mut buffer = BytesMut::new();
+        loop {
+            if let Some(length) = take_large_value_header(&mut buffer) {
+                let result = self.relay_value(length, buffer.freeze(), relay).await?;
+                return Ok(Reply { result, reusable: true });
+            }
+            if let Some(frame) =
+                decode_frame(&mut buffer, MAX_REPLY_BYTES).map_err(|_| Outcome::ServerError)?
+            {
+                let result = parse_reply(frame).map_err(|_| Outcome::ServerError)?;
+                return Ok(Reply { result, reusable: buffer.is_empty() });
+            }
+            match self.0.read_buf(&mut buffer).await {
+                Ok(0) | Err(_) => return Err(Outcome::ConnectionReset),
+                Ok(_) => {}
+            }
+        }
+    }
+
+    /// Relays a large value of which `first` has been read; an error is the outcome of the attempt, after which the
+    /// connection cannot be used.
+    async fn relay_value(
+        &mut self,
+        length: usize,
+        first: Bytes,
+        relay: RelayContext,
+    ) -> Result<AttemptResult, Outcome> {
+        let RelayContext { budget, on_start } = relay;
+        let (sink, stream) = value_channel(length);
+        let mut start = Some((on_start, stream));
+        // The end of the reply is not in `first`, which is shorter than the value.
+        let mut remaining = length;
+        let mut first = Some(first).filter(|bytes| !bytes.is_empty());
+        loop {
+            let chunk = match first.take() {
+                Some(bytes) => budget.chunk(bytes).await.map_err(|_| Outcome::ConnectionReset)?,
+                None => self.read_chunk(&budget, &sink, remaining).await?,
+            };
+            remaining -= chunk.bytes.len();
+            if let Some((on_start, stream)) = start.take() {
+                on_start(stream);
+            }
+            if remaining > 0 {
+                sink.send(chunk).await.map_err(|ReceiverDropped| Outcome::Canceled)?;
+                continue;
+            }
+            // The client gets the last chunk only after the end of the reply was checked: it could not detect a malformed
+            // end itself.
+            let result = self.read_envelope_end().await?;
+            sink.send(chunk).await.map_err(|ReceiverDropped| Outcome::Canceled)?;
+            return Ok(result);
+        }
+    }
+
+    async fn read_chunk(
+        &mut self,
+        budget: &MemoryBudget,
+        sink: &ValueSink,
+        remaining: usize,
+    ) -> Result<Chunk, Outcome> {
+        tokio::select! {
+            chunk = budget.read_chunk(&mut self.0, remaining) => chunk.ok().flatten().ok_or(Outcome::ConnectionReset),
+            () = sink.closed() => Err(Outcome::Canceled),
+        }
+    }
+
+    /// Reads what follows a large value: the end of its bulk string, the cache status and the load report.
+    async fn read_envelope_end(&mut self) -> Result<AttemptResult, Outcome> {
+        let mut buffer = BytesMut::from(EMPTY_VALUE_REPLY);
+        loop {
+            match decode_frame(&mut buffer, MAX_ENVELOPE_BYTES).map_err(|_| Outcome::ServerError)? {
+                Some(frame) if buffer.is_empty() => {
+                    return parse_reply(frame).map_err(|_| Outcome::ServerError);
+                }
+                Some(_) => return Err(Outcome::ServerError),
+                None => {}
+            }
+            match timeout(PROGRESS_TIMEOUT, self.0.read_buf(&mut buffer)).await {
+                Ok(Ok(read)) if read > 0 => {}
+                _ => return Err(Outcome::ConnectionReset),
+            }
+        }
+    }
+}
+
+/// A reply that was read.
+struct Reply {
+    result: AttemptResult,
+    /// Whether the connection can be used for another request.
+    reusable: bool,
+}
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,41 +1,47 @@
-//! A connection to a server, whatever it speaks.
+//! A connection to a server, for either protocol.
 
 use std::io;
 use std::net::SocketAddr;
 
 use stonefold_net::Socket;
 
-use super::{caches, origin};
+use super::cache_connection::CacheConnection;
+use super::origin_connection::OriginConnection;
 
 /// A connection to a server, between requests.
-pub enum Connection {
-    Cache(caches::Connection),
-    Origin(origin::Connection),
+pub(crate) enum ServerConnection {
+    Cache(CacheConnection),
+    Origin(OriginConnection),
 }
 
-impl Connection {
-    /// Connects to a cache, or to the origin.
-    pub async fn open(addr: SocketAddr, origin: bool) -> io::Result<Connection> {
-        let stream = Socket::connect(addr).await?;
-        Ok(match origin {
-            false => Connection::Cache(caches::Connection::new(stream)),
-            true => Connection::Origin(origin::Connection::new(stream).await?),
-        })
+impl ServerConnection {
+    /// Connects to a cache server, or to the origin.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection cannot be opened.
+    pub(crate) async fn open(addr: SocketAddr, origin: bool) -> io::Result<ServerConnection> {
+        let socket = Socket::connect(addr).await?;
+        if origin {
+            Ok(ServerConnection::Origin(OriginConnection::new(socket).await?))
+        } else {
+            Ok(ServerConnection::Cache(CacheConnection::new(socket)))
+        }
     }
 
-    /// Whether the server has said something unasked, as far as that can be told: of the origin it shows as a close.
-    pub fn has_unasked(&self) -> bool {
+    /// Whether the server has sent bytes that no request asked for. At the origin such bytes show as a close instead.
+    pub(crate) fn has_unsolicited_bytes(&self) -> bool {
         match self {
-            Connection::Cache(connection) => connection.has_unasked(),
-            Connection::Origin(_) => false,
+            ServerConnection::Cache(connection) => connection.has_unsolicited_bytes(),
+            ServerConnection::Origin(_) => false,
         }
     }
 
-    /// Whether the server has left it open and said nothing unasked.
-    pub fn is_live(&self) -> bool {
+    /// Whether the connection is open and the server has sent nothing unsolicited.
+    pub(crate) fn is_reusable(&self) -> bool {
         match self {
-            Connection::Cache(connection) => connection.is_live(),
-            Connection::Origin(connection) => connection.is_live(),
+            ServerConnection::Cache(connection) => connection.is_reusable(),
+            ServerConnection::Origin(connection) => connection.is_reusable(),
         }
     }
 }
