--- /dev/null
+++ b/crates/node/src/upstream/directory/idle_pool.rs
@@ -0,0 +1,100 @@
+//! The idle connections to one server.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+use tracing::trace;
+
+use crate::metrics::Metrics;
+use crate::upstream::connection::ServerConnection;
+
+/// A connection is not reused before it has been idle for this long, if there is another. A close or surplus bytes that
+/// the server sent right after its reply are noticed in that time.
+const MIN_IDLE: Duration = Duration::from_millis(1);
+
+/// A second copy of the last reply may still arrive on a connection that has been idle for less than this.
+const DUPLICATE_REPLY_WINDOW: Duration = Duration::from_millis(10);
+
+struct IdleConnection {
+    since: Instant,
+    connection: ServerConnection,
+}
+
+/// The idle connections to one server, the most recently used last.
+#[derive(Default)]
+pub(crate) struct IdlePool(Vec<IdleConnection>);
+
+impl IdlePool {
+    /// Adds a connection whose last request ended now.
+    pub(crate) fn add(&mut self, now: Instant, connection: ServerConnection) {
+        self.0.push(IdleConnection { since: now, connection });
+    }
+
+    /// Takes the most recently used connection that can be reused, and closes those that turn out to be unusable.
+    pub(crate) fn take(
+        &mut self,
+        server: &str,
+        now: Instant,
+        max_idle: Duration,
+        metrics: &Metrics,
+    ) -> Option<ServerConnection> {
+        while let Some(index) = self.0.iter().rposition(|idle| now >= idle.since + MIN_IDLE) {
+            let idle = self.0.remove(index);
+            if now < idle.since + max_idle && is_reusable(server, &idle, now, metrics) {
+                if now < idle.since + DUPLICATE_REPLY_WINDOW {
+                    metrics.early_reuses.increment();
+                }
+                return Some(idle.connection);
+            }
+        }
+        None
+    }
+
+    /// Closes connections that are too old, or that cannot be reused.
+    pub(crate) fn close_expired(
+        &mut self,
+        server: &str,
+        now: Instant,
+        max_idle: Duration,
+        metrics: &Metrics,
+    ) {
+        self.0.retain(|idle| now < idle.since + max_idle && is_reusable(server, idle, now, metrics));
+    }
+
+    /// Closes all connections.
+    pub(crate) fn close_all(&mut self) {
+        self.0.clear();
+    }
+
+    /// Closes the connection that was used longest ago.
+    pub(crate) fn close_oldest(&mut self) {
+        if !self.0.is_empty() {
+            self.0.remove(0);
+        }
+    }
+
+    /// Since when the connection that was used longest ago is idle.
+    pub(crate) fn oldest(&self) -> Option<Instant> {
+        self.0.first().map(|idle| idle.since)
+    }
+
+    /// The number of connections.
+    pub(crate) fn len(&self) -> usize {
+        self.0.len()
+    }
+}
+
+/// Whether a connection can be reused; counts those on which the server has sent unsolicited bytes.
+fn is_reusable(server: &str, idle: &IdleConnection, now: Instant, metrics: &Metrics) -> bool {
+    let reusable = idle.connection.is_reusable();
+    if !reusable && idle.connection.has_unsolicited_bytes() {
+        metrics.unsolicited_replies.increment();
+        trace!(
+            event = "unsolicited_reply",
+            server,
+            idle_us = (now - idle.since).as_micros() as u64,
+            "a server has sent bytes that no request asked for"
+        );
+    }
+    reusable
+}
--- /dev/null
+++ b/crates/node/src/upstream/directory/mod.rs
@@ -0,0 +1,287 @@
+//! The servers that discovery has named: their ids for the balancer, their addresses and idle connections.
+
+mod former_names;
+mod idle_pool;
+mod server;
+
+use std::borrow::Cow;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use stonefold_balancer::settings_document::ResolvedSettings;
+use stonefold_balancer::{Endpoint, EndpointState, Micros, ServerId};
+use stonefold_proto::endpoints::{EndpointList, ListedServer, ServerState};
+use tokio::time::Instant;
+use tracing::info;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use former_names::FormerNames;
+use server::Server;
+
+use super::connection::ServerConnection;
+use super::send_permit::{SendConditions, SendPermit};
+use super::start_times::{ListArrival, StartTimes};
+use crate::metrics::Metrics;
+
+/// The server that an attempt goes to.
+pub(crate) struct Target {
+    pub(crate) addr: SocketAddr,
+    /// Whether it is the origin rather than a cache server.
+    pub(crate) origin: bool,
+    pub(crate) permit: SendPermit,
+}
+
+/// How a server was last listed.
+pub(crate) struct Listing {
+    pub(crate) state: EndpointState,
+    /// Unix time of its last start, in milliseconds; 0 if it was long ago.
+    pub(crate) started_ms: f64,
+}
+
+/// The servers by id.
+pub(crate) struct Directory {
+    servers: HashMap<ServerId, Server>,
+    /// The names of servers that operators have disabled, listed or not. Their ids are not given to others.
+    disabled: HashMap<ServerId, String>,
+    former_names: FormerNames,
+    /// An idle connection is closed at this age, before the server closes it.
+    max_idle: Duration,
+    metrics: Arc<Metrics>,
+}
+
+impl Directory {
+    /// An empty directory.
+    pub(crate) fn new(idle_timeout: Duration, metrics: Arc<Metrics>) -> Self {
+        let mut directory = Directory {
+            servers: HashMap::new(),
+            disabled: HashMap::new(),
+            former_names: FormerNames::default(),
+            max_idle: Duration::ZERO,
+            metrics,
+        };
+        directory.set_idle_timeout(idle_timeout);
+        directory
+    }
+
+    /// Sets the time after which servers close an idle connection.
+    pub(crate) fn set_idle_timeout(&mut self, idle_timeout: Duration) {
+        self.max_idle = idle_timeout * 9 / 10;
+    }
+
+    /// Applies an endpoint list, and returns the servers that the balancer has to update.
+    pub(crate) fn apply(
+        &mut self,
+        mut list: EndpointList,
+        arrival: ListArrival,
+        settings: &mut ResolvedSettings,
+    ) -> Vec<Endpoint> {
+        // Sorted by name, so that colliding ids are resolved in the same way at every node.
+        list.servers.sort_by(|one, other| one.id.cmp(&other.id));
+        if list.full {
+            self.remove_unlisted(&list.servers);
+        }
+        let starts = StartTimes::new(&list.servers, arrival);
+        let new_starts = list.servers.iter().filter(|listed| self.is_new_start(listed));
+        let latest = new_starts.map(|listed| listed.started_ms).fold(0.0, f64::max);
+        let listed = list.servers.into_iter();
+        let mut endpoints: Vec<Endpoint> =
+            listed.map(|server| self.apply_server(&server, &starts, settings)).collect();
+        let Some(clock_ahead) = starts.clock_ahead(latest) else { return endpoints };
+        for corrected in self.correct_starts(clock_ahead) {
+            match endpoints.iter_mut().find(|endpoint| endpoint.id == corrected.id) {
+                Some(endpoint) => *endpoint = corrected,
+                None => endpoints.push(corrected),
+            }
+        }
+        endpoints
+    }
+
+    /// Removes the servers that a complete list, sorted by name, does not contain.
+    fn remove_unlisted(&mut self, listed: &[ListedServer]) {
+        let is_listed = |name: &str| listed.binary_search_by(|one| one.id.as_str().cmp(name)).is_ok();
+        self.servers.retain(|id, server| {
+            if is_listed(server.name()) {
+                return true;
+            }
+            server.stop_attempts();
+            info!(event = "server_removed", server = server.name(), "a server is no longer listed");
+            if !self.disabled.contains_key(id) {
+                self.former_names.add(server.name());
+            }
+            false
+        });
+    }
+
+    fn is_new_start(&self, listed: &ListedServer) -> bool {
+        let known = self.servers.get(&self.id_of(&listed.id));
+        known.is_none_or(|server| server.started_ms() != listed.started_ms)
+    }
+
+    /// Moves the starts that the first list dated too early, because our clock was ahead, and returns their servers.
+    fn correct_starts(&mut self, clock_ahead: Micros) -> Vec<Endpoint> {
+        let servers = self.servers.values_mut();
+        let mut corrected: Vec<Endpoint> =
+            servers.filter_map(|server| server.correct_start(clock_ahead)).collect();
+        corrected.sort_by_key(|endpoint| endpoint.id);
+        corrected
+    }
+
+    fn apply_server(
+        &mut self,
+        listed: &ListedServer,
+        starts: &StartTimes,
+        settings: &mut ResolvedSettings,
+    ) -> Endpoint {
+        let id = self.id_of(&listed.id);
+        let is_new_start = self.is_new_start(listed);
+        let known = self.servers.get(&id).filter(|_| !is_new_start);
+        let started_at = match known {
+            Some(server) => server.started_at(),
+            None => starts.driver_time(listed.started_ms),
+        };
+        let endpoint = endpoint_of(id, listed, started_at, settings);
+        let disabled = self.disabled.contains_key(&id);
+        let uncertain_start = starts.are_uncertain();
+        match self.servers.get_mut(&id) {
+            Some(server) => server.update(listed, &endpoint, !is_new_start || uncertain_start),
+            None => _ = self.servers.insert(id, Server::new(listed, &endpoint, uncertain_start)),
+        }
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.set_disabled(disabled);
+        }
+        if endpoint.state == EndpointState::Removed {
+            self.servers.remove(&id);
+            if !disabled {
+                self.former_names.add(&listed.id);
+            }
+        }
+        endpoint
+    }
+
+    /// The id of a name, which is the same at every node: a hash, with the next seed if two names share it.
+    fn id_of(&self, name: &str) -> ServerId {
+        let ids = (0..).map(|seed| ServerId(xxh3_64_with_seed(name.as_bytes(), seed) as u32));
+        let is_taken = |id: &ServerId| {
+            let owner = self.servers.get(id).map(Server::name);
+            owner.or(self.disabled.get(id).map(String::as_str)).is_some_and(|owner| owner != name)
+        };
+        let mut free = ids.filter(|id| !is_taken(id));
+        free.next().expect("there are more ids than servers")
+    }
+
+    /// How the server of this name was last listed, if it is.
+    pub(crate) fn listing(&self, name: &str) -> Option<Listing> {
+        let server = self.servers.get(&self.id_of(name)).filter(|server| server.name() == name)?;
+        Some(Listing { state: server.state(), started_ms: server.started_ms() })
+    }
+
+    /// The number of listed servers.
+    pub(crate) fn len(&self) -> usize {
+        self.servers.len()
+    }
+
+    /// Whether a server of this name is listed, was listed recently, or is disabled.
+    pub(crate) fn is_known(&self, name: &str) -> bool {
+        self.servers.values().any(|server| server.name() == name)
+            || self.disabled.values().any(|disabled| disabled == name)
+            || self.former_names.contains(name)
+    }
+
+    /// Disables or enables the server of this name, and returns its id.
+    pub(crate) fn set_disabled(&mut self, name: &str, disabled: bool) -> ServerId {
+        let id = self.id_of(name);
+        if disabled {
+            self.disabled.insert(id, name.to_owned());
+        } else {
+            self.disabled.remove(&id);
+        }
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.set_disabled(disabled);
+        }
+        id
+    }
+
+    /// Returns the target of an attempt under these conditions, and an idle connection if there is one.
+    pub(crate) fn check_out(
+        &mut self,
+        id: ServerId,
+        now: Instant,
+        conditions: SendConditions,
+    ) -> Option<(Target, Option<ServerConnection>)> {
+        let server = self.servers.get_mut(&id)?;
+        let pooled = server.take_idle(now, self.max_idle, &self.metrics);
+        let permit = SendPermit::new(server.serving_flag(), conditions);
+        let target = Target { addr: server.addr(), origin: server.is_origin(), permit };
+        Some((target, pooled))
+    }
+
+    /// Returns a connection to the pool, if its server still accepts requests at that address.
+    pub(crate) fn check_in(
+        &mut self,
+        id: ServerId,
+        addr: SocketAddr,
+        connection: ServerConnection,
+        now: Instant,
+    ) {
+        if let Some(server) = self.servers.get_mut(&id)
+            && server.addr() == addr
+            && server.is_serving()
+        {
+            server.add_idle(now, connection);
+        }
+    }
+
+    /// Closes the idle connections to a server.
+    pub(crate) fn disconnect(&mut self, id: ServerId) {
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.close_idle();
+        }
+    }
+
+    /// Closes idle connections that are too old, or that cannot be reused.
+    pub(crate) fn close_expired(&mut self, now: Instant) {
+        for server in self.servers.values_mut() {
+            server.close_expired(now, self.max_idle, &self.metrics);
+        }
+    }
+
+    /// The number of idle connections.
+    pub(crate) fn idle_connections(&self) -> usize {
+        self.servers.values().map(Server::idle_connections).sum()
+    }
+
+    /// Closes the idle connection that was used longest ago.
+    pub(crate) fn close_oldest(&mut self) {
+        let with_idle = self.servers.values_mut().filter(|server| server.oldest_idle().is_some());
+        if let Some(server) = with_idle.min_by_key(|server| server.oldest_idle()) {
+            server.close_oldest();
+        }
+    }
+}
+
+/// A listed server as the balancer sees it.
+fn endpoint_of(
+    id: ServerId,
+    listed: &ListedServer,
+    started_at: Option<Micros>,
+    settings: &mut ResolvedSettings,
+) -> Endpoint {
+    let state = match listed.state {
+        ServerState::Serving => EndpointState::Up,
+        ServerState::Draining => EndpointState::Draining,
+        ServerState::Deleted => EndpointState::Removed,
+    };
+    let is_origin = settings.is_origin(&listed.kind);
+    Endpoint {
+        id,
+        state,
+        zone: settings.zone(Cow::Borrowed(&listed.zone)),
+        cell: listed.cell,
+        machine_type: settings.machine_type(Cow::Borrowed(&listed.kind)),
+        weight: listed.weight.unwrap_or(1.0),
+        started_at,
+        is_origin,
+    }
+}
--- /dev/null
+++ b/crates/node/src/upstream/directory/server.rs
@@ -0,0 +1,164 @@
+//! One listed server.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use stonefold_balancer::{Endpoint, EndpointState, Micros};
+use stonefold_proto::endpoints::ListedServer;
+use tokio::time::Instant;
+use tracing::info;
+
+use super::idle_pool::IdlePool;
+use crate::metrics::Metrics;
+use crate::upstream::connection::ServerConnection;
+use crate::upstream::send_permit::ServingFlag;
+
+/// A listed server, with its idle connections.
+pub(crate) struct Server {
+    name: String,
+    addr: SocketAddr,
+    /// Shared with the attempts at this address.
+    serving: ServingFlag,
+    /// Unix time of the last start as it was last listed, in milliseconds.
+    started_ms: f64,
+    /// As the balancer has it.
+    endpoint: Endpoint,
+    /// Whether the start is as the first list had it, by a wall clock that may be ahead.
+    has_uncertain_start: bool,
+    idle: IdlePool,
+}
+
+impl Server {
+    /// A server that was not listed before.
+    pub(crate) fn new(listed: &ListedServer, endpoint: &Endpoint, has_uncertain_start: bool) -> Server {
+        log_change(listed);
+        Server {
+            name: listed.id.clone(),
+            addr: listed.addr,
+            serving: ServingFlag::new(),
+            started_ms: listed.started_ms,
+            endpoint: endpoint.clone(),
+            has_uncertain_start,
+            idle: IdlePool::default(),
+        }
+    }
+
+    /// Applies a later list. `may_stay_uncertain` is false if the start is known for certain from now on.
+    pub(crate) fn update(&mut self, listed: &ListedServer, endpoint: &Endpoint, may_stay_uncertain: bool) {
+        self.has_uncertain_start &= may_stay_uncertain;
+        if self.addr != listed.addr {
+            self.addr = listed.addr;
+            // Attempts that are connecting to the old address must send nothing to whoever uses it now.
+            self.stop_attempts();
+            self.serving = ServingFlag::new();
+            self.idle.close_all();
+        }
+        if self.endpoint.state != endpoint.state || self.started_ms != listed.started_ms {
+            log_change(listed);
+        }
+        self.started_ms = listed.started_ms;
+        self.endpoint = endpoint.clone();
+    }
+
+    /// Moves an uncertain start by how far our clock was ahead, and returns the endpoint if its start has changed.
+    pub(crate) fn correct_start(&mut self, clock_ahead: Micros) -> Option<Endpoint> {
+        if !self.has_uncertain_start {
+            return None;
+        }
+        self.has_uncertain_start = false;
+        let started_at = self.endpoint.started_at?;
+        self.endpoint.started_at = Some(started_at.saturating_add(clock_ahead));
+        Some(self.endpoint.clone())
+    }
+
+    /// Keeps attempts in progress from sending anything.
+    pub(crate) fn stop_attempts(&self) {
+        self.serving.set(false);
+    }
+
+    /// Accepts new requests if the list says that the server is up and operators have not disabled it.
+    pub(crate) fn set_disabled(&mut self, disabled: bool) {
+        let serving = self.endpoint.state == EndpointState::Up && !disabled;
+        self.serving.set(serving);
+        if !serving {
+            self.idle.close_all();
+        }
+    }
+
+    pub(crate) fn name(&self) -> &str {
+        &self.name
+    }
+
+    pub(crate) fn addr(&self) -> SocketAddr {
+        self.addr
+    }
+
+    pub(crate) fn is_origin(&self) -> bool {
+        self.endpoint.is_origin
+    }
+
+    /// The state as it was last listed.
+    pub(crate) fn state(&self) -> EndpointState {
+        self.endpoint.state
+    }
+
+    /// Unix time of the last start as it was last listed, in milliseconds.
+    pub(crate) fn started_ms(&self) -> f64 {
+        self.started_ms
+    }
+
+    /// The last start on the driver's clock, unless it was long ago.
+    pub(crate) fn started_at(&self) -> Option<Micros> {
+        self.endpoint.started_at
+    }
+
+    pub(crate) fn is_serving(&self) -> bool {
+        self.serving.is_serving()
+    }
+
+    pub(crate) fn serving_flag(&self) -> ServingFlag {
+        self.serving.clone()
+    }
+
+    /// Takes an idle connection that can be reused.
+    pub(crate) fn take_idle(
+        &mut self,
+        now: Instant,
+        max_idle: Duration,
+        metrics: &Metrics,
+    ) -> Option<ServerConnection> {
+        self.idle.take(&self.name, now, max_idle, metrics)
+    }
+
+    pub(crate) fn add_idle(&mut self, now: Instant, connection: ServerConnection) {
+        self.idle.add(now, connection);
+    }
+
+    pub(crate) fn close_idle(&mut self) {
+        self.idle.close_all();
+    }
+
+    /// Closes idle connections that are too old, or that cannot be reused.
+    pub(crate) fn close_expired(&mut self, now: Instant, max_idle: Duration, metrics: &Metrics) {
+        self.idle.close_expired(&self.name, now, max_idle, metrics);
+    }
+
+    pub(crate) fn idle_connections(&self) -> usize {
+        self.idle.len()
+    }
+
+    /// Since when the idle connection that was used longest ago is idle.
+    pub(crate) fn oldest_idle(&self) -> Option<Instant> {
+        self.idle.oldest()
+    }
+
+    pub(crate) fn close_oldest(&mut self) {
+        self.idle.close_oldest();
+    }
+}
+
+fn log_change(listed: &ListedServer) {
+    info!(event = "server_listed", server = listed.id, at = %listed.addr, zone = listed.zone,
+        kind = listed.kind, state = ?listed.state, started_ms = listed.started_ms,
+        "a server is new or has changed");
+}
--- a/crates/node/src/upstream/last_write.rs
+++ b/crates/node/src/upstream/last_write.rs
@@ -1,4 +1,4 @@
-//! A stream that notes when it last wrote, for requests that a library writes on its own.
+//! A socket that records the time of its last write, for requests that a library writes by itself.
 
 use std::io;
 use std::pin::Pin;
@@ -9,58 +9,59 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// When a stream last handed bytes to the kernel. Clones share one value.
+/// When a socket last handed bytes to the kernel. Clones share one value.
 #[derive(Clone, Default)]
-pub struct LastWrite(Arc<Mutex<Option<Instant>>>);
+pub(crate) struct LastWrite(Arc<Mutex<Option<Instant>>>);
 
 impl LastWrite {
     /// The time of the last write, `None` before the first.
-    pub fn at(&self) -> Option<Instant> {
+    pub(crate) fn at(&self) -> Option<Instant> {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self) {
+    fn record(&self) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
     }
 }
 
-/// A TCP stream that notes its writes in a [`LastWrite`].
-pub struct NotedStream {
-    stream: Socket,
+/// A socket that records its writes in a [`LastWrite`].
+pub(crate) struct TimedSocket {
+    socket: Socket,
     last_write: LastWrite,
 }
 
-impl NotedStream {
-    pub fn new(stream: Socket, last_write: LastWrite) -> NotedStream {
-        NotedStream { stream, last_write }
+impl TimedSocket {
+    /// Wraps a socket.
+    pub(crate) fn new(socket: Socket, last_write: LastWrite) -> TimedSocket {
+        TimedSocket { socket, last_write }
     }
 
-    fn noted(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn recorded(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(written, Poll::Ready(Ok(bytes)) if bytes > 0) {
-            self.last_write.note();
+            self.last_write.record();
         }
         written
     }
 }
 
-impl AsyncRead for NotedStream {
+impl AsyncRead for TimedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_read(context, buffer)
+        Pin::new(&mut self.socket).poll_read(context, buffer)
     }
 }
 
-impl AsyncWrite for NotedStream {
+impl AsyncWrite for TimedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.noted(written)
+        let written = Pin::new(&mut self.socket).poll_write(context, bytes);
+        self.recorded(written)
     }
 
     fn poll_write_vectored(
@@ -68,19 +69,19 @@
         context: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.noted(written)
+        let written = Pin::new(&mut self.socket).poll_write_vectored(context, slices);
+        self.recorded(written)
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.stream.is_write_vectored()
+        self.socket.is_write_vectored()
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_flush(context)
+        Pin::new(&mut self.socket).poll_flush(context)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.stream).poll_shutdown(context)
+        Pin::new(&mut self.socket).poll_shutdown(context)
     }
 }
--- a/crates/node/src/upstream/mod.rs
+++ b/crates/node/src/upstream/mod.rs
@@ -1,11 +1,11 @@
-//! The servers: their connections, and attempts at them.
+//! Connections to servers, and the attempts made on them.
 
-pub mod attempt;
-mod caches;
-pub mod connection;
-pub mod directory;
+pub(crate) mod attempt;
+mod cache_connection;
+mod cache_protocol;
+pub(crate) mod connection;
+pub(crate) mod directory;
 mod last_write;
-mod origin;
-pub mod reply;
-pub mod send_permit;
-pub mod starts;
+mod origin_connection;
+pub(crate) mod send_permit;
+pub(crate) mod start_times;
--- /dev/null
+++ b/crates/node/src/upstream/origin_connection.rs
@@ -0,0 +1,240 @@
+//! A connection to the origin: HTTP/1.1, one request at a time.
+
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Incoming};
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::header::HOST;
+use hyper::{Method, Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use percent_encoding::{AsciiSet, CONTROLS, percent_encode};
+use stonefold_balancer::Outcome;
+use stonefold_net::Socket;
+use tokio::task::JoinHandle;
+use tokio::time::{Instant, timeout};
+
+use super::attempt::AttemptResult;
+use super::directory::Target;
+use super::last_write::{LastWrite, TimedSocket};
+use crate::metrics::Metrics;
+use crate::relay::{
+    CHUNK_BYTES, MAX_BUFFERED_BYTES, MAX_VALUE_BYTES, PROGRESS_TIMEOUT, ReceiverDropped, RelayContext,
+    ValueStream, value_channel,
+};
+use crate::request::ClientRequest;
+
+/// The id of the request, as its client gave it.
+const REQUEST_ID_HEADER: &str = "X-Correlation-Id";
+/// The metadata of the request.
+const METADATA_HEADER: &str = "X-Facts";
+/// Set to `1` in a reply to a request that was not executed.
+const UNPROCESSED_HEADER: &str = "X-Unprocessed";
+
+/// The characters of a key that are percent-encoded in a path.
+const PATH_ESCAPED: &AsciiSet = &CONTROLS
+    .add(b' ')
+    .add(b'"')
+    .add(b'#')
+    .add(b'%')
+    .add(b'<')
+    .add(b'>')
+    .add(b'?')
+    .add(b'`')
+    .add(b'{')
+    .add(b'}');
+
+/// A connection to the origin, between requests.
+pub(crate) struct OriginConnection {
+    sender: SendRequest<Full<Bytes>>,
+    task: JoinHandle<()>,
+    last_write: LastWrite,
+}
+
+impl Drop for OriginConnection {
+    /// Closes the socket at once, even while a request is in flight.
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+impl OriginConnection {
+    /// Starts HTTP/1.1 on a connected socket.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the HTTP library refuses the connection.
+    pub(crate) async fn new(socket: Socket) -> io::Result<Self> {
+        let last_write = LastWrite::default();
+        let socket = TimedSocket::new(socket, last_write.clone());
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(CHUNK_BYTES)
+            .handshake(TokioIo::new(socket))
+            .await
+            .map_err(io::Error::other)?;
+        let task = tokio::spawn(async move {
+            let _ = connection.await; // a broken connection fails the request in flight
+        });
+        Ok(OriginConnection { sender, task, last_write })
+    }
+
+    /// Whether the connection is open.
+    pub(crate) fn is_reusable(&self) -> bool {
+        !self.sender.is_closed()
+    }
+
+    /// Sends one request, which states the time left until `deadline`, and waits for the reply. Returns the connection
+    /// too if another request may use it.
+    pub(crate) async fn request(
+        mut self,
+        request: &ClientRequest,
+        deadline: Instant,
+        target: Target,
+        metrics: &Metrics,
+        relay: RelayContext,
+    ) -> (AttemptResult, Option<Self>) {
+        if self.sender.ready().await.is_err() {
+            return (AttemptResult::of(Outcome::ConnectFailed), None);
+        }
+        target.permit.wait_stall_over().await;
+        let Some(stated) = target.permit.start(deadline) else {
+            return (AttemptResult::of(Outcome::NotSent), None);
+        };
+        let Some(http_request) = http_request(request, stated.remaining(), target.addr) else {
+            return (AttemptResult::of(Outcome::NotSent), Some(self));
+        };
+        // The request is complete, so that the connection's task writes it as soon as it runs.
+        metrics.attempts_written.increment();
+        let response = match self.sender.try_send_request(http_request).await {
+            Ok(response) => response,
+            // A request that is handed back was never started.
+            Err(mut error) => match error.take_message() {
+                Some(_) => return (AttemptResult::of(Outcome::ConnectFailed), None),
+                None => return (AttemptResult::of(Outcome::ConnectionReset), None),
+            },
+        };
+        if let Some(last_byte) = self.last_write.at() {
+            metrics.deadline_excess.record(stated.excess(last_byte));
+        }
+        match read_response(response, relay).await {
+            Ok(result) => (result, Some(self)),
+            // The rest of such a response must not be read as the next one.
+            Err(outcome) => (AttemptResult::of(outcome), None),
+        }
+    }
+}
+
+fn http_request(
+    request: &ClientRequest,
+    remaining: Duration,
+    addr: SocketAddr,
+) -> Option<Request<Full<Bytes>>> {
+    let method = if request.value.is_some() { Method::PUT } else { Method::GET };
+    Request::builder()
+        .method(method)
+        .uri(format!("/{}", percent_encode(request.key.as_bytes(), PATH_ESCAPED)))
+        .header(HOST, addr.to_string())
+        .header(REQUEST_ID_HEADER, &request.id[..])
+        .header(METADATA_HEADER, request.metadata_with_time_left(remaining))
+        .body(Full::new(request.value.clone().unwrap_or_default()))
+        .ok()
+}
+
+/// Reads a response; an error is the outcome of the attempt, after which the connection cannot be used.
+async fn read_response(response: Response<Incoming>, relay: RelayContext) -> Result<AttemptResult, Outcome> {
+    let status = response.status();
+    let not_executed = response.headers().get(UNPROCESSED_HEADER).is_some_and(|value| value == "1");
+    let is_value = status == StatusCode::OK;
+    let length = response.body().size_hint().exact().and_then(|length| usize::try_from(length).ok());
+    if is_value
+        && let Some(length) = length
+        && (MAX_BUFFERED_BYTES + 1..=MAX_VALUE_BYTES).contains(&length)
+    {
+        return relay_value(response.into_body(), length, relay).await;
+    }
+    let body = match collect_body(response.into_body(), is_value, relay).await? {
+        CollectedBody::Small(body) => body,
+        CollectedBody::Relayed => return Ok(AttemptResult::of(Outcome::Success)),
+    };
+    Ok(match status {
+        StatusCode::OK => AttemptResult { value: body, ..AttemptResult::of(Outcome::Success) },
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_executed => {
+            AttemptResult::of(Outcome::Rejected)
+        }
+        _ => AttemptResult::of(Outcome::ServerError),
+    })
+}
+
+/// A body that was read to its end.
+enum CollectedBody {
+    /// No longer than [`MAX_BUFFERED_BYTES`].
+    Small(Bytes),
+    /// A longer value, which was passed on as a stream.
+    Relayed,
+}
+
+/// Reads a body whose length is small or unknown. RESP2 needs the length of a value first, so that a large one of
+/// unknown length is buffered completely, with the memory for the largest value reserved once.
+async fn collect_body(
+    mut body: Incoming,
+    is_value: bool,
+    relay: RelayContext,
+) -> Result<CollectedBody, Outcome> {
+    let mut buffer = BytesMut::new();
+    let mut permit = None;
+    while let Some(frame) =
+        timeout(PROGRESS_TIMEOUT, body.frame()).await.map_err(|_| Outcome::ConnectionReset)?
+    {
+        let Ok(bytes) = frame.map_err(|_| Outcome::ConnectionReset)?.into_data() else { continue };
+        let length = buffer.len() + bytes.len();
+        if length > MAX_VALUE_BYTES || length > MAX_BUFFERED_BYTES && !is_value {
+            return Err(Outcome::ServerError);
+        }
+        if length > MAX_BUFFERED_BYTES && permit.is_none() {
+            permit = Some(relay.budget.reserve(MAX_VALUE_BYTES).await.map_err(|_| Outcome::ConnectionReset)?);
+            buffer.reserve(MAX_VALUE_BYTES - buffer.len());
+        }
+        buffer.extend_from_slice(&bytes);
+    }
+    let body = buffer.freeze();
+    Ok(match permit {
+        Some(permit) => {
+            (relay.on_start)(ValueStream::buffered(body, permit));
+            CollectedBody::Relayed
+        }
+        None => CollectedBody::Small(body),
+    })
+}
+
+/// Relays a large value of known length as it arrives.
+async fn relay_value(
+    mut body: Incoming,
+    length: usize,
+    relay: RelayContext,
+) -> Result<AttemptResult, Outcome> {
+    let RelayContext { budget, on_start } = relay;
+    let (sink, stream) = value_channel(length);
+    let mut start = Some((on_start, stream));
+    let mut remaining = length;
+    while remaining > 0 {
+        let frame = tokio::select! {
+            frame = timeout(PROGRESS_TIMEOUT, body.frame()) => frame,
+            () = sink.closed() => return Err(Outcome::Canceled),
+        };
+        let frame = frame.ok().flatten().and_then(Result::ok).ok_or(Outcome::ConnectionReset)?;
+        let Ok(mut bytes) = frame.into_data() else { continue };
+        remaining = remaining.checked_sub(bytes.len()).ok_or(Outcome::ServerError)?;
+        while !bytes.is_empty() {
+            let part = bytes.split_to(bytes.len().min(CHUNK_BYTES));
+            let chunk = budget.chunk(part).await.map_err(|_| Outcome::ConnectionReset)?;
+            if let Some((on_start, stream)) = start.take() {
+                on_start(stream);
+            }
+            sink.send(chunk).await.map_err(|ReceiverDropped| Outcome::Canceled)?;
+        }
+    }
+    Ok(AttemptResult::of(Outcome::Success))
+}
--- a/crates/node/src/upstream/send_permit/tests.rs
+++ b/crates/node/src/upstream/send_permit/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn nothing_starts_for_a_client_that_has_gone_and_what_would_is_told_from_what_started_before() {
-    let client = Presence::default();
+async fn nothing_starts_for_a_disconnected_client_and_earlier_starts_are_known() {
+    let client = ClientStatus::default();
     let deadline = Instant::now() + Duration::from_secs(1);
     let attempt = || {
         let conditions = SendConditions { client: client.clone(), ..SendConditions::default() };
@@ -11,23 +11,25 @@
     let ((before, started), (after, never)) = (attempt(), attempt());
     assert!(before.start(deadline).is_some());
     tokio::time::advance(Duration::from_millis(1)).await;
-    client.end();
-    let ended_at = client.ended_at().unwrap();
+    client.mark_disconnected();
+    let disconnected_at = client.disconnected_at().unwrap();
     tokio::time::advance(Duration::from_millis(1)).await;
-    client.end(); // again, as by a session that ends after its client
-    assert_eq!(client.ended_at(), Some(ended_at));
+    client.mark_disconnected(); // again, as by a session that ends after its client
+    assert_eq!(client.disconnected_at(), Some(disconnected_at));
     assert!(after.start(deadline).is_none());
     assert_eq!([started.is_set(), never.is_set()], [true, false]);
-    assert!(!started.after(ended_at) && started.after(ended_at - Duration::from_millis(2)));
+    assert!(
+        !started.is_after(disconnected_at) && started.is_after(disconnected_at - Duration::from_millis(2))
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_starts_once_less_is_left_than_can_be_stated() {
+async fn nothing_starts_once_less_time_is_left_than_can_be_stated() {
     let deadline = Instant::now() + Duration::from_millis(300);
     let start = || {
         let conditions = SendConditions::default();
         let permit = SendPermit::new(ServingFlag::new(), conditions.clone());
-        (permit.start(deadline).map(|stated| stated.left()), conditions.start.is_set())
+        (permit.start(deadline).map(|stated| stated.remaining()), conditions.start.is_set())
     };
     assert_eq!(start(), (Some(Duration::from_millis(300)), true));
     tokio::time::advance(Duration::from_millis(299)).await;
@@ -39,7 +41,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_stated_exceeds_what_is_left_by_how_long_the_last_byte_takes() {
+async fn stated_time_exceeds_the_clients_by_the_delay_of_the_last_byte() {
     let permit = SendPermit::new(ServingFlag::new(), SendConditions::default());
     let started = Instant::now();
     let stated = permit.start(started + Duration::from_secs(1)).unwrap();
@@ -50,11 +52,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeat_starts_only_while_servers_discard_it() {
+async fn retry_starts_only_while_servers_discard_repeated_requests() {
     let until = Instant::now() + Duration::from_millis(100);
     let deadline = until + Duration::from_secs(1);
     let permit = || {
-        let conditions = SendConditions { repeat_until: Some(until), ..SendConditions::default() };
+        let conditions = SendConditions { send_before: Some(until), ..SendConditions::default() };
         SendPermit::new(ServingFlag::new(), conditions)
     };
     tokio::time::advance(Duration::from_millis(99)).await;
