--- a/crates/node/src/clients/command.rs
+++ b/crates/node/src/clients/command.rs
@@ -9,7 +9,7 @@
 use stonefold_proto::resp::MalformedFrame;
 
 use crate::relay::{MAX_FRAME_BYTES, MAX_VALUE_BYTES};
-use crate::request::ClientRequest;
+use crate::request::{ClientRequest, TIMEOUT_FIELD};
 
 /// The largest total length of key, id and metadata, in bytes.
 const MAX_ARGUMENT_BYTES: usize = 2 << 10;
@@ -72,7 +72,7 @@
 }
 
 fn parse_timeout(request: &ClientRequest) -> Result<Micros, CommandError> {
-    let timeout_ms = request.metadata_value("d").and_then(|text| text.parse::<f64>().ok());
+    let timeout_ms = request.metadata_value(TIMEOUT_FIELD).and_then(|text| text.parse::<f64>().ok());
     let timeout_ms =
         timeout_ms.filter(|ms| ms.is_finite() && *ms >= 0.0).ok_or(CommandError::InvalidDeadline)?;
     Ok(((timeout_ms * 1000.0) as Micros).min(MAX_TIMEOUT))
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -104,7 +104,7 @@
     fn start_request(&mut self, request: ClientRequest, length: usize) -> Result<PendingReply, CommandError> {
         // Servers would reject a class that the settings lack. A request that names no class is served.
         let is_unknown = |class: &str| !self.context.settings.borrow().class_names.contains(class);
-        if request.metadata_value("c").is_some_and(is_unknown) {
+        if request.class_name().is_some_and(is_unknown) {
             return Err(CommandError::UnknownClass);
         }
         if self.pending.open_requests() >= MAX_OPEN_REQUESTS {
@@ -156,7 +156,7 @@
     /// Rejects a request that is never opened, so that its client may retry. The driver decides after what time.
     fn reject_excess(&mut self, request: &ClientRequest) -> PendingReply {
         let (sender, response) = oneshot::channel();
-        let class = request.metadata_value("c").map(str::to_owned);
+        let class = request.class_name().map(str::to_owned);
         // If the driver has ended, the sender is dropped and the request fails.
         let _ = self.context.driver.send(Message::ExcessRequest(ExcessRequest { class, response: sender }));
         self.has_sent_request = true;
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -118,7 +118,7 @@
             pooled,
             request: self.open[&id.request].request.clone(),
             deadline,
-            connect_timeout: Duration::from_micros(self.setup.connect_timeout),
+            connect_timeout: Duration::from_micros(self.settings.connect_timeout),
             metrics: self.metrics.clone(),
             relay: RelayContext { budget: self.budget.clone(), on_start: Box::new(on_start) },
         };
--- a/crates/node/src/driver/control.rs
+++ b/crates/node/src/driver/control.rs
@@ -20,7 +20,7 @@
             // The caller may have disconnected.
             Control::IsKnownServer { name, reply } => _ = reply.send(self.directory.is_known(&name)),
             Control::Reload(document, reply) => {
-                let updated = self.setup.updated_with(*document);
+                let updated = self.settings.updated_with(*document);
                 let shared = updated.map(|settings| self.apply_settings(settings));
                 self.decide();
                 let _ = reply.send(shared);
@@ -34,12 +34,12 @@
     }
 
     /// Replaces the settings. Open requests keep the rules under which they arrived.
-    fn apply_settings(&mut self, setup: ResolvedSettings) -> SharedSettings {
-        self.setup = setup;
-        let settings = &self.setup.settings;
-        self.directory.set_idle_timeout(Duration::from_micros(settings.idle_timeout));
-        self.events.push_back(Event::Settings(Box::new(settings.clone())));
-        SharedSettings::from(&self.setup)
+    fn apply_settings(&mut self, settings: ResolvedSettings) -> SharedSettings {
+        self.settings = settings;
+        let balancer_settings = &self.settings.settings;
+        self.directory.set_idle_timeout(Duration::from_micros(balancer_settings.idle_timeout));
+        self.events.push_back(Event::Settings(Box::new(balancer_settings.clone())));
+        SharedSettings::from(&self.settings)
     }
 
     /// Applies the overrides that differ from those in force. One that was made while the process runs counts from
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -82,7 +82,7 @@
     balancer: Balancer,
     metrics: Arc<Metrics>,
     stalls: StallMonitor,
-    setup: ResolvedSettings,
+    settings: ResolvedSettings,
     clock: Clock,
     /// The time of the current turn, read before anything else in it. A stall between two readings of the clock would
     /// delay everything that is due later.
@@ -124,7 +124,7 @@
             balancer: Balancer::new(settings, config.seed, clock.to_micros(now)),
             metrics: context.metrics,
             stalls: context.stalls,
-            setup: config.settings,
+            settings: config.settings,
             clock,
             now,
             discovery_answered: false,
@@ -291,7 +291,7 @@
         let now = self.clock.to_micros(self.now);
         let arrival =
             if self.discovery_answered { ListArrival::Update(now) } else { ListArrival::First(now) };
-        let endpoints = self.directory.apply(list, arrival, &mut self.setup);
+        let endpoints = self.directory.apply(list, arrival, &mut self.settings);
         self.events.push_back(Event::Endpoints { update, endpoints });
     }
 }
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -100,7 +100,7 @@
             Response::Rejected { retry_after } => ("request_rejected", *retry_after),
             Response::Failed => ("request_failed", 0),
         };
-        debug!(event, class = self.request.metadata_value("c"), tenant = self.request.metadata_value("t"),
+        debug!(event, class = self.request.class_name(), tenant = self.request.tenant_name(),
             request = %self.client_id(), attempts = self.attempts.len(), retry_after_us,
             "a request is not served");
     }
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -22,20 +22,20 @@
         let spent = self.now.saturating_duration_since(received_at) + RESPONSE_RESERVE;
         let event = Request {
             id,
-            class: request.metadata_value("c").and_then(|name| self.setup.class(name)),
-            tenant: request.metadata_value("t").and_then(|name| self.setup.tenant(name)),
+            class: request.class_name().and_then(|name| self.settings.class(name)),
+            tenant: request.tenant_name().and_then(|name| self.settings.tenant(name)),
             key: Some(request.key.clone()),
             timeout: request.timeout.saturating_sub(spent.as_micros() as Micros),
             is_write: request.value.is_some(),
         };
-        let class = request.metadata_value("c").filter(|_| event.class.is_some());
+        let class = request.class_name().filter(|_| event.class.is_some());
         let open = OpenRequest {
             outcomes: class.map(|class| self.metrics.class(class)),
             deadline: self.now + Duration::from_micros(event.timeout),
             request: Arc::new(request),
             response: Some(response),
             attempts: Vec::new(),
-            idempotency: self.setup.settings.idempotency(event.class, event.is_write),
+            idempotency: self.settings.settings.idempotency(event.class, event.is_write),
             may_have_run: false,
             responded_at: None,
             client,
@@ -47,7 +47,7 @@
     /// Rejects a request that exceeds what its connection may have open.
     pub(super) fn reject_excess(&mut self, excess: ExcessRequest) {
         let class = excess.class.as_deref();
-        let index = class.and_then(|name| self.setup.class(name));
+        let index = class.and_then(|name| self.settings.class(name));
         if let Some(name) = class.filter(|_| index.is_some()) {
             self.metrics.class(name).rejected.increment();
         }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -12,8 +12,14 @@
 /// Part of a client's time that is reserved for the way of the response and the granularity of timers.
 pub(crate) const RESPONSE_RESERVE: Duration = Duration::from_millis(5);
 
-/// The metadata field that states the time left, in whole milliseconds.
-const TIME_LEFT_FIELD: &str = "d=";
+/// The metadata field that names the class of a request.
+const CLASS_FIELD: &str = "c";
+/// The metadata field that names the tenant of a request.
+const TENANT_FIELD: &str = "t";
+/// The metadata field that states how long the sender will wait, in milliseconds.
+pub(crate) const TIMEOUT_FIELD: &str = "d";
+/// The start of that field in the metadata.
+const TIMEOUT_PREFIX: &str = "d=";
 
 /// A client's request.
 #[derive(Debug)]
@@ -30,6 +36,16 @@
 }
 
 impl ClientRequest {
+    /// The name of its class, if it has one.
+    pub(crate) fn class_name(&self) -> Option<&str> {
+        self.metadata_value(CLASS_FIELD)
+    }
+
+    /// The name of its tenant, if it has one.
+    pub(crate) fn tenant_name(&self) -> Option<&str> {
+        self.metadata_value(TENANT_FIELD)
+    }
+
     /// A metadata value by its name.
     pub(crate) fn metadata_value(&self, name: &str) -> Option<&str> {
         metadata_value(str::from_utf8(&self.metadata).ok()?, name)
@@ -40,9 +56,9 @@
     /// Must be called right before an attempt is written: a server that gets more time than is left works for a client
     /// that has given up.
     pub(crate) fn metadata_with_time_left(&self, left: Duration) -> Vec<u8> {
-        let time_left = format!("{TIME_LEFT_FIELD}{}", left.as_millis());
+        let time_left = format!("{TIMEOUT_PREFIX}{}", left.as_millis());
         let fields = self.metadata.split(|&byte| byte == b',').map(|field| {
-            if field.starts_with(TIME_LEFT_FIELD.as_bytes()) { time_left.as_bytes() } else { field }
+            if field.starts_with(TIMEOUT_PREFIX.as_bytes()) { time_left.as_bytes() } else { field }
         });
         fields.collect::<Vec<_>>().join(&b","[..])
     }
