--- a/crates/membership/src/detector/updates.rs
+++ b/crates/membership/src/detector/updates.rs
@@ -13,6 +13,13 @@
 /// Microseconds in a millisecond.
 const MILLISECOND: Micros = 1_000;
 
+/// What a member claims about itself.
+struct SelfClaim<'a> {
+    id: MemberId,
+    incarnation: u64,
+    profile: &'a Profile,
+}
+
 impl Detector {
     /// Applies what a message's header states: its sender is alive, in this incarnation.
     pub(super) fn apply_sender_incarnation(&mut self, message: &Message, now: Micros, out: &mut Vec<Output>) {
@@ -70,7 +77,7 @@
         match claim {
             Claim::Alive(_) if !newer => false,
             Claim::Alive(profile) => {
-                self.apply_alive(id, profile.clone(), incarnation, now, out);
+                self.apply_alive(SelfClaim { id, incarnation, profile }, now, out);
                 true
             }
             Claim::Left(profile) => {
@@ -78,7 +85,7 @@
                 if has_left && !newer {
                     return false;
                 }
-                self.apply_left(id, profile.clone(), incarnation, now, out);
+                self.apply_left(SelfClaim { id, incarnation, profile }, now, out);
                 true
             }
             Claim::Suspect { by } | Claim::Failed { by, .. } => {
@@ -122,20 +129,15 @@
         }
     }
 
-    fn apply_alive(
-        &mut self,
-        id: MemberId,
-        profile: Profile,
-        incarnation: u64,
-        now: Micros,
-        out: &mut Vec<Output>,
-    ) {
+    fn apply_alive(&mut self, claim: SelfClaim<'_>, now: Micros, out: &mut Vec<Output>) {
+        let SelfClaim { id, incarnation, profile } = claim;
         let Some(old) = self.member(id).cloned() else { return };
         let name = profile.name.clone();
         let restarted = old.profile.instance != profile.instance;
         let reachability = if restarted { Reachability::Unknown } else { old.reachability };
         let since = if old.state == State::Alive && !restarted { old.since } else { now };
         self.end_suspicion(id);
+        let profile = profile.clone();
         self.table.set(id, Member { profile, incarnation, state: State::Alive, since, reachability });
         if let Some(entry) = self.table.get_mut(id) {
             let returned = old.state == State::Failed && !restarted;
@@ -156,17 +158,12 @@
         out.push(Output::Event(event));
     }
 
-    fn apply_left(
-        &mut self,
-        id: MemberId,
-        profile: Profile,
-        incarnation: u64,
-        now: Micros,
-        out: &mut Vec<Output>,
-    ) {
+    fn apply_left(&mut self, claim: SelfClaim<'_>, now: Micros, out: &mut Vec<Output>) {
+        let SelfClaim { id, incarnation, profile } = claim;
         let Some(reachability) = self.member(id).map(|member| member.reachability) else { return };
         let name = profile.name.clone();
         self.end_suspicion(id);
+        let profile = profile.clone();
         self.table.set(id, Member { profile, incarnation, state: State::Left, since: now, reachability });
         out.push(Output::Event(Event::Left { name }));
     }
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -29,37 +29,37 @@
 /// No expected event takes longer than this.
 const MAX_WAIT: Duration = Duration::from_secs(300);
 
-impl Harness {
-    /// A watcher that was requested to watch.
-    async fn new(watch_required: bool) -> Harness {
-        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        Harness::at(watch_required, listener.local_addr().unwrap(), listener)
+/// A way of following lists in one fleet, and the seed of its jitter.
+#[derive(Clone, Copy, Debug)]
+struct Case {
+    watch_required: bool,
+    nodes: usize,
+    seed: u64,
+}
+
+impl Case {
+    /// A small fleet.
+    fn small(watch_required: bool) -> Case {
+        Case { watch_required, nodes: 4, seed: 7 }
     }
+}
 
-    fn at(watch_required: bool, address: SocketAddr, listener: TcpListener) -> Harness {
-        Harness::seeded(watch_required, 4, 7, address, listener)
+impl Harness {
+    /// A watcher that was requested to watch.
+    async fn start(case: Case) -> Harness {
+        Harness::start_at(case, TcpListener::bind("127.0.0.1:0").await.unwrap())
     }
 
-    fn seeded(
-        watch_required: bool,
-        nodes: usize,
-        seed: u64,
-        address: SocketAddr,
-        listener: TcpListener,
-    ) -> Harness {
-        let harness = Harness::idle(watch_required, nodes, seed, address, listener);
+    fn start_at(case: Case, listener: TcpListener) -> Harness {
+        let harness = Harness::idle(case, listener);
         harness.watch_requested.notify_one();
         harness
     }
 
     /// A watcher that waits for the balancer's request.
-    fn idle(
-        watch_required: bool,
-        nodes: usize,
-        seed: u64,
-        address: SocketAddr,
-        listener: TcpListener,
-    ) -> Harness {
+    fn idle(case: Case, listener: TcpListener) -> Harness {
+        let Case { watch_required, nodes, seed } = case;
+        let address = listener.local_addr().unwrap();
         let discovery = DiscoverySettings {
             watch: watch_required,
             max_poll_interval: Duration::from_secs(10),
@@ -114,7 +114,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_watch_that_falls_silent_at_any_point_is_reopened_before_the_notification_deadline() {
     for (watch_required, sent) in [(true, 0), (true, 30), (true, CHANGE.len() - 5), (false, 0), (false, 30)] {
-        let harness = Harness::new(watch_required).await;
+        let harness = Harness::start(Case::small(watch_required)).await;
         let (mut stream, mut wait) = harness.accept_poll().await;
         if wait.is_zero() {
             stream.write_all(CHANGE.as_bytes()).await.unwrap();
@@ -133,7 +133,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_trickles_times_out_like_a_silent_one() {
-    let harness = Harness::new(true).await;
+    let harness = Harness::start(Case::small(true)).await;
     let (mut stream, wait) = harness.accept_poll().await;
     let since = Instant::now();
     let trickle = async {
@@ -154,7 +154,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_connect_to_discovery_that_times_out_is_a_failed_poll() {
     let (listener, _filler) = full_backlog().await;
-    let mut harness = Harness::at(true, listener.local_addr().unwrap(), listener);
+    let mut harness = Harness::start_at(Case::small(true), listener);
     let start = Instant::now();
     let message = timeout(MAX_WAIT, harness.messages.recv()).await.expect("a failed poll");
     assert!(matches!(message, Some(Message::EndpointListFailed)));
@@ -165,7 +165,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_node_that_waits_for_the_balancer_polls_once_lists_are_pushed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let harness = Harness::idle(true, 4, 7, listener.local_addr().unwrap(), listener);
+    let harness = Harness::idle(Case::small(true), listener);
     assert!(timeout(MAX_WAIT, harness.listener.accept()).await.is_err(), "the balancer has not requested it");
     harness.settings.send_modify(|settings| settings.discovery.watch = false);
     harness.accept_poll().await;
@@ -174,7 +174,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_failed_poll_is_retried_without_the_balancer() {
-    let mut harness = Harness::new(true).await;
+    let mut harness = Harness::start(Case::small(true)).await;
     let (mut stream, _) = harness.accept_poll().await;
     stream.write_all(BUSY.as_bytes()).await.unwrap();
     assert!(matches!(harness.messages.recv().await, Some(Message::EndpointListFailed)));
--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -155,13 +155,16 @@
             Scenario::WatchesSilent => vec![START + SECOND / 2, START + 2 * SECOND],
             Scenario::FleetStart => vec![START - SECOND, START + SECOND],
         };
-        changes.into_iter().for_each(|at| fleet.at(at, Event::Change));
+        for at in changes {
+            fleet.at(at, Event::Change);
+        }
         match scenario {
             Scenario::Down | Scenario::WatchesSilent | Scenario::Blackholed => fleet.at(START, Event::Fault),
             Scenario::Overloaded => {
-                (0..(FAULT_DURATION as f64 * fleet.others / 1e6) as u64).for_each(|number| {
-                    fleet.at(START + (number as f64 * 1e6 / fleet.others) as Micros, Event::OtherPoll)
-                })
+                for number in 0..(FAULT_DURATION as f64 * fleet.others / 1e6) as u64 {
+                    let at = START + (number as f64 * 1e6 / fleet.others) as Micros;
+                    fleet.at(at, Event::OtherPoll);
+                }
             }
             Scenario::Calm | Scenario::FleetStart => {}
         }
@@ -182,10 +185,10 @@
             match event {
                 Event::Begin(node) => self.begin(node),
                 Event::Dequeued(node, count) if self.is_current(node, count, PollState::Queued) => {
-                    self.dequeue(node)
+                    self.dequeue(node);
                 }
                 Event::WaitOver(node, count) if self.is_current(node, count, PollState::Open) => {
-                    self.answer(node)
+                    self.answer(node);
                 }
                 Event::TimedOut(node, count) if self.nodes[node].count == count => {
                     if self.nodes[node].state != PollState::Idle {
--- a/crates/node/src/discovery/tests/notification_deadline.rs
+++ b/crates/node/src/discovery/tests/notification_deadline.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::{BUSY, CHANGE, Harness, MAX_WAIT, full_backlog, read_poll};
+use super::{BUSY, CHANGE, Case, Harness, MAX_WAIT, full_backlog, read_poll};
 use crate::message::Message;
 
 /// How long discovery queues a poll.
@@ -18,27 +18,12 @@
 const NO_CHANGES: &str =
     "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n{\"version\":41,\"full\":false,\"servers\":[]}";
 
-/// One way of following lists in one fleet, and the seed of its jitter.
-#[derive(Clone, Copy, Debug)]
-struct Case {
-    watch_required: bool,
-    nodes: usize,
-    seed: u64,
-}
-
 fn cases() -> impl Iterator<Item = Case> {
     let fleets = [4, 30, 300, 900].into_iter();
     let seeded = fleets.flat_map(|nodes| (0..5).map(move |seed| (nodes, seed)));
     seeded.flat_map(|(nodes, seed)| [true, false].map(|watch_required| Case { watch_required, nodes, seed }))
 }
 
-impl Case {
-    async fn start(self) -> Harness {
-        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        Harness::seeded(self.watch_required, self.nodes, self.seed, listener.local_addr().unwrap(), listener)
-    }
-}
-
 impl Harness {
     /// The watch that is open, and how long it waits for changes.
     async fn accept_watch(&mut self) -> (TcpStream, Duration) {
@@ -112,7 +97,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_a_watch_that_has_fallen_silent() {
     for case in cases() {
-        let mut harness = case.start().await;
+        let mut harness = Harness::start(case).await;
         let (_silent, wait) = harness.accept_watch().await;
         let since = Instant::now();
         // A watch of a shared discovery may wait for long, and what it misses is due 2 s after its wait.
@@ -128,7 +113,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_rejected_polls() {
     for case in cases() {
-        let mut harness = case.start().await;
+        let mut harness = Harness::start(case).await;
         let (mut stream, _) = harness.accept_watch().await;
         for rejected in 0..6 {
             stream.write_all(BUSY.as_bytes()).await.unwrap();
@@ -143,7 +128,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_polls_whose_connections_were_reset() {
     for case in cases() {
-        let mut harness = case.start().await;
+        let mut harness = Harness::start(case).await;
         let mut stream = harness.accept_watch().await.0;
         for _ in 0..5 {
             reset(stream);
@@ -158,8 +143,7 @@
 async fn after_connects_that_timed_out() {
     for case in cases() {
         let (listener, filler) = full_backlog().await;
-        let address = listener.local_addr().unwrap();
-        let mut harness = Harness::seeded(case.watch_required, case.nodes, case.seed, address, listener);
+        let mut harness = Harness::start_at(case, listener);
         for _ in 0..4 {
             assert!(matches!(harness.messages.recv().await, Some(Message::EndpointListFailed)));
         }
@@ -175,7 +159,7 @@
 async fn after_an_answer_that_was_cut_off_in_its_body() {
     for case in cases() {
         for closed in [true, false] {
-            let mut harness = case.start().await;
+            let mut harness = Harness::start(case).await;
             let (mut stream, wait) = harness.accept_watch().await;
             // The change itself ends the watch, shortly after it was opened or shortly before its end.
             sleep(if case.seed % 2 == 0 { wait / 20 } else { wait - wait / 20 }).await;
@@ -190,7 +174,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_discovery_was_down_and_is_back() {
     for case in cases() {
-        let mut harness = case.start().await;
+        let mut harness = Harness::start(case).await;
         let stream = harness.accept_watch().await.0;
         let address = harness.listener.local_addr().unwrap();
         drop(std::mem::replace(&mut harness.listener, unused_listener().await));
@@ -204,7 +188,7 @@
 #[tokio::test(start_paused = true)]
 async fn after_a_new_address_whose_first_poll_is_never_answered() {
     for case in cases() {
-        let mut harness = case.start().await;
+        let mut harness = Harness::start(case).await;
         let _old = harness.accept_watch().await;
         let since = harness.move_discovery().await;
         let _silent = harness.accept_poll().await;
@@ -216,7 +200,7 @@
 #[tokio::test(start_paused = true)]
 async fn at_a_new_address_that_rejects_two_polls_within_four_seconds() {
     for case in cases() {
-        let mut harness = case.start().await;
+        let mut harness = Harness::start(case).await;
         let _old = harness.accept_watch().await;
         let since = harness.move_discovery().await;
         for _ in 0..2 {
--- a/crates/node/src/membership/service.rs
+++ b/crates/node/src/membership/service.rs
@@ -7,15 +7,13 @@
 use stonefold_membership::{Codec, Detector, MAX_DATAGRAM, Message, Micros, Output, Profile};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
-use tokio::time::{Instant, sleep, sleep_until};
+use tokio::time::{Instant, sleep_until};
 use tracing::{info, warn};
 
 use super::{MembershipConfig, listing, logging};
+use crate::bind::bind_with_retry;
 use crate::metrics::MembershipMetrics;
 
-/// The pause after a bind that failed, mostly since a predecessor still has the address.
-const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-
 /// What the rest of the node requests of the membership.
 pub(super) enum Request {
     /// The members, as text for operators.
@@ -65,26 +63,14 @@
     }
 }
 
-/// Binds the socket, and retries until that succeeds.
-async fn bind(address: SocketAddr) -> UdpSocket {
-    let mut logged = false;
-    loop {
-        match UdpSocket::bind(address).await {
-            Ok(socket) => return socket,
-            Err(error) if !logged => {
-                warn!(event = "membership_bind_failed", at = %address, %error, "cannot receive from other nodes yet");
-                logged = true;
-            }
-            Err(_) => {}
-        }
-        sleep(BIND_RETRY_INTERVAL).await;
-    }
-}
-
 impl Service {
     async fn start(config: MembershipConfig, metrics: Arc<MembershipMetrics>) -> Service {
-        let socket = bind(config.listen).await;
-        let listen = socket.local_addr().unwrap_or(config.listen);
+        let at = config.listen;
+        let log_failure = |error| {
+            warn!(event = "membership_bind_failed", %at, %error, "cannot receive from other nodes yet");
+        };
+        let socket = bind_with_retry(|| UdpSocket::bind(at), log_failure).await;
+        let listen = socket.local_addr().unwrap_or(at);
         let address = config.advertise.unwrap_or(listen);
         info!(event = "membership_listening", at = %listen, advertise = %address, name = config.name,
             "other nodes can reach this one");
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -16,7 +16,7 @@
 use crate::counter::Counter;
 use crate::invariants::Violations;
 use histogram::DurationHistogram;
-pub use membership::MembershipMetrics;
+pub(crate) use membership::MembershipMetrics;
 use prometheus::{write_labelled, write_type, write_value};
 use summary::DurationSummary;
 
--- a/crates/node/src/metrics/membership.rs
+++ b/crates/node/src/metrics/membership.rs
@@ -24,7 +24,7 @@
 
 /// Metrics of the membership.
 #[derive(Debug, Default)]
-pub struct MembershipMetrics {
+pub(crate) struct MembershipMetrics {
     /// Datagrams that could not be sent.
     pub(crate) send_errors: Counter,
     /// Failed reads of the socket.
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -20,6 +20,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{Instrument, info, info_span, warn};
 
+use crate::bind::bind_with_retry;
 pub(crate) use command::OperatorCommand;
 pub(crate) use handler::NodeHandler;
 
@@ -31,8 +32,8 @@
 const MAX_DISCARDED_LEN: u64 = 64 << 10;
 /// A connection is closed after this time, whether its command is incomplete or its answer not read.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a failed bind or accept.
-const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The pause after a failed accept.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// The stack of the operators' thread, in bytes.
 const STACK_SIZE: usize = 256 << 10;
 
@@ -52,30 +53,18 @@
     thread::Builder::new().name("operator".into()).stack_size(STACK_SIZE).spawn(serve).map(drop)
 }
 
-async fn serve(address: SocketAddr, handler: Arc<impl CommandHandler>) {
-    let listener = bind(address).await;
+async fn serve(at: SocketAddr, handler: Arc<impl CommandHandler>) {
+    let log_failure = |error| {
+        warn!(event = "operator_bind_failed", %at, %error, "cannot listen for operators yet");
+    };
+    // A predecessor may still have the address.
+    let listener = bind_with_retry(|| TcpListener::bind(at), log_failure).await;
     if let Ok(at) = listener.local_addr() {
         info!(event = "operator_listening", %at, "operators are served");
     }
     accept_connections(Listener::new(listener), handler).await;
 }
 
-/// Binds the listener, and retries until that succeeds: a predecessor may still have the address.
-async fn bind(address: SocketAddr) -> TcpListener {
-    let mut logged = false;
-    loop {
-        match TcpListener::bind(address).await {
-            Ok(listener) => return listener,
-            Err(error) if !logged => {
-                warn!(event = "operator_bind_failed", at = %address, %error, "cannot listen for operators yet");
-                logged = true;
-            }
-            Err(_) => {}
-        }
-        sleep(RETRY_INTERVAL).await;
-    }
-}
-
 async fn accept_connections(listener: Listener, handler: Arc<impl CommandHandler>) {
     let mut connections: VecDeque<AbortHandle> = VecDeque::new();
     loop {
@@ -83,7 +72,7 @@
             Ok(stream) => stream,
             Err(error) => {
                 warn!(event = "accept_failed", front = "operator", %error, "an operator can't connect");
-                sleep(RETRY_INTERVAL).await;
+                sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
         };
