--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -449,7 +449,11 @@
         inner.waiters.clear();
         drop(inner);
         if first {
-            info!(event = "cold_pushed_over", server = self.id(), "a cold server fell over");
+            info!(
+                event = "slow_start_overloaded",
+                server = self.id(),
+                "a server in slow start was overloaded and failed"
+            );
             world.judge().fell();
             world.note(self.number, State::Deleted, 0);
             self.port.listeners.close();
--- a/crates/observe/src/tests.rs
+++ b/crates/observe/src/tests.rs
@@ -47,7 +47,7 @@
     let (writer, logging, go, read) = stalled(64);
     let options = Options { levels: "warn,quiet=off,loud=debug".parse().unwrap(), format: Format::Json };
     with_default(subscriber(options, writer), || {
-        tracing::warn!(event = "server_out", server = "s-1\n\"x\"", n = 7, "out by hand");
+        tracing::warn!(event = "server_disabled", server = "s-1\n\"x\"", n = 7, "out by hand");
         tracing::error!(target: "quiet", event = "never");
         tracing::debug!(target: "loud", event = "details");
         tracing::info!(event = "too_low");
@@ -56,7 +56,7 @@
     drop(logging);
     let lines: Vec<String> = read.iter().collect();
     assert_eq!(lines.len(), 2, "{lines:?}");
-    assert!(lines[0].contains(r#""event":"server_out""#) && lines[0].contains(r#""n":7"#), "{}", lines[0]);
+    assert!(lines[0].contains(r#""event":"server_disabled""#) && lines[0].contains(r#""n":7"#), "{}", lines[0]);
     assert!(lines[0].contains(r#"s-1\n\"x\""#), "{}", lines[0]);
     assert!(lines[0].ends_with("}\n") && lines[0].matches('\n').count() == 1, "one line an event");
     assert!(lines[1].contains(r#""event":"details""#), "{}", lines[1]);
