--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -38,6 +38,19 @@
     FleetStart,
 }
 
+impl Scenario {
+    /// When discovery's list changes.
+    fn changes(self) -> Vec<Micros> {
+        match self {
+            Scenario::Calm => vec![START, START + 10 * SECOND, START + 20 * SECOND],
+            Scenario::Down | Scenario::Blackholed => vec![START + SECOND, START + FAULT_DURATION + SECOND],
+            Scenario::Overloaded => vec![START + FAULT_DURATION, START + FAULT_DURATION + SECOND],
+            Scenario::WatchesSilent => vec![START + SECOND / 2, START + 2 * SECOND],
+            Scenario::FleetStart => vec![START - SECOND, START + SECOND],
+        }
+    }
+}
+
 const SCENARIOS: [Scenario; 6] = [
     Scenario::Calm,
     Scenario::Down,
@@ -84,7 +97,7 @@
     missed_due: Micros,
 }
 
-/// What one scenario of one fleet shows.
+/// The figures of one fleet in one scenario.
 #[derive(Default)]
 struct Figures {
     polls: u64,
@@ -148,27 +161,24 @@
             let starts = if scenario == Scenario::FleetStart { START } else { rng.u64(0..START / 2) };
             fleet.at(starts, Event::Begin(node));
         }
-        let changes = match scenario {
-            Scenario::Calm => vec![START, START + 10 * SECOND, START + 20 * SECOND],
-            Scenario::Down | Scenario::Blackholed => vec![START + SECOND, START + FAULT_DURATION + SECOND],
-            Scenario::Overloaded => vec![START + FAULT_DURATION, START + FAULT_DURATION + SECOND],
-            Scenario::WatchesSilent => vec![START + SECOND / 2, START + 2 * SECOND],
-            Scenario::FleetStart => vec![START - SECOND, START + SECOND],
-        };
-        for at in changes {
+        for at in scenario.changes() {
             fleet.at(at, Event::Change);
         }
+        fleet.schedule_fault(scenario);
+        fleet
+    }
+
+    fn schedule_fault(&mut self, scenario: Scenario) {
         match scenario {
-            Scenario::Down | Scenario::WatchesSilent | Scenario::Blackholed => fleet.at(START, Event::Fault),
+            Scenario::Down | Scenario::WatchesSilent | Scenario::Blackholed => self.at(START, Event::Fault),
             Scenario::Overloaded => {
-                for number in 0..(FAULT_DURATION as f64 * fleet.others / 1e6) as u64 {
-                    let at = START + (number as f64 * 1e6 / fleet.others) as Micros;
-                    fleet.at(at, Event::OtherPoll);
+                for number in 0..(FAULT_DURATION as f64 * self.others / 1e6) as u64 {
+                    let at = START + (number as f64 * 1e6 / self.others) as Micros;
+                    self.at(at, Event::OtherPoll);
                 }
             }
             Scenario::Calm | Scenario::FleetStart => {}
         }
-        fleet
     }
 
     fn at(&mut self, at: Micros, event: Event) {
@@ -208,7 +218,7 @@
         }
         // A change that never reached a node counts as received at the end.
         for node in 0..self.nodes.len() {
-            self.take(node, 1 + self.changes.len() as u64);
+            self.receive_list(node, 1 + self.changes.len() as u64);
         }
         self.figures
     }
@@ -259,12 +269,12 @@
     }
 
     fn answer(&mut self, index: usize) {
-        self.take(index, self.discovery.version());
+        self.receive_list(index, self.discovery.version());
         self.end(index, Outcome::Answered);
     }
 
-    /// The node has the list up to this version.
-    fn take(&mut self, index: usize, version: u64) {
+    /// The node receives the list of this version.
+    fn receive_list(&mut self, index: usize, version: u64) {
         let node = &mut self.nodes[index];
         for had in self.changes.iter().take(version as usize - 1).skip(node.version as usize - 1) {
             let age = self.now.saturating_sub(*had);
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::metrics::MembershipMetrics;
-use service::Request;
+use service::MembershipRequest;
 
 /// Requests that may wait for the service.
 const REQUEST_QUEUE: usize = 8;
@@ -35,7 +35,7 @@
 /// A handle to the running membership of this node.
 #[derive(Clone)]
 pub(crate) struct Membership {
-    requests: mpsc::Sender<Request>,
+    requests: mpsc::Sender<MembershipRequest>,
     metrics: Arc<MembershipMetrics>,
 }
 
@@ -56,14 +56,14 @@
     /// One line for each member, this node first; `None` if the membership has ended.
     pub(crate) async fn list(&self) -> Option<String> {
         let (sender, answer) = oneshot::channel();
-        self.requests.send(Request::List(sender)).await.ok()?;
+        self.requests.send(MembershipRequest::List(sender)).await.ok()?;
         answer.await.ok()
     }
 
     /// Announces to other members that this node leaves.
     pub(crate) async fn leave(&self) {
         let (sender, done) = oneshot::channel();
-        if self.requests.send(Request::Leave(sender)).await.is_ok() {
+        if self.requests.send(MembershipRequest::Leave(sender)).await.is_ok() {
             let _ = done.await; // it has ended already
         }
     }
--- a/crates/node/src/membership/service.rs
+++ b/crates/node/src/membership/service.rs
@@ -15,7 +15,7 @@
 use crate::metrics::MembershipMetrics;
 
 /// What the rest of the node requests of the membership.
-pub(super) enum Request {
+pub(super) enum MembershipRequest {
     /// The members, as text for operators.
     List(oneshot::Sender<String>),
     /// Leave the cluster; answered once the leave is announced.
@@ -35,7 +35,7 @@
 /// Takes part in the membership until the node leaves or drops its handle.
 pub(super) async fn run(
     config: MembershipConfig,
-    mut requests: mpsc::Receiver<Request>,
+    mut requests: mpsc::Receiver<MembershipRequest>,
     metrics: Arc<MembershipMetrics>,
 ) {
     let mut service = Service::start(config, metrics).await;
@@ -46,8 +46,8 @@
         tokio::select! {
             biased;
             request = requests.recv() => match request {
-                Some(Request::List(answer)) => _ = answer.send(service.list()), // the receiver may be gone
-                Some(Request::Leave(done)) => {
+                Some(MembershipRequest::List(answer)) => _ = answer.send(service.list()), // the receiver may be gone
+                Some(MembershipRequest::Leave(done)) => {
                     service.leave();
                     let _ = done.send(()); // the receiver may be gone
                     return;
--- a/crates/node/src/metrics/histogram.rs
+++ b/crates/node/src/metrics/histogram.rs
@@ -3,12 +3,9 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use super::prometheus::write_type;
+use super::prometheus::{MICROS_PER_SECOND, write_type};
 use crate::counter::Counter;
 
-/// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
-
 /// Upper bounds of the buckets, ascending; a last bucket without a bound follows.
 const BOUNDS: [Duration; 8] = [
     Duration::from_millis(1),
--- a/crates/node/src/metrics/prometheus.rs
+++ b/crates/node/src/metrics/prometheus.rs
@@ -4,6 +4,9 @@
 
 use crate::counter::Counter;
 
+/// Microseconds in a second, the unit of durations in the text.
+pub(super) const MICROS_PER_SECOND: f64 = 1e6;
+
 /// Appends the line that states a metric's type.
 pub(crate) fn write_type(text: &mut String, name: &str, kind: &str) {
     let _ = writeln!(text, "# TYPE {name} {kind}");
--- a/crates/node/src/metrics/summary.rs
+++ b/crates/node/src/metrics/summary.rs
@@ -6,7 +6,7 @@
 
 use hdrhistogram::Histogram;
 
-use super::prometheus::write_type;
+use super::prometheus::{MICROS_PER_SECOND, write_type};
 
 /// Longer durations are recorded as this one.
 pub(super) const MAX_RECORDED: Duration = Duration::from_secs(60);
@@ -14,8 +14,6 @@
 const SIGNIFICANT_DIGITS: u8 = 2;
 /// The quantile that is shown.
 const QUANTILE: f64 = 0.99;
-/// Microseconds in a second.
-const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Durations, of which a quantile is shown. It takes some 20 KB however many are recorded.
 #[derive(Debug)]
