--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -11,54 +11,9 @@
 use crate::discovery::poll_schedule::{CONNECT_TIMEOUT, Outcome, Poll, PollSchedule};
 use crate::message::DiscoverySettings;
 
-/// A point in virtual time or a duration, in microseconds.
-type Micros = u64;
+mod scenario;
 
-const SECOND: Micros = 1_000_000;
-const DEADLINE: Micros = 6 * SECOND;
-/// The scenario starts here; the nodes have started before, each at its own time.
-const START: Micros = 40 * SECOND;
-const END: Micros = 70 * SECOND;
-/// How long the fault of a scenario lasts.
-const FAULT_DURATION: Micros = 8 * SECOND;
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Scenario {
-    /// Changes without a fault.
-    Calm,
-    /// Discovery goes down, which ends the watches, and comes back with a change.
-    Down,
-    /// Other clients poll three times as often as discovery can answer.
-    Overloaded,
-    /// All open watches fall silent.
-    WatchesSilent,
-    /// The network drops all packets to discovery for a while; connects time out.
-    Blackholed,
-    /// All nodes start at once, with an outdated list.
-    FleetStart,
-}
-
-impl Scenario {
-    /// When discovery's list changes.
-    fn changes(self) -> Vec<Micros> {
-        match self {
-            Scenario::Calm => vec![START, START + 10 * SECOND, START + 20 * SECOND],
-            Scenario::Down | Scenario::Blackholed => vec![START + SECOND, START + FAULT_DURATION + SECOND],
-            Scenario::Overloaded => vec![START + FAULT_DURATION, START + FAULT_DURATION + SECOND],
-            Scenario::WatchesSilent => vec![START + SECOND / 2, START + 2 * SECOND],
-            Scenario::FleetStart => vec![START - SECOND, START + SECOND],
-        }
-    }
-}
-
-const SCENARIOS: [Scenario; 6] = [
-    Scenario::Calm,
-    Scenario::Down,
-    Scenario::Overloaded,
-    Scenario::WatchesSilent,
-    Scenario::Blackholed,
-    Scenario::FleetStart,
-];
+use scenario::{DEADLINE, END, FAULT_DURATION, Micros, SCENARIOS, SECOND, START, Scenario};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
