--- a/crates/store/examples/feed_simulate.rs
+++ b/crates/store/examples/feed_simulate.rs
@@ -21,7 +21,7 @@
         changes.fetch_add(report.changes as u64, Ordering::Relaxed);
         purges.fetch_add(report.purges, Ordering::Relaxed);
         kills.fetch_add(report.kills, Ordering::Relaxed);
-        disconnected.fetch_add(report.cut, Ordering::Relaxed);
+        disconnected.fetch_add(report.disconnected, Ordering::Relaxed);
         if let Err(what) = report.verdict {
             failed.fetch_add(1, Ordering::Relaxed);
             println!("seed {seed}: {what}");
--- a/crates/store/examples/subscribers.rs
+++ b/crates/store/examples/subscribers.rs
@@ -1,7 +1,7 @@
 //! What distribution costs and how long it takes: members, relays by region and by site, and subscribers, all in one
 //! process over TCP on loopback.
 //!
-//!     cargo run --release -p stonefold-store --example subscribers -- [SECONDS] [MAX_SUBSCRIBERS ...]
+//!     cargo run --release -p stonefold-store --example subscribers -- [SECONDS] [SUBSCRIBERS ...]
 //!
 //! Three members; 11 regions with two relays each; sites of 14 subscribers with two relays each. 12 purges and 0.5 changes
 //! (documents and a list of 340 servers) a second. Bytes are those that publishers sent and subscribers acknowledged with,
--- a/crates/store/tests/corpus.rs
+++ b/crates/store/tests/corpus.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_corpus_is_read_or_refused_and_version_1_is_read() {
+fn the_corpus_never_panics_and_version_1_is_read() {
     let mut read = 0;
     for (target, play) in [
         ("frames", hostile::frames as fn(&[u8])),
--- a/crates/store/tests/feed_sim/check.rs
+++ b/crates/store/tests/feed_sim/check.rs
@@ -1,4 +1,4 @@
-//! What must hold, whatever went wrong.
+//! Invariants of a run, whatever faults there were.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,27 @@
 use stonefold_store::feed::table::Table;
 
 use super::cluster::Change;
-use super::{CALM, Millis, NODES, QUIET, World};
+use super::{CALM_START, CHANGES_END, Millis, NODES, World};
 
-/// A purge is known everywhere within this in the calm, and any change within that, in ms.
-const PURGE: Millis = 1_100;
-const CHANGE: Millis = 18_000;
+/// The longest time until a purge is known everywhere on a calm network, in ms.
+const MAX_PURGE_DELAY: Millis = 1_100;
+/// The longest time until any other change is known everywhere on a calm network, in ms.
+const MAX_CHANGE_DELAY: Millis = 18_000;
 
-/// What a node has seen and acted on.
+/// What a node has received and used.
 #[derive(Default)]
-pub(crate) struct Seen {
-    /// The latest revision of each document, and the latest list version, that it acted on in any life.
-    acted: BTreeMap<ItemKey, u64>,
-    /// The number of the last purge in this life, and of all in all lives with their time.
+pub(crate) struct Observed {
+    /// The latest revision of each document, and the latest list version, that it used in any incarnation.
+    used: BTreeMap<ItemKey, u64>,
+    /// The number of the last purge in this incarnation.
     last: Option<u64>,
+    /// All purges of all incarnations: number, key and time.
     pub purges: Vec<(u64, String, Millis)>,
-    /// When it acted on which revision of what.
+    /// When it used which revision of an item.
     times: BTreeMap<ItemKey, Vec<(u64, Millis)>>,
 }
 
-impl Seen {
+impl Observed {
     pub(crate) fn restarted(&mut self) {
         self.last = None;
     }
@@ -38,10 +40,10 @@
         dropped: bool,
     ) -> Result<(), String> {
         match event {
-            Event::Changed(keys) => keys.into_iter().try_for_each(|key| self.act(key, table, now)),
+            Event::Changed(keys) => keys.into_iter().try_for_each(|key| self.use_item(key, table, now)),
             Event::PurgesUnknown { after, through } => {
                 if after > 0 && self.last.is_some() {
-                    return Err(format!("purges {after} to {through} are lost, though all are kept"));
+                    return Err(format!("purges {after} to {through} are lost, though all are retained"));
                 }
                 self.last = Some(through);
                 Ok(())
@@ -60,8 +62,8 @@
         }
     }
 
-    /// No node acts on what is older than what it acted on before, in any life.
-    fn act(&mut self, key: ItemKey, table: &Table, now: Millis) -> Result<(), String> {
+    /// No node uses a version that is older than one it used before, in any incarnation.
+    fn use_item(&mut self, key: ItemKey, table: &Table, now: Millis) -> Result<(), String> {
         let Some((revision, item)) = table.item(&key) else {
             return Err(format!("{key:?} changed, and is gone"));
         };
@@ -70,12 +72,12 @@
             Item::List { version, .. } => version,
             _ => revision,
         };
-        let before = self.acted.insert(key.clone(), mark).unwrap_or(0);
+        let before = self.used.insert(key.clone(), mark).unwrap_or(0);
         if mark < before { Err(format!("a step back: {key:?} {mark} after {before}")) } else { Ok(()) }
     }
 }
 
-/// After each step.
+/// The invariants after each step.
 pub(crate) fn always(world: &World) -> Result<(), String> {
     let now = world.now;
     for n in 0..NODES {
@@ -83,29 +85,28 @@
         if !node.alive() {
             continue;
         }
-        let table = &node.core.table;
+        let table = &node.subscriber.table;
         let committed = world.log.entries.len() as u64;
         if table.revision() > committed || table.last_purge() > world.log.purged() {
             return Err(format!("node {n} holds revision {} of {committed}", table.revision()));
         }
-        // What it says of how stale it is.
-        let stale = node.core.stale_ms(now - node.started);
+        // The staleness that it reports has to be true.
+        let stale = node.subscriber.stale_ms(now - node.started);
         let (entries, purges) = stale.map_or((0, 0), |stale| world.log.by(now.saturating_sub(stale + 1)));
         if table.last_purge() < purges {
             let held = table.last_purge();
             return Err(format!("node {n} says {stale:?} ms stale, and holds {held} of {purges} purges"));
         }
         if now.is_multiple_of(1_000) {
-            complete(world, n, entries)?;
+            check_complete(world, n, entries)?;
         }
     }
     Ok(())
 }
 
-/// Of each item a node holds what was committed at its revision, and what was up to an entry, or something newer; and
-/// holds it as it was committed.
-fn complete(world: &World, n: usize, entries: u64) -> Result<(), String> {
-    let table = &world.nodes[n].core.table;
+/// A node has each item as of its own revision and as of an entry, or newer, and as it was committed.
+fn check_complete(world: &World, n: usize, entries: u64) -> Result<(), String> {
+    let table = &world.nodes[n].subscriber.table;
     let mut wanted: BTreeMap<ItemKey, u64> = BTreeMap::new();
     for (index, entry) in (1..=entries.max(table.revision())).zip(&world.log.entries) {
         if let Change::Item(item) = &entry.change {
@@ -125,41 +126,45 @@
     Ok(())
 }
 
-/// In the end all are alike, and what was changed in the calm was there in time.
+/// The invariants at the end: all nodes have the same state, and changes on the calm network arrived in time.
 pub(crate) fn end(world: &World) -> Result<(), String> {
     let (entries, purges) = (world.log.entries.len() as u64, world.log.purged());
     for n in 0..NODES {
-        complete(world, n, entries)?;
+        check_complete(world, n, entries)?;
         let node = &world.nodes[n];
-        if (node.core.table.revision(), node.seen.last) != (entries, Some(purges)) {
-            let (revision, last) = (node.core.table.revision(), node.seen.last);
+        if (node.subscriber.table.revision(), node.observed.last) != (entries, Some(purges)) {
+            let (revision, last) = (node.subscriber.table.revision(), node.observed.last);
             return Err(format!("node {n} ends at {revision} and purge {last:?} of {entries} and {purges}"));
         }
-        if let Some((number, key, _)) =
-            node.seen.purges.iter().find(|(number, key, _)| world.log.purges[*number as usize - 1] != *key)
+        if let Some((number, key, _)) = node
+            .observed
+            .purges
+            .iter()
+            .find(|(number, key, _)| world.log.purges[*number as usize - 1] != *key)
         {
             return Err(format!("node {n} took {key} for purge {number}"));
         }
-        in_time(world, n)?;
+        check_delays(world, n)?;
     }
     Ok(())
 }
 
-fn in_time(world: &World, n: usize) -> Result<(), String> {
-    let seen = &world.nodes[n].seen;
-    let taken: BTreeMap<u64, Millis> = seen.purges.iter().map(|(number, _, at)| (*number, *at)).collect();
+fn check_delays(world: &World, n: usize) -> Result<(), String> {
+    let observed = &world.nodes[n].observed;
+    let taken: BTreeMap<u64, Millis> = observed.purges.iter().map(|(number, _, at)| (*number, *at)).collect();
     let mut purge = 0;
     for (at, entry) in world.log.entries.iter().enumerate() {
         purge += u64::from(matches!(entry.change, Change::Purge(_)));
-        if !(CALM..QUIET).contains(&entry.at) {
+        if !(CALM_START..CHANGES_END).contains(&entry.at) {
             continue;
         }
         let index = at as u64 + 1;
         let (most, there) = match &entry.change {
-            Change::Purge(_) => (PURGE, taken.get(&purge).copied()),
+            Change::Purge(_) => (MAX_PURGE_DELAY, taken.get(&purge).copied()),
             Change::Item(item) => {
-                let acted = seen.times.get(&item.key()).and_then(|all| all.iter().find(|(r, _)| *r >= index));
-                (CHANGE, acted.map(|(_, at)| *at))
+                let used =
+                    observed.times.get(&item.key()).and_then(|all| all.iter().find(|(r, _)| *r >= index));
+                (MAX_CHANGE_DELAY, used.map(|(_, at)| *at))
             }
         };
         let took = there.map(|there| there.saturating_sub(entry.at));
--- a/crates/store/tests/feed_sim/cluster.rs
+++ b/crates/store/tests/feed_sim/cluster.rs
@@ -1,24 +1,24 @@
-//! What is committed, and the members that apply it: some lag, some are down, a quorum or none of them confirms.
+//! The committed log, and the members that apply it: some lag, some are down, and a quorum confirms or not.
 
 use stonefold_store::feed::frame::Item;
 use stonefold_store::feed::table::Table;
 use stonefold_store::state::AdminOverride;
 
-use super::{CALM, Millis, QUIET, World};
+use super::{CALM_START, CHANGES_END, Millis, World};
 
 pub(crate) const MEMBERS: usize = 3;
-/// Members are asked what is committed so often.
-const CONFIRM: Millis = 1_000;
+/// How often members ask what is committed, in ms.
+const CONFIRM_INTERVAL: Millis = 1_000;
 
 pub(crate) enum Change {
     Item(Item),
     Purge(String),
 }
 
-/// A committed entry; its index is its place, from 1.
+/// A committed entry; its index is its position in the log, from 1.
 pub(crate) struct Entry {
     pub at: Millis,
-    /// Purges up to this one.
+    /// The number of purges up to this entry.
     purges: u64,
     pub change: Change,
 }
@@ -38,7 +38,7 @@
     pub down: Millis,
     pub lags: Millis,
     pub confirmed: Option<Millis>,
-    /// Up to which entry all was committed when it asked, and when.
+    /// The read index that it waits to apply, and when it asked for it.
     wanted: Option<(usize, Millis)>,
 }
 
@@ -47,7 +47,7 @@
         self.purges.len() as u64
     }
 
-    /// How many entries, and how many purges, were committed by a time.
+    /// The numbers of entries and of purges that were committed by a time.
     pub(crate) fn by(&self, at: Millis) -> (u64, u64) {
         let entries = self.entries.partition_point(|entry| entry.at <= at);
         (entries as u64, self.entries[..entries].last().map_or(0, |entry| entry.purges))
@@ -95,13 +95,13 @@
     }
 }
 
-/// The log grows, members apply it and ask what is committed.
+/// Commits entries; members apply them and ask what is committed.
 pub(crate) fn advance(world: &mut World) {
     let now = world.now;
     let up = |member: &Member| member.down <= now && member.lags <= now;
     let quorum = world.members.iter().filter(|member| up(member)).count() * 2 > MEMBERS;
-    // Some 15 a second, of which 12 are purges; none once the calm is over.
-    let made = now < QUIET && quorum && world.rng.u32(..1_000) < 375;
+    // About 15 a second, of which 12 are purges; none after `CHANGES_END`.
+    let made = now < CHANGES_END && quorum && world.rng.u32(..1_000) < 375;
     if made {
         let (log, rng) = (&mut world.log, &mut world.rng);
         log.commit(now, rng);
@@ -113,7 +113,7 @@
         }
         let committed = world.log.entries.len();
         let reached = member.lags <= now;
-        if reached && (now >= CALM || world.rng.u32(..4) > 0) {
+        if reached && (now >= CALM_START || world.rng.u32(..4) > 0) {
             for (at, entry) in world.log.entries.iter().enumerate().skip(member.applied) {
                 match &entry.change {
                     Change::Item(item) => member.table.put(at as u64 + 1, item),
@@ -123,7 +123,7 @@
             }
             member.applied = committed;
         }
-        if reached && quorum && now.is_multiple_of(CONFIRM) {
+        if reached && quorum && now.is_multiple_of(CONFIRM_INTERVAL) {
             member.wanted = Some((committed, now));
         }
         if let Some((index, asked)) = member.wanted
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -1,5 +1,5 @@
-//! Members, relays and subscribers in virtual time, from a seed: the pure cores over a network that delays, stalls and
-//! cuts, with kills of members, relays and subscribers, members that lag, and readers that are slow.
+//! Members, relays and subscribers in virtual time, from a seed: the pure state machines over a network that delays,
+//! stalls and closes connections, with kills of members, relays and subscribers, members that lag, and slow readers.
 #![allow(dead_code)] // the command and the tests use different parts
 
 pub(crate) mod check;
@@ -15,48 +15,53 @@
 use stonefold_store::feed::subscriber::{Action, Event, Subscriber};
 use stonefold_store::feed::table::Table;
 
-use check::Seen;
+use check::Observed;
 use cluster::{Log, MEMBERS, Member};
-use net::{Conn, Net};
+use net::{Conn, Network};
 
 pub(crate) type Millis = u64;
 
-/// What is wrong on purpose, for the checker to find.
+/// What is broken on purpose, to test the checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Broken {
     Nothing,
-    /// A publisher leaves out a record.
+    /// A publisher drops a record.
     Record,
     /// A node drops a purge.
     Purge,
-    /// A node forgets at a restart what it acted on.
+    /// A node loses its saved state at a restart.
     Disk,
 }
 
-pub(crate) const TICK: Millis = 25;
-/// Until when things go wrong, when the calm begins, until when changes are made then, and the end.
-pub(crate) const WRONG: Millis = 30_000;
-pub(crate) const CALM: Millis = 55_000;
-pub(crate) const QUIET: Millis = 62_000;
-pub(crate) const END: Millis = 81_000;
-const REGION: usize = 2;
-const SITE: usize = 4;
-const PLAIN: usize = 12;
-pub(crate) const NODES: usize = REGION + SITE + PLAIN;
+/// The step of the virtual time.
+pub(crate) const TICK_MS: Millis = 25;
+/// Until when faults are injected, in ms.
+pub(crate) const FAULTS_END: Millis = 30_000;
+/// From when on changes have to arrive in time, in ms.
+pub(crate) const CALM_START: Millis = 55_000;
+/// Until when changes are made, in ms.
+pub(crate) const CHANGES_END: Millis = 62_000;
+/// The end of a run, in ms.
+pub(crate) const RUN_END: Millis = 81_000;
+const REGION_RELAYS: usize = 2;
+const SITE_RELAYS: usize = 4;
+const PLAIN_SUBSCRIBERS: usize = 12;
+pub(crate) const NODES: usize = REGION_RELAYS + SITE_RELAYS + PLAIN_SUBSCRIBERS;
 
 /// A relay or a subscriber.
 pub(crate) struct Node {
-    pub core: Subscriber,
+    pub subscriber: Subscriber,
     tiers: Vec<Vec<String>>,
-    /// What was acted on, as its disk has it.
+    /// The state that it used, as saved on its disk.
     disk: Table,
     pub started: Millis,
-    pub life: u64,
-    /// Down until then, or reads nothing until then.
+    pub incarnation: u64,
+    /// Until when it is down.
     down: Option<Millis>,
+    /// Until when it reads nothing.
     slow: Millis,
     conn: Option<u64>,
-    pub seen: Seen,
+    pub observed: Observed,
 }
 
 impl Node {
@@ -71,58 +76,58 @@
     pub log: Log,
     pub members: Vec<Member>,
     pub nodes: Vec<Node>,
-    net: Net,
+    net: Network,
     broken: Broken,
     pub kills: u64,
-    pub cut: u64,
+    pub disconnected: u64,
     pub rejected: u64,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub(crate) struct Report {
     pub verdict: Result<(), String>,
     pub changes: usize,
     pub purges: u64,
     pub kills: u64,
-    /// Slow subscribers that were cut.
-    pub cut: u64,
+    /// Slow subscribers that were disconnected.
+    pub disconnected: u64,
 }
 
 fn name(node: usize) -> String {
     match node {
-        n if n < REGION => format!("region-{n}"),
-        n if n < REGION + SITE => format!("site-{n}"),
+        n if n < REGION_RELAYS => format!("region-{n}"),
+        n if n < REGION_RELAYS + SITE_RELAYS => format!("site-{n}"),
         n => format!("node-{n}"),
     }
 }
 
 fn tiers(node: usize) -> Vec<Vec<String>> {
     let members = (0..MEMBERS).map(|n| format!("member-{n}")).collect();
-    let regions = (0..REGION).map(name).collect();
-    // Two relays a site.
-    let site = (REGION + node % 2 * 2..REGION + node % 2 * 2 + 2).map(name).collect();
+    let regions = (0..REGION_RELAYS).map(name).collect();
+    // Two relays for each site.
+    let site = (REGION_RELAYS + node % 2 * 2..REGION_RELAYS + node % 2 * 2 + 2).map(name).collect();
     match node {
-        n if n < REGION => vec![members],
-        n if n < REGION + SITE => vec![regions, members],
+        n if n < REGION_RELAYS => vec![members],
+        n if n < REGION_RELAYS + SITE_RELAYS => vec![regions, members],
         _ => vec![site, regions, members],
     }
 }
 
-fn core(node: usize, disk: &Table, seed: u64) -> Subscriber {
+fn subscriber(node: usize, disk: &Table, seed: u64) -> Subscriber {
     Subscriber::new(disk.clone(), PublisherSelector::new(node as u64, &tiers(node), seed))
 }
 
-/// One run.
+/// Runs the simulation once.
 pub(crate) fn run(seed: u64, broken: Broken) -> Report {
     let mut world = World::new(seed, broken);
-    let verdict = world.play();
+    let verdict = world.run();
     Report {
         verdict,
         changes: world.log.entries.len(),
         purges: world.log.purged(),
         kills: world.kills,
-        cut: world.cut,
+        disconnected: world.disconnected,
     }
 }
 
@@ -130,44 +135,44 @@
     fn new(seed: u64, broken: Broken) -> World {
         let mut rng = Rng::with_seed(seed);
         let node = |n: usize| Node {
-            core: core(n, &Table::default(), rng.u64(..)),
+            subscriber: subscriber(n, &Table::default(), rng.u64(..)),
             tiers: tiers(n),
             disk: Table::default(),
             started: 0,
-            life: 0,
+            incarnation: 0,
             down: None,
             slow: 0,
             conn: None,
-            seen: Seen::default(),
+            observed: Observed::default(),
         };
         let nodes = (0..NODES).map(node).collect();
         let members = (0..MEMBERS).map(|_| Member::default()).collect();
-        let (log, net) = (Log::default(), Net::default());
-        World { now: 0, rng, log, members, nodes, net, broken, kills: 0, cut: 0, rejected: 0 }
+        let (log, net) = (Log::default(), Network::default());
+        World { now: 0, rng, log, members, nodes, net, broken, kills: 0, disconnected: 0, rejected: 0 }
     }
 
-    fn play(&mut self) -> Result<(), String> {
-        while self.now < END {
-            self.now += TICK;
-            if self.now < WRONG {
-                self.go_wrong();
-            } else if self.now < WRONG + TICK {
+    fn run(&mut self) -> Result<(), String> {
+        while self.now < RUN_END {
+            self.now += TICK_MS;
+            if self.now < FAULTS_END {
+                self.inject_faults();
+            } else if self.now < FAULTS_END + TICK_MS {
                 self.heal();
             }
             cluster::advance(self);
-            self.revive();
-            self.carry()?;
+            self.restart_nodes();
+            self.deliver_all()?;
             for node in 0..NODES {
-                self.drive(node)?;
+                self.poll_subscriber(node)?;
             }
-            self.publish()?;
+            self.send_updates()?;
             check::always(self)?;
         }
         check::end(self)
     }
 
-    /// Something goes wrong now and then.
-    fn go_wrong(&mut self) {
+    /// Injects a fault now and then.
+    fn inject_faults(&mut self) {
         let now = self.now;
         if self.rng.u32(..100) == 0 {
             let node = self.rng.usize(..NODES);
@@ -186,8 +191,8 @@
             if self.rng.bool() {
                 self.kills += 1;
                 self.members[member].down = until;
-                let told = self.rng.bool();
-                self.net.lost(|conn| conn.server == format!("member-{member}"), told, now);
+                let is_notified = self.rng.bool();
+                self.net.lost(|conn| conn.server == format!("member-{member}"), is_notified, now);
             } else {
                 self.members[member].lags = until;
             }
@@ -210,31 +215,32 @@
         }
         self.kills += 1;
         self.nodes[node].down = Some(self.now + self.rng.u64(200..5_000));
-        let (name, told) = (name(node), self.rng.bool());
-        // By a kill, of which the others are told, or by a power cut.
-        self.net.lost(|conn| conn.client == node || conn.server == name, told, self.now);
+        let (name, is_notified) = (name(node), self.rng.bool());
+        // By a kill, which closes its connections, or by a power cut, which doesn't.
+        self.net.lost(|conn| conn.client == node || conn.server == name, is_notified, self.now);
     }
 
-    fn revive(&mut self) {
+    fn restart_nodes(&mut self) {
         let (now, broken) = (self.now, self.broken);
         for n in 0..NODES {
             let node = &mut self.nodes[n];
             if node.down.is_some_and(|until| until <= now) {
                 let disk = if broken == Broken::Disk { Table::default() } else { node.disk.clone() };
-                (node.core, node.down, node.started) = (core(n, &disk, self.rng.u64(..)), None, now);
-                (node.life, node.conn, node.slow) = (node.life + 1, None, 0);
-                node.seen.restarted();
+                (node.subscriber, node.down, node.started) =
+                    (subscriber(n, &disk, self.rng.u64(..)), None, now);
+                (node.incarnation, node.conn, node.slow) = (node.incarnation + 1, None, 0);
+                node.observed.restarted();
             }
         }
     }
 
-    /// A node's own side: what its core wants.
-    fn drive(&mut self, n: usize) -> Result<(), String> {
+    /// Carries out the actions of a node's subscriber.
+    fn poll_subscriber(&mut self, n: usize) -> Result<(), String> {
         let (now, started) = (self.now, self.nodes[n].started);
         if !self.nodes[n].alive() || now < self.nodes[n].slow {
             return Ok(());
         }
-        while let Some(action) = self.nodes[n].core.poll(now - started) {
+        while let Some(action) = self.nodes[n].subscriber.poll(now - started) {
             match action {
                 Action::Connect(addr) => {
                     self.nodes[n].conn = Some(self.net.connect(n, addr, now, &mut self.rng));
@@ -254,8 +260,8 @@
         Ok(())
     }
 
-    /// Whether a publisher is up, and its table with how stale it is.
-    fn publisher<R>(
+    /// Runs `work` on a publisher's table, with its staleness and whether it is a member; nothing if it is down.
+    fn with_publisher<R>(
         &mut self,
         server: &str,
         work: impl FnOnce(&mut Table, Option<Millis>, bool) -> R,
@@ -267,12 +273,12 @@
             return (member.down <= now).then(|| work(&mut member.table, stale, true));
         }
         let node = &mut self.nodes[server.rsplit('-').next()?.parse::<usize>().ok()?];
-        let stale = node.core.stale_ms(now - node.started);
-        node.alive().then(|| work(&mut node.core.table, stale, false))
+        let stale = node.subscriber.stale_ms(now - node.started);
+        node.alive().then(|| work(&mut node.subscriber.table, stale, false))
     }
 
-    /// What has arrived by now.
-    fn carry(&mut self) -> Result<(), String> {
+    /// Delivers what has arrived by now.
+    fn deliver_all(&mut self) -> Result<(), String> {
         for id in self.net.ids() {
             let Some(mut conn) = self.net.conns.remove(&id) else { continue };
             if self.deliver(id, &mut conn)? {
@@ -282,31 +288,31 @@
         Ok(())
     }
 
-    /// Delivers what has arrived on a connection; whether it still stands.
+    /// Delivers what has arrived on a connection; whether it is still open.
     fn deliver(&mut self, id: u64, conn: &mut Conn) -> Result<bool, String> {
         let (now, n) = (self.now, conn.client);
         let mine = self.nodes[n].alive() && self.nodes[n].conn == Some(id);
         if conn.opening.is_some_and(|at| at <= now && now >= conn.stalled) {
             conn.opening = None;
-            let up = self.publisher(&conn.server, |_, _, _| ()).is_some();
+            let up = self.with_publisher(&conn.server, |_, _, _| ()).is_some();
             if !up {
                 return Ok(self.lose(id, mine));
             }
             if mine {
                 let local = now - self.nodes[n].started;
-                let hello = self.nodes[n].core.on_connected(local);
+                let hello = self.nodes[n].subscriber.on_connected(local);
                 conn.up.push_back((now + self.rng.u64(1..40), hello));
             }
         }
         while let Some(bytes) = net::arrived(&mut conn.up, conn.stalled, now) {
-            if !self.hear(conn, &bytes) {
+            if !self.receive_at_publisher(conn, &bytes) {
                 conn.closing = Some(now);
                 break;
             }
         }
         if mine && now >= self.nodes[n].slow {
             while let Some(bytes) = net::arrived(&mut conn.down, conn.stalled, now) {
-                if !self.take(n, &bytes)? {
+                if !self.receive_at_subscriber(n, &bytes)? {
                     self.nodes[n].conn = None;
                     return Ok(false);
                 }
@@ -316,23 +322,23 @@
         Ok(if ended { self.lose(id, mine) } else { true })
     }
 
-    /// A connection is no more, which its client is told if it still has it.
+    /// Closes a connection at its client, if that still has it.
     fn lose(&mut self, id: u64, mine: bool) -> bool {
         if let Some(n) = (0..NODES).find(|&n| mine && self.nodes[n].conn == Some(id)) {
             let local = self.now - self.nodes[n].started;
-            self.nodes[n].core.on_closed(local);
+            self.nodes[n].subscriber.on_closed(local);
             self.nodes[n].conn = None;
         }
         false
     }
 
-    /// A publisher hears its subscriber; whether it goes on.
-    fn hear(&mut self, conn: &mut Conn, bytes: &[u8]) -> bool {
+    /// A publisher receives a frame; whether the session goes on.
+    fn receive_at_publisher(&mut self, conn: &mut Conn, bytes: &[u8]) -> bool {
         let (now, limits) = (self.now, Limits::default());
         let Ok(frame) = decode_frame::<SubscriberFrame>(bytes) else { return false };
         let done = match (frame, &mut conn.session) {
             (SubscriberFrame::Hello(hello), None) => {
-                match self.publisher(&conn.server, |table, _, member| {
+                match self.with_publisher(&conn.server, |table, _, member| {
                     Session::open(&hello, table, member, limits, now)
                 }) {
                     Some(Ok(session)) => {
@@ -354,7 +360,7 @@
 
     fn reject(&mut self, conn: &mut Conn, why: SessionRejection) -> bool {
         self.rejected += 1;
-        self.cut += u64::from(matches!(why, SessionRejection::TooSlow(_)));
+        self.disconnected += u64::from(matches!(why, SessionRejection::TooSlow(_)));
         if let Ok(bytes) = encode_frame(&PublisherFrame::Rejected(why)) {
             conn.down.push_back((self.now + 1, bytes));
         }
@@ -362,39 +368,40 @@
         false
     }
 
-    /// A node takes a frame; whether it goes on.
-    fn take(&mut self, n: usize, bytes: &[u8]) -> Result<bool, String> {
+    /// A subscriber receives a frame; whether the connection goes on.
+    fn receive_at_subscriber(&mut self, n: usize, bytes: &[u8]) -> Result<bool, String> {
         let (now, broken) = (self.now, self.broken);
         let node = &mut self.nodes[n];
         let local = now - node.started;
-        match node.core.on_frame(bytes, local) {
+        match node.subscriber.on_frame(bytes, local) {
             Ok(events) => {
                 for event in events {
                     if let Event::Changed(_) = &event {
-                        node.disk = node.core.table.clone();
+                        node.disk = node.subscriber.table.clone();
                     }
                     let dropped = broken == Broken::Purge && self.rng.u32(..200) == 0;
-                    node.seen.event(event, &node.core.table, now, dropped)?;
+                    node.observed.event(event, &node.subscriber.table, now, dropped)?;
                 }
                 Ok(true)
             }
             Err(_) => {
-                node.core.on_closed(local);
+                node.subscriber.on_closed(local);
                 Ok(false)
             }
         }
     }
 
-    /// What publishers send.
-    fn publish(&mut self) -> Result<(), String> {
+    /// Sends the publishers' frames.
+    fn send_updates(&mut self) -> Result<(), String> {
         let now = self.now;
         for id in self.net.ids() {
             let Some(mut conn) = self.net.conns.remove(&id) else { continue };
             if let Some(mut session) = conn.session.take() {
-                let polled = self.publisher(&conn.server, |table, stale, _| session.poll(now, table, stale));
+                let polled =
+                    self.with_publisher(&conn.server, |table, stale, _| session.poll(now, table, stale));
                 match polled {
                     Some(Ok(Some(bytes))) => {
-                        let bytes = self.tampered(bytes);
+                        let bytes = self.maybe_drop_record(bytes);
                         conn.account(bytes.len(), now)?;
                         conn.send_down(bytes, now, &mut self.rng);
                         conn.session = Some(session);
@@ -411,7 +418,7 @@
         Ok(())
     }
 
-    fn tampered(&mut self, bytes: Vec<u8>) -> Vec<u8> {
+    fn maybe_drop_record(&mut self, bytes: Vec<u8>) -> Vec<u8> {
         if self.broken != Broken::Record || self.rng.u32(..20) > 0 {
             return bytes;
         }
--- a/crates/store/tests/feed_sim/net.rs
+++ b/crates/store/tests/feed_sim/net.rs
@@ -1,11 +1,11 @@
-//! Connections in virtual time: in order, delayed, stalled, lost with or without a word.
+//! Connections in virtual time: in order, delayed, stalled, and lost with or without a notice to the client.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use fastrand::Rng;
 use stonefold_store::feed::publisher::{Limits, Session};
 
-use super::{CALM, Millis};
+use super::{CALM_START, Millis};
 
 pub(crate) type Queue = VecDeque<(Millis, Vec<u8>)>;
 
@@ -17,7 +17,7 @@
     pub down: Queue,
     /// Nothing arrives before this.
     pub stalled: Millis,
-    /// The client is told that it has ended at this time.
+    /// When the client is notified that it has ended.
     pub closing: Option<Millis>,
     pub session: Option<Session>,
     /// Since when bytes are counted, and how many.
@@ -29,12 +29,12 @@
         send(&mut self.down, bytes, now, rng);
     }
 
-    /// A subscriber is sent no more than the bound.
+    /// Checks that a subscriber is sent no more than the limits allow.
     pub(crate) fn account(&mut self, bytes: usize, now: Millis) -> Result<(), String> {
         let limits = Limits::default();
         let (since, all) = self.counted.get_or_insert((now, 0));
         *all += bytes as u64 + 72;
-        // A frame may overdraw, heartbeats go out in any case.
+        // A frame may overdraw the bucket, and heartbeats go out in any case.
         let passed = now - *since;
         let most = limits.burst_bytes
             + limits.purge_reserve_bytes
@@ -50,8 +50,8 @@
 }
 
 fn send(queue: &mut Queue, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
-    // A segment that is lost is sent again after a while; none is in the calm.
-    let lost = if now < CALM && rng.u32(..100) < 2 { rng.u64(200..500) } else { 0 };
+    // A lost segment is retransmitted after a while; a calm network loses none.
+    let lost = if now < CALM_START && rng.u32(..100) < 2 { rng.u64(200..500) } else { 0 };
     let after = queue.back().map_or(0, |(at, _)| *at);
     queue.push_back((after.max(now + rng.u64(1..40) + lost), bytes));
 }
@@ -63,14 +63,14 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Net {
+pub(crate) struct Network {
     next: u64,
     pub conns: BTreeMap<u64, Conn>,
-    /// Nodes whose network stands still, until when.
+    /// Nodes whose network is stalled, and until when.
     stalls: BTreeMap<usize, Millis>,
 }
 
-impl Net {
+impl Network {
     pub(crate) fn ids(&self) -> Vec<u64> {
         self.conns.keys().copied().collect()
     }
@@ -99,14 +99,14 @@
         }
     }
 
-    /// The client has closed.
+    /// Closes a connection by its client.
     pub(crate) fn close(&mut self, id: u64, now: Millis) {
         if let Some(conn) = self.conns.get_mut(&id) {
             (conn.closing, conn.session) = (Some(now), None);
         }
     }
 
-    /// A node's network stands still, and some of its connections do not outlive that.
+    /// Stalls a node's network; with `reset` its connections end with the stall.
     pub(crate) fn stall(&mut self, node: usize, until: Millis, reset: bool, now: Millis) {
         self.stalls.insert(node, until);
         for conn in self.conns.values_mut().filter(|conn| conn.client == node) {
@@ -117,15 +117,15 @@
         }
     }
 
-    /// Connections are gone; their clients are told, or find out by silence.
-    pub(crate) fn lost(&mut self, which: impl Fn(&Conn) -> bool, told: bool, now: Millis) {
+    /// Ends connections; their clients are notified, or find out by the silence.
+    pub(crate) fn lost(&mut self, which: impl Fn(&Conn) -> bool, is_notified: bool, now: Millis) {
         for conn in self.conns.values_mut().filter(|conn| which(conn)) {
             conn.session = None;
             conn.up.clear();
             conn.down.clear();
             conn.opening = None;
-            conn.closing = told.then_some(now);
-            conn.stalled = if told { conn.stalled } else { Millis::MAX };
+            conn.closing = is_notified.then_some(now);
+            conn.stalled = if is_notified { conn.stalled } else { Millis::MAX };
         }
     }
 
--- a/crates/store/tests/hostile/mod.rs
+++ b/crates/store/tests/hostile/mod.rs
@@ -1,4 +1,4 @@
-//! What reads bytes that others wrote: it refuses them or reads them whole, and never panics.
+//! Feeds arbitrary bytes to everything that decodes: they are rejected or decoded completely, and nothing panics.
 #![allow(dead_code)] // each target uses its own
 
 use stonefold_store::codec::{decode, encode};
@@ -42,7 +42,7 @@
     let _ = open_snapshot(bytes);
 }
 
-/// A subscriber and a publisher's session that hold a little, and are told these bytes.
+/// Feeds bytes to a subscriber and to a publisher's session that have a few items.
 pub(crate) fn feed(bytes: &[u8]) {
     let mut table = Table::default();
     let name = "d".to_owned();
--- a/crates/store/tests/rules.rs
+++ b/crates/store/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The pure parts: what is folder, who belongs, what may be acted on.
+//! The pure parts: the replicated state, who belongs to the cluster, and which versions a node may use.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 };
 use stonefold_store::state::{AdminOverride, Change, Proposal, Rejection, Reply, State};
 
-// ---- freshness, explored whole ----
+// ---- freshness, explored exhaustively ----
 
 /// A node between a store and discovery, which both may be late: every order of events up to a few versions.
 struct Explored;
@@ -27,8 +27,8 @@
     applied: u64,
     /// A question that is out: when it was asked, and what was committed then.
     asked: Option<(u64, u64)>,
-    /// Up to where the answers of this start told that all was committed.
-    told: u64,
+    /// The highest read index of this start.
+    confirmed_index: u64,
     /// What the node acts on, and whether it ever went back or behind what it knew.
     acted: u64,
     went_back: bool,
@@ -64,7 +64,7 @@
             committed: 0,
             applied: 0,
             asked: None,
-            told: 0,
+            confirmed_index: 0,
             acted: 0,
             went_back,
             behind,
@@ -86,16 +86,16 @@
                 next.node.list_committed(next.applied);
                 let before = next.node.is_confirmed();
                 next.node.index_applied(next.applied);
-                next.early |= !before && next.node.is_confirmed() && next.applied < next.told;
+                next.early |= !before && next.node.is_confirmed() && next.applied < next.confirmed_index;
             }
             Step::Ask if next.asked.is_none() => next.asked = Some((next.now, next.committed)),
             Step::Answer => {
                 let (at, index) = next.asked?;
                 let before = next.node.is_confirmed();
-                next.told = next.told.max(index);
+                next.confirmed_index = next.confirmed_index.max(index);
                 next.node.read_index_received(at, index);
                 next.node.index_applied(next.applied);
-                next.early |= !before && next.node.is_confirmed() && next.applied < next.told;
+                next.early |= !before && next.node.is_confirmed() && next.applied < next.confirmed_index;
                 next.asked = None;
             }
             Step::Act(version) => {
@@ -109,7 +109,7 @@
             Step::Restart if next.now > 0 => {
                 // What its disk holds, it knows again.
                 next.node = Freshness::new(next.now, BOUND, next.applied);
-                (next.acted, next.asked, next.told) = (0, None, 0);
+                (next.acted, next.asked, next.confirmed_index) = (0, None, 0);
             }
             _ => return None,
         }
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn no_order_of_events_makes_a_node_act_on_what_is_old() {
+fn no_order_of_events_makes_a_node_use_a_stale_version() {
     let checker = Explored.checker().threads(2).spawn_bfs().join();
     println!(
         "{} states, {} unique, depth {}",
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_clock_that_jumps_back_makes_nothing_fresh_or_overdue() {
+fn a_clock_that_goes_back_makes_nothing_fresh_or_overdue() {
     let mut node = Freshness::new(1_000, 500, 7);
     assert!(!node.startup_complete(999) && !node.startup_complete(1_499) && node.startup_complete(1_500));
     assert_eq!((node.stale_for(0), node.stale_for(1_700)), (0, 700));
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn strangers_copies_and_members_that_were_removed_are_not_heard() {
+fn foreign_copied_and_removed_members_are_not_admitted() {
     let said = |cluster, caller, addr: &str| {
         let addr = addr.to_owned();
         admit(&Introduction { cluster, caller, addr }, 7, 1, &three())
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn nothing_is_removed_that_leaves_too_few_and_no_id_is_given_twice() {
+fn removals_keep_a_quorum_and_ids_are_not_reused() {
     let (members, near) = (three(), |id| id != 3);
     assert_eq!(check_remove(3, &members, near, false), Ok(()), "a dead one can go");
     let unsafe_ = Err(MembersError::QuorumUnreachable { voters: 2, reachable: 1, quorum: 2 });
@@ -203,7 +203,7 @@
     assert!(matches!(add(5, "127.0.0.1:2"), Err(MembersError::AddressInUse { member: 2, .. })));
 }
 
-// ---- what is kept ----
+// ---- the replicated state ----
 
 fn document(name: u8, size: usize, after: Option<u64>) -> Change {
     let (name, text) = (format!("d{name}"), "x".repeat(size));
@@ -232,7 +232,7 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn all_stays_within_its_bounds_goes_forward_and_is_done_once(all in proptest::collection::vec((0u64..3, changes()), 1..80)) {
+    fn random_changes_stay_within_limits_and_apply_once(all in proptest::collection::vec((0u64..3, changes()), 1..80)) {
         let (mut state, mut twin) = (State::default(), State::default());
         let mut sequences = [0u64; 3];
         for (index, (client, change)) in (1u64..).zip(all) {
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn what_is_too_much_is_refused_with_the_bound_and_changes_nothing() {
+fn changes_over_a_limit_are_rejected_and_change_nothing() {
     let mut state = State::default();
     let mut sequence = 0;
     let mut propose = |state: &mut State, change| {
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_return_is_forgotten_once_its_server_is_warm_and_a_ban_never() {
+fn returned_overrides_expire_and_bans_do_not() {
     let (mut state, mut sequence) = (State::default(), 0);
     let mut order = |state: &mut State, server: &str, out_of_service, since_ms| {
         sequence += 1;
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn all_that_may_be_kept_fits_into_one_message_and_a_snapshot() {
+fn a_full_state_fits_into_one_message_and_a_snapshot() {
     let (mut state, mut index) = (State::default(), 0);
     let id = |n: usize| format!("{n:0>width$}", width = MAX_SERVER_ID_BYTES);
     let mut made = |state: &mut State, change| {
--- a/crates/store/tests/sim/platter.rs
+++ b/crates/store/tests/sim/memory_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets what was not synced, tears what was being written, and fails when told.
+//! A disk in memory that loses what was not synced, tears what was being written, and fails on demand.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -34,19 +34,19 @@
 
 /// A disk that outlives the processes that use it.
 #[derive(Debug, Default, Clone)]
-pub(crate) struct Platter {
+pub(crate) struct MemoryDisk {
     image: Arc<Mutex<Image>>,
     /// Whether every write fails, as on a disk that is full.
     pub full: Arc<AtomicBool>,
 }
 
-impl Platter {
+impl MemoryDisk {
     fn image(&self) -> MutexGuard<'_, Image> {
         self.image.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What a power cut leaves: all that was synced, and of the rest any part, the last of it torn.
-    pub(crate) fn after_power_cut(&self) -> Platter {
+    pub(crate) fn after_power_cut(&self) -> MemoryDisk {
         let image = self.image();
         let mut left = image.synced.clone();
         for write in &image.unsynced {
@@ -62,7 +62,7 @@
         // A length that was set and lost comes with the bytes behind it.
         left.resize(left.len().max(image.synced.len()), 0);
         let image = Image { now: left.clone(), synced: left, unsynced: Vec::new() };
-        Platter { image: Arc::new(Mutex::new(image)), full: Arc::default() }
+        MemoryDisk { image: Arc::new(Mutex::new(image)), full: Arc::default() }
     }
 
     fn write(&self, write: Write) -> io::Result<()> {
@@ -76,7 +76,7 @@
     }
 }
 
-impl StorageBackend for Platter {
+impl StorageBackend for MemoryDisk {
     fn len(&self) -> io::Result<u64> {
         Ok(self.image().now.len() as u64)
     }
@@ -98,6 +98,6 @@
         Ok(())
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        Platter::write(self, Write::Bytes(offset as usize, data.to_vec()))
+        MemoryDisk::write(self, Write::Bytes(offset as usize, data.to_vec()))
     }
 }
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -1,16 +1,16 @@
-//! Whole clusters in virtual time, on disks and a network of our own: everything that goes wrong follows from a seed.
+//! Clusters in virtual time, on simulated disks and a simulated network: every fault follows from a seed.
 
 pub(crate) mod check;
+pub(crate) mod memory_disk;
 pub(crate) mod net;
-pub(crate) mod platter;
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use check::{Acted, Op};
-use net::{Net, Wire, addr};
-use platter::Platter;
+use check::{ListUse, Operation};
+use memory_disk::MemoryDisk;
+use net::{Network, SimulatedTransport, addr};
 use stonefold_store::applied::AppliedState;
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::freshness::Verdict;
@@ -20,52 +20,53 @@
 use stonefold_store::state::{AdminOverride, Change, Proposal, Reply};
 use tokio::time::{Instant, sleep};
 
-/// What is broken on purpose, to see that the checker finds it.
+/// What is broken on purpose, to test the checker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum Broken {
     #[default]
     Nothing,
-    /// Nothing is synced before it is answered for.
+    /// Writes are acknowledged before they are synced.
     Sync,
-    /// Reads don't ask a quorum.
+    /// Reads don't ask a quorum for the read index.
     Quorum,
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Report {
-    pub ops: Vec<Op>,
-    pub acted: Vec<Acted>,
+    pub operations: Vec<Operation>,
+    pub list_uses: Vec<ListUse>,
     pub answered: usize,
     pub kills: u64,
     pub verdict: Result<(), String>,
 }
 
 const CLUSTER: u128 = 0x5f01d;
-/// How long things go wrong, and how long they may take to be well again.
-const TROUBLE: Duration = Duration::from_secs(12);
-const WELL: Duration = Duration::from_secs(60);
+/// How long faults are injected.
+const FAULTS_DURATION: Duration = Duration::from_secs(12);
+/// How long the cluster may take to recover from them.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Default)]
 struct Records {
-    ops: Vec<Op>,
-    acted: Vec<Acted>,
+    operations: Vec<Operation>,
+    list_uses: Vec<ListUse>,
 }
 
 struct Cluster {
-    net: Net,
-    disks: BTreeMap<MemberId, Platter>,
-    lives: u64,
+    net: Network,
+    disks: BTreeMap<MemberId, MemoryDisk>,
+    incarnations: u64,
     kills: u64,
     broken: Broken,
     records: Arc<Mutex<Records>>,
-    /// The member in each place; one that was removed gives way to a new one.
-    places: Vec<MemberId>,
-    /// A disk that could not be used.
+    /// The member in each slot; one that was removed is replaced by a new one.
+    slots: Vec<MemberId>,
+    /// Why a disk could not be used.
     wrong: Option<String>,
 }
 
-/// Runs a cluster of so many members.
+/// Runs a cluster of this many members.
 pub(crate) fn run(seed: u64, members: u64, broken: Broken) -> Report {
     fastrand::seed(seed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
@@ -73,26 +74,26 @@
 }
 
 async fn play(members: u64, broken: Broken) -> Report {
-    let (net, records) = (Net::default(), Arc::<Mutex<Records>>::default());
+    let (net, records) = (Network::default(), Arc::<Mutex<Records>>::default());
     let mut cluster = Cluster {
         net: net.clone(),
         disks: BTreeMap::new(),
-        lives: 0,
+        incarnations: 0,
         kills: 0,
         broken,
         records,
-        places: (1..=members).collect(),
+        slots: (1..=members).collect(),
         wrong: None,
     };
     net.links().delay = 5;
     for member in 1..=members {
-        cluster.disks.insert(member, Platter::default());
+        cluster.disks.insert(member, MemoryDisk::default());
         cluster.start(member).await;
     }
     let first = net.replica(1).unwrap();
     first.bootstrap().await.unwrap();
     for member in 2..=members {
-        let added = |replica: Replica<Wire>| async move {
+        let added = |replica: Replica<SimulatedTransport>| async move {
             let add = Request::AddMember { member, addr: addr(member) };
             replica.answer(Caller::Client, add).await
         };
@@ -100,14 +101,14 @@
         assert!(format!("{answer:?}").contains("Ok"), "{answer:?}");
     }
     let clients: Vec<_> = (0..4)
-        .map(|client| tokio::spawn(work(client, net.clone(), cluster.records.clone(), broken)))
+        .map(|client| tokio::spawn(run_client(client, net.clone(), cluster.records.clone(), broken)))
         .collect();
-    let end = Instant::now() + TROUBLE;
+    let end = Instant::now() + FAULTS_DURATION;
     while Instant::now() < end {
         sleep(Duration::from_millis(fastrand::u64(100..900))).await;
-        cluster.trouble().await;
+        cluster.inject_fault().await;
     }
-    cluster.mend().await;
+    cluster.heal().await;
     for client in clients {
         client.await.unwrap();
     }
@@ -116,16 +117,22 @@
         None => cluster.settle().await,
     };
     let records = cluster.records.lock().unwrap();
-    let verdict = last.and_then(|last| check::check(&records.ops, &records.acted, &last));
-    let answered = records.ops.iter().filter(|op| op.ended.is_some()).count();
-    Report { ops: records.ops.clone(), acted: records.acted.clone(), answered, kills: cluster.kills, verdict }
+    let verdict = last.and_then(|last| check::check(&records.operations, &records.list_uses, &last));
+    let answered = records.operations.iter().filter(|op| op.ended.is_some()).count();
+    Report {
+        operations: records.operations.clone(),
+        list_uses: records.list_uses.clone(),
+        answered,
+        kills: cluster.kills,
+        verdict,
+    }
 }
 
 impl Cluster {
     async fn start(&mut self, member: MemberId) {
-        self.lives += 1;
-        let life = self.lives;
-        let wire = Wire { net: self.net.clone(), me: member, life };
+        self.incarnations += 1;
+        let incarnation = self.incarnations;
+        let wire = SimulatedTransport { net: self.net.clone(), me: member, incarnation };
         let disk = Disk::with_backend(self.disks[&member].clone(), Identity { cluster: CLUSTER, member });
         let full = self.disks[&member].full.load(std::sync::atomic::Ordering::Relaxed);
         let disk = match disk {
@@ -136,11 +143,11 @@
         let disk = if self.broken == Broken::Sync { disk.unsynced() } else { disk };
         let options = Options { snapshot_interval: 12, retained_entries: 3, ..Options::new(addr(member)) };
         let Ok(replica) = Replica::start(disk, options, wire).await else { return };
-        self.net.links().running.insert(member, (life, replica.clone()));
-        tokio::spawn(act(member, life, replica, self.net.clone(), self.records.clone()));
+        self.net.links().running.insert(member, (incarnation, replica.clone()));
+        tokio::spawn(use_lists(member, incarnation, replica, self.net.clone(), self.records.clone()));
     }
 
-    /// Ends a member as a power cut does: what it says from now on is not heard.
+    /// Ends a member as a power cut does: nothing that it sends from now on arrives.
     async fn kill(&mut self, member: MemberId) {
         let Some((_, replica)) = self.net.links().running.remove(&member) else { return };
         let left = self.disks[&member].after_power_cut();
@@ -149,34 +156,34 @@
         replica.stop().await;
     }
 
-    async fn trouble(&mut self) {
-        let member = self.places[fastrand::usize(..self.places.len())];
+    async fn inject_fault(&mut self) {
+        let member = self.slots[fastrand::usize(..self.slots.len())];
         let running = self.net.links().running.contains_key(&member);
         match fastrand::u8(..12) {
             0 | 1 if running => self.kill(member).await,
             2 => {
-                for member in self.places.clone() {
+                for member in self.slots.clone() {
                     self.kill(member).await; // all at once
                 }
             }
             0..=4 if !running => self.start(member).await,
             5 | 6 => {
-                let (near, far): (Vec<_>, Vec<_>) = self.places.iter().partition(|_| fastrand::bool());
+                let (near, far): (Vec<_>, Vec<_>) = self.slots.iter().partition(|_| fastrand::bool());
                 let pair = |(a, b): (MemberId, MemberId)| (a.min(b), a.max(b));
                 let pairs = near.iter().flat_map(|&&a| far.iter().map(move |&&b| (a, b)));
-                let parted = pairs.map(pair).collect();
-                self.net.links().parted = parted;
+                let partitioned = pairs.map(pair).collect();
+                self.net.links().partitioned = partitioned;
             }
-            7 | 8 => self.net.links().parted.clear(),
+            7 | 8 => self.net.links().partitioned.clear(),
             9 => {
                 let mut links = self.net.links();
                 (links.loss, links.delay) = (fastrand::u32(..30), fastrand::u64(1..80));
             }
             10 => self.disks[&member].full.store(fastrand::bool(), std::sync::atomic::Ordering::Relaxed),
             _ => {
-                // One leaves for good, or another comes, while others change.
+                // A member is removed for good, or a new one added, while others change.
                 self.replace_removed().await;
-                let Some(by) = self.net.replica(self.places[fastrand::usize(..self.places.len())]) else {
+                let Some(by) = self.net.replica(self.slots[fastrand::usize(..self.slots.len())]) else {
                     return;
                 };
                 let change = if fastrand::bool() {
@@ -189,14 +196,14 @@
         }
     }
 
-    /// All is well again, and every member is one.
-    async fn mend(&mut self) {
+    /// Ends all faults, and starts every member.
+    async fn heal(&mut self) {
         {
             let mut links = self.net.links();
-            links.parted.clear();
+            links.partitioned.clear();
             (links.loss, links.delay) = (0, 5);
         }
-        for member in self.places.clone() {
+        for member in self.slots.clone() {
             let full = self.disks[&member].full.swap(false, std::sync::atomic::Ordering::Relaxed);
             let stopped = self.net.replica(member).is_some_and(|replica| replica.status().stopped.is_some());
             if full || stopped {
@@ -208,35 +215,35 @@
         }
     }
 
-    /// A new member, with an empty disk and a new id, takes the place of each that was removed.
+    /// A new member, with an empty disk and a new id, takes the slot of each that was removed.
     async fn replace_removed(&mut self) {
-        let known: Vec<_> = self.places.iter().filter_map(|&member| self.net.replica(member)).collect();
-        for place in 0..self.places.len() {
-            let member = self.places[place];
+        let known: Vec<_> = self.slots.iter().filter_map(|&member| self.net.replica(member)).collect();
+        for slot in 0..self.slots.len() {
+            let member = self.slots[slot];
             if known.iter().any(|replica| replica.shared().read().state.removed().contains(&member)) {
                 self.kill(member).await;
                 let new = self.disks.keys().last().unwrap() + 1;
-                self.disks.insert(new, Platter::default());
-                self.places[place] = new;
+                self.disks.insert(new, MemoryDisk::default());
+                self.slots[slot] = new;
                 self.start(new).await;
             }
         }
     }
 
-    fn replicas(&self) -> Vec<Replica<Wire>> {
-        self.places.iter().filter_map(|&member| self.net.replica(member)).collect()
+    fn replicas(&self) -> Vec<Replica<SimulatedTransport>> {
+        self.slots.iter().filter_map(|&member| self.net.replica(member)).collect()
     }
 
-    /// Waits until every place has a member that votes and all have applied the same; what each has then.
+    /// Waits until every slot has a voter and all have applied the same entries; what each of them has applied.
     async fn settle(&mut self) -> Result<Vec<AppliedState>, String> {
-        let (end, mut sequence) = (Instant::now() + WELL, 0);
+        let (end, mut sequence) = (Instant::now() + RECOVERY_TIMEOUT, 0);
         while Instant::now() < end {
             self.replace_removed().await;
             let replicas = self.replicas();
             let votes = |member: MemberId| {
                 replicas.iter().all(|r| r.members().get(&member).is_some_and(|m| m.is_voter))
             };
-            for &member in self.places.iter().filter(|&&member| !votes(member)) {
+            for &member in self.slots.iter().filter(|&&member| !votes(member)) {
                 for replica in &replicas {
                     let add = Request::AddMember { member, addr: addr(member) };
                     replica.answer(Caller::Client, add).await;
@@ -251,27 +258,33 @@
                 sleep(Duration::from_secs(2)).await;
                 let last: Vec<_> = replicas.iter().map(|replica| replica.shared().read().clone()).collect();
                 if last.iter().all(|applied| applied.last == last[0].last)
-                    && self.places.iter().all(|&m| votes(m))
+                    && self.slots.iter().all(|&m| votes(m))
                 {
                     return Ok(last);
                 }
             }
         }
-        let told =
+        let statuses =
             self.replicas().iter().map(|replica| format!("{:?}", replica.status())).collect::<Vec<_>>();
-        Err(format!("not well after {WELL:?}: {}", told.join("; ")))
+        Err(format!("not recovered after {RECOVERY_TIMEOUT:?}: {}", statuses.join("; ")))
     }
 }
 
-/// A node: it acts on each list that it may act on.
-async fn act(member: MemberId, life: u64, replica: Replica<Wire>, net: Net, records: Arc<Mutex<Records>>) {
+/// A node: it uses each list that it may use.
+async fn use_lists(
+    member: MemberId,
+    incarnation: u64,
+    replica: Replica<SimulatedTransport>,
+    net: Network,
+    records: Arc<Mutex<Records>>,
+) {
     let _ = replica.confirm(Instant::now() + Duration::from_secs(2)).await;
     let mut applied = replica.applied();
     loop {
         let list = replica.shared().read().state.list().map_or(0, |list| list.version);
         let verdict = replica.freshness(|freshness, _| freshness.use_list(list));
-        if verdict == Verdict::Newer && net.lives(member, life) {
-            records.lock().unwrap().acted.push(Acted { member, life, list });
+        if verdict == Verdict::Newer && net.is_running(member, incarnation) {
+            records.lock().unwrap().list_uses.push(ListUse { member, incarnation, list });
         }
         if applied.changed().await.is_err() {
             return;
@@ -279,18 +292,19 @@
     }
 }
 
-/// A client: writes and reads at random members, one thing after the other.
-async fn work(client: u64, net: Net, records: Arc<Mutex<Records>>, broken: Broken) {
+/// A client: it writes and reads at random members, one operation after the other.
+async fn run_client(client: u64, net: Network, records: Arc<Mutex<Records>>, broken: Broken) {
     let start = Instant::now();
     let mut sequence = 0;
-    let end = start + TROUBLE;
+    let end = start + FAULTS_DURATION;
     while Instant::now() < end {
         sleep(Duration::from_millis(fastrand::u64(20..300))).await;
-        let running =
-            fastrand::choice(net.links().running.iter().map(|(&id, (life, r))| (id, *life, r.clone())));
-        let Some((member, life, replica)) = running else { continue };
-        // What a member says after its end reaches nobody.
-        let lives = || net.lives(member, life);
+        let running = fastrand::choice(
+            net.links().running.iter().map(|(&id, (incarnation, r))| (id, *incarnation, r.clone())),
+        );
+        let Some((member, incarnation, replica)) = running else { continue };
+        // A response that a member sends after its end doesn't arrive.
+        let is_running = || net.is_running(member, incarnation);
         let name = format!("d{}", fastrand::u8(..6));
         let until = Instant::now() + Duration::from_secs(2);
         let begun = Instant::now().duration_since(start).as_nanos();
@@ -299,13 +313,19 @@
             let latest = applied.state.document(&name);
             latest.map_or((0, String::new()), |latest| (latest.revision, latest.text.clone()))
         };
-        let mut op =
-            Op { name: name.clone(), begun, ended: None, text: String::new(), write: false, after: None };
+        let mut op = Operation {
+            name: name.clone(),
+            begun,
+            ended: None,
+            text: String::new(),
+            write: false,
+            after: None,
+        };
         if fastrand::bool() {
             if broken != Broken::Quorum && replica.confirm(until).await.is_err() {
                 continue;
             }
-            if !lives() {
+            if !is_running() {
                 continue;
             }
             let (revision, text) = latest();
@@ -331,13 +351,13 @@
             let list = matches!(change, Change::List { .. });
             match replica.propose(Proposal { client, sequence, change }, until).await {
                 _ if list => continue,
-                Ok(Reply::Applied(revision)) if lives() => {
+                Ok(Reply::Applied(revision)) if is_running() => {
                     op.ended = Some((Instant::now().duration_since(start).as_nanos(), revision));
                 }
                 Ok(Reply::Rejected(_)) => continue, // at every replica alike
                 Ok(_) | Err(_) => {}
             }
         }
-        records.lock().unwrap().ops.push(op);
+        records.lock().unwrap().operations.push(op);
     }
 }
--- a/crates/store/tests/sim/net.rs
+++ b/crates/store/tests/sim/net.rs
@@ -1,4 +1,4 @@
-//! A network in virtual time that loses, delays, reorders and parts.
+//! A network in virtual time that loses, delays and reorders messages, and is partitioned.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,29 +14,29 @@
 
 #[derive(Default)]
 pub(crate) struct Links {
-    /// Who runs, and which of its lives that is.
-    pub running: BTreeMap<MemberId, (u64, Replica<Wire>)>,
-    /// Pairs that hear nothing of each other.
-    pub parted: BTreeSet<(MemberId, MemberId)>,
-    /// Messages lost, of a hundred.
+    /// The running members, with their incarnation.
+    pub running: BTreeMap<MemberId, (u64, Replica<SimulatedTransport>)>,
+    /// Pairs of members between which no messages pass.
+    pub partitioned: BTreeSet<(MemberId, MemberId)>,
+    /// Messages lost, in percent.
     pub loss: u32,
-    /// The longest way of a message, in ms.
+    /// The longest delay of a message, in ms.
     pub delay: u64,
 }
 
 /// The network; its clones are the same one.
 #[derive(Clone, Default)]
-pub(crate) struct Net(Arc<Mutex<Links>>);
+pub(crate) struct Network(Arc<Mutex<Links>>);
 
-impl Net {
+impl Network {
     pub(crate) fn links(&self) -> MutexGuard<'_, Links> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    /// Whether a member's life goes on.
-    pub(crate) fn lives(&self, member: MemberId, life: u64) -> bool {
-        self.links().running.get(&member).is_some_and(|(now, _)| *now == life)
+    /// Whether this incarnation of a member is running.
+    pub(crate) fn is_running(&self, member: MemberId, incarnation: u64) -> bool {
+        self.links().running.get(&member).is_some_and(|(now, _)| *now == incarnation)
     }
-    pub(crate) fn replica(&self, member: MemberId) -> Option<Replica<Wire>> {
+    pub(crate) fn replica(&self, member: MemberId) -> Option<Replica<SimulatedTransport>> {
         self.links().running.get(&member).map(|(_, replica)| replica.clone())
     }
 }
@@ -45,29 +45,29 @@
     format!("sim:{member}")
 }
 
-/// One life of a member on the network.
+/// One incarnation of a member on the network.
 #[derive(Clone)]
-pub(crate) struct Wire {
-    pub net: Net,
+pub(crate) struct SimulatedTransport {
+    pub net: Network,
     pub me: MemberId,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
-impl Wire {
-    /// Whether a message gets through now, after its way.
+impl SimulatedTransport {
+    /// Delays a message; whether it arrives.
     async fn passes(&self, to: MemberId) -> bool {
-        let way = {
+        let delay = {
             let links = self.net.links();
             let pair = (self.me.min(to), self.me.max(to));
-            let lost = fastrand::u32(..100) < links.loss || links.parted.contains(&pair);
+            let lost = fastrand::u32(..100) < links.loss || links.partitioned.contains(&pair);
             (!lost).then(|| Duration::from_micros(fastrand::u64(100..=links.delay.max(1) * 1_000)))
         };
-        match way {
-            Some(way) => sleep(way).await,
+        match delay {
+            Some(delay) => sleep(delay).await,
             None => return false,
         }
-        // What a member says after its end is never heard, nor what it would have heard.
-        self.net.links().running.get(&self.me).is_none_or(|(life, _)| *life == self.life)
+        // A member that has ended neither sends nor receives any more.
+        self.net.links().running.get(&self.me).is_none_or(|(incarnation, _)| *incarnation == self.incarnation)
     }
 
     async fn exchange(&self, member: MemberId, request: Request) -> Result<Response, RequestError> {
@@ -75,24 +75,24 @@
         if !self.passes(member).await {
             return std::future::pending().await;
         }
-        let (life, replica) = self.net.links().running.get(&member).cloned().ok_or_else(nobody)?;
+        let (incarnation, replica) = self.net.links().running.get(&member).cloned().ok_or_else(nobody)?;
         let (caller, identity) = (Caller::Member(self.me), replica.identity());
         let introduction = Introduction { cluster: identity.cluster, caller, addr: addr(self.me) };
         admit(&introduction, identity.cluster, identity.member, &replica.members())
             .map_err(|error| RequestError::Rejected(error.to_string()))?;
-        // Through bytes, as between processes; what is asked is carried out though nobody waits for it.
+        // Encoded, as between processes. The request is carried out even if nobody waits for the response.
         let request: Request = decode("a question", &encode("a question", &request).unwrap()).unwrap();
         let answer = tokio::spawn(async move { replica.answer(caller, request).await });
         let answer = answer.await.map_err(|_| nobody())?;
-        // What it did after its end is on no disk, and nobody hears of it.
-        if !self.net.lives(member, life) || !self.passes(member).await {
+        // What it has done after its end is on no disk, and no response arrives.
+        if !self.net.is_running(member, incarnation) || !self.passes(member).await {
             return std::future::pending().await;
         }
         Ok(decode("an answer", &encode("an answer", &answer).unwrap()).unwrap())
     }
 }
 
-impl Transport for Wire {
+impl Transport for SimulatedTransport {
     fn request(
         &self,
         member: MemberId,
--- a/crates/store/tests/storage.rs
+++ b/crates/store/tests/storage.rs
@@ -1,13 +1,13 @@
-//! The disk: the engine's own test suite, other versions, damage, and two at one file.
+//! The disk: the engine's own test suite, other versions, damage, and two processes at one file.
 
-#[path = "sim/platter.rs"]
-mod platter;
+#[path = "sim/memory_disk.rs"]
+mod memory_disk;
 
+use memory_disk::MemoryDisk;
 use openraft::entry::FromAppData;
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt, RaftStateMachine};
 use openraft::testing::{StoreBuilder, Suite};
 use openraft::{CommittedLeaderId, RaftSnapshotBuilder, Vote};
-use platter::Platter;
 use stonefold_store::applied::AppliedState;
 use stonefold_store::codec::{CodecError, decode, encode, seal, unseal};
 use stonefold_store::disk::{Disk, DiskError, Identity};
@@ -23,13 +23,13 @@
 
 impl StoreBuilder<TypeConfig, Disk, StateMachine, ()> for Fresh {
     async fn build(&self) -> Result<((), Disk, StateMachine), StorageError> {
-        let disk = Disk::with_backend(Platter::default(), MINE).unwrap();
+        let disk = Disk::with_backend(MemoryDisk::default(), MINE).unwrap();
         Ok(((), disk.clone(), StateMachine::new(disk, watch::channel(0).0).unwrap()))
     }
 }
 
 #[test]
-fn it_does_what_the_engine_expects_of_a_disk() {
+fn the_disk_passes_the_engines_storage_suite() {
     Suite::test_all(Fresh).unwrap();
 }
 
@@ -42,17 +42,17 @@
 }
 
 #[tokio::test]
-async fn whatever_a_power_cut_tears_what_was_answered_for_is_there() {
+async fn acknowledged_writes_survive_a_power_cut() {
     for seed in 0..60 {
         fastrand::seed(seed);
-        let platter = Platter::default();
-        let mut disk = Disk::with_backend(platter.clone(), MINE).unwrap();
+        let memory_disk = MemoryDisk::default();
+        let mut disk = Disk::with_backend(memory_disk.clone(), MINE).unwrap();
         disk.save_vote(&Vote::new(3, 2)).await.unwrap();
         disk.blocking_append((1..=5).map(entry)).await.unwrap();
         disk.save_committed(Some(entry(5).log_id)).await.unwrap();
         // Not synced yet when the power goes, in whatever part it has come to the disk.
         disk.clone().unsynced().save_vote(&Vote::new(3, 2)).await.unwrap();
-        let mut again = Disk::with_backend(platter.after_power_cut(), MINE).unwrap();
+        let mut again = Disk::with_backend(memory_disk.after_power_cut(), MINE).unwrap();
         assert_eq!(again.entries(..).unwrap(), (1..=5).map(entry).collect::<Vec<_>>(), "seed {seed}");
         assert_eq!(again.read_vote().await.unwrap(), Some(Vote::new(3, 2)));
         assert_eq!(again.read_committed().await.unwrap(), Some(entry(5).log_id));
@@ -61,7 +61,7 @@
 
 #[tokio::test]
 async fn a_leader_that_restarts_has_to_be_elected_anew() {
-    let mut disk = Disk::with_backend(Platter::default(), MINE).unwrap();
+    let mut disk = Disk::with_backend(MemoryDisk::default(), MINE).unwrap();
     for (leader, leads_on) in [(1, false), (2, true)] {
         disk.save_vote(&Vote::new_committed(5, leader)).await.unwrap();
         assert_eq!(disk.read_vote().await.unwrap().unwrap().committed, leads_on);
@@ -69,19 +69,19 @@
 }
 
 #[tokio::test]
-async fn a_full_disk_fails_changes_with_its_reason_and_keeps_what_it_has() {
-    let platter = Platter::default();
-    let mut disk = Disk::with_backend(platter.clone(), MINE).unwrap();
+async fn a_full_disk_fails_writes_and_keeps_its_entries() {
+    let memory_disk = MemoryDisk::default();
+    let mut disk = Disk::with_backend(memory_disk.clone(), MINE).unwrap();
     disk.blocking_append([entry(1)]).await.unwrap();
-    platter.full.store(true, std::sync::atomic::Ordering::Relaxed);
+    memory_disk.full.store(true, std::sync::atomic::Ordering::Relaxed);
     let error = disk.blocking_append([entry(2)]).await.unwrap_err();
     assert!(error.to_string().contains("storage"), "{error}");
-    let again = Disk::with_backend(platter.after_power_cut(), MINE).unwrap();
+    let again = Disk::with_backend(memory_disk.after_power_cut(), MINE).unwrap();
     assert_eq!(again.entries(..).unwrap(), [entry(1)]);
 }
 
 #[test]
-fn another_version_damage_and_what_is_too_much_are_told_and_never_guessed() {
+fn other_versions_damage_and_trailing_bytes_are_decode_errors() {
     let bytes = encode("a log entry", &entry(3)).unwrap();
     assert_eq!(decode::<Entry>("a log entry", &bytes).unwrap(), entry(3));
     let mut newer = bytes.clone();
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn a_snapshot_is_taken_whole_or_not_at_all() {
+async fn a_damaged_snapshot_is_not_installed() {
     let (mut all, mut new) = ([Fresh.build().await.unwrap().2], Fresh.build().await.unwrap().2);
     all[0].apply((1..=4).map(entry)).await.unwrap();
     let snapshot = all[0].get_snapshot_builder().await.build_snapshot().await.unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_folder_has_one_store_for_one_process_and_says_whose_it_is() {
+fn a_folder_holds_one_store_that_one_process_opens() {
     let dir = tempfile::tempdir().unwrap();
     assert!(matches!(Disk::open(dir.path()), Err(DiskError::Missing(_))));
     let disk = Disk::create(dir.path(), MINE).unwrap();
--- a/crates/store/tests/wire.rs
+++ b/crates/store/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The way between replicas against those who should not be heard: no key, another key, what was said before, what is
-//! cut, changed, endless or silent.
+//! Connections between replicas against callers that must be rejected: without the key, with another one, or with
+//! replayed, cut, altered, endless or no messages.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn both_sides_prove_the_key_and_two_are_believed_while_it_is_changed() {
+fn both_sides_prove_a_key_and_two_are_accepted_during_rotation() {
     let (old, both) = (keys(1), Keys::new(key(2), Some(key(1))));
     for (asking, welcoming) in [(&old, &both), (&both, &both), (&old, &old)] {
         let (mine, theirs) = shaken(asking, welcoming).unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_was_said_before_proves_nothing() {
+fn replayed_handshakes_are_rejected() {
     // All that one side said on another connection, said again: the other side's nonce is another one now.
     let (asks, hello) = ClientHandshake::new(&keys(1), [1; 32]);
     let (_, welcome) = ServerHandshake::new(&keys(1), &hello, [2; 32]).unwrap();
@@ -73,7 +73,7 @@
     #![proptest_config(ProptestConfig::with_cases(128))]
 
     #[test]
-    fn a_message_is_read_as_it_was_sent_or_not_at_all(body in proptest::collection::vec(any::<u8>(), 0..200), place in any::<prop::sample::Index>()) {
+    fn altered_replayed_or_reordered_messages_are_rejected(body in proptest::collection::vec(any::<u8>(), 0..200), place in any::<prop::sample::Index>()) {
         let (mut sealer, mut opener) = (Sealer::new(key(1), true), Opener::new(key(1), true));
         let frame = sealer.seal(&body).unwrap();
         let head = frame[..4].try_into().unwrap();
@@ -91,7 +91,7 @@
     }
 
     #[test]
-    fn bytes_that_nobody_wrote_are_refused_and_nothing_panics(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let framed = [&[1u8], &bytes[..]].concat();
         let _ = stonefold_store::codec::decode::<Request>("a question", &framed);
         let _ = stonefold_store::codec::decode::<Response>("an answer", &framed);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn an_address_whose_callers_prove_nothing_is_not_heard_for_a_while_and_others_are() {
+fn failing_addresses_are_banned_and_connections_are_limited() {
     let (mut limiter, bad, good) =
         (ConnectionLimiter::default(), IpAddr::from([127, 0, 0, 2]), IpAddr::from([127, 0, 0, 1]));
     for _ in 0..10 {
@@ -134,10 +134,10 @@
             && limiter.admit(good, 10_000)
             && !limiter.admit_subscriber()
     );
-    // Refusals are told for each new reason, and ever more rarely for the same.
-    let told: Vec<u64> =
+    // Rejections are logged for each new reason, and ever more rarely for the same one.
+    let logged: Vec<u64> =
         (0..100).filter_map(|n| limiter.on_rejected(if n == 20 { "b" } else { "a" })).collect();
-    assert_eq!(told, [1, 2, 4, 8, 16, 21, 22, 32, 64]);
+    assert_eq!(logged, [1, 2, 4, 8, 16, 21, 22, 32, 64]);
 }
 
 struct Served {
@@ -176,7 +176,7 @@
 }
 
 #[tokio::test]
-async fn a_proposal_sent_again_after_a_lost_answer_is_made_once() {
+async fn a_retried_proposal_is_applied_once() {
     let served = served().await;
     let client = Tcp::client(keys(1), 9);
     let mut answers = Vec::new();
@@ -191,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn long_lists_reach_a_new_member_in_as_many_messages_as_they_need() {
+async fn large_entries_reach_a_new_member_in_several_messages() {
     let (served, late) = (served().await, listening(2).await);
     for version in 1..=8 {
         let text = "x".repeat(stonefold_store::state::limits::MAX_LIST_BYTES);
@@ -212,7 +212,7 @@
 }
 
 #[tokio::test]
-async fn strangers_get_nothing_and_members_alone_speak_of_elections() {
+async fn foreign_callers_are_rejected_and_only_members_may_vote() {
     let served = served().await;
     let ask = |tcp: Tcp, request| {
         let addr = served.addr.clone();
@@ -225,7 +225,7 @@
         (Tcp::member(keys(1), 9, 1, served.addr.clone()), "its disk a copy"),
     ] {
         match ask(tcp, Request::Status).await {
-            Err(RequestError::Unreachable(told)) => assert!(told.contains(why), "{told}"),
+            Err(RequestError::Unreachable(error)) => assert!(error.contains(why), "{error}"),
             other => panic!("{other:?}"),
         }
     }
@@ -243,7 +243,7 @@
         other => panic!("{other:?}"),
     }
     assert_eq!(served.replica.status().term, 1, "no election came of it");
-    // With a second key known, both are heard; once the first is gone its holder is not.
+    // While two keys are known both are accepted; once the first is removed its holder is rejected.
     served.tcp.set_keys(Keys::new(key(2), Some(key(1))));
     assert!(ask(Tcp::client(keys(2), 9), Request::Status).await.is_ok());
     assert!(ask(Tcp::client(keys(1), 9), Request::Status).await.is_ok());
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test]
-async fn noise_floods_and_silence_hold_nothing_up() {
+async fn noise_and_silent_connections_block_nobody() {
     let served = served().await;
     let mut silent = Vec::new();
     for _ in 0..20 {
@@ -273,19 +273,19 @@
 }
 
 #[test]
-fn a_key_file_is_its_owners_alone_and_says_what_is_wrong_with_it() {
+fn invalid_key_files_are_rejected_with_a_reason() {
     use std::os::unix::fs::PermissionsExt;
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("key");
     Keys::generate(&path).unwrap();
     assert!(Keys::read(&path).is_ok() && Keys::generate(&path).is_err());
     let write = |text: &str| std::fs::write(&path, text).unwrap();
-    let told = || Keys::read(&path).unwrap_err().to_string();
+    let error = || Keys::read(&path).unwrap_err().to_string();
     write("# nothing\n");
-    assert!(told().contains("0 keys"), "{}", told());
+    assert!(error().contains("0 keys"), "{}", error());
     write(&format!("{}\n{}\n", "ab".repeat(32), "xy".repeat(32)));
-    assert!(told().contains(":2: no key"), "{}", told());
+    assert!(error().contains(":2: no key"), "{}", error());
     write(&"ab".repeat(32));
     std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o644)).unwrap();
-    assert!(told().contains("644"), "{}", told());
+    assert!(error().contains("644"), "{}", error());
 }
