--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -77,18 +77,10 @@
     Ok(((clients * each) as f64 / start.elapsed().as_secs_f64(), all))
 }
 
-async fn play(folder: &Path, number: u64) -> Result<(), Failure> {
-    let mut members = Vec::new();
-    for member in 1..=number {
-        members.push(start(folder, member).await?);
-    }
-    members[0].replica.bootstrap().await?;
-    members[0].replica.confirm(Instant::now() + TIMEOUT).await?;
-    for member in 2..=number {
-        add(&members[0].replica, member, &members[member as usize - 1].addr).await?;
-    }
+/// Changes by one client, and by several.
+async fn measure_commits(replica: &Replica<Tcp>, number: u64) -> Result<(), Failure> {
     for clients in [1, 16] {
-        let (rate, took) = commits(&members[0].replica, clients, 1_000 / clients).await?;
+        let (rate, took) = commits(replica, clients, 1_000 / clients).await?;
         let ms = |quantile: f64| took.value_at_quantile(quantile) as f64 / 1e3;
         println!(
             "{number} members, {clients} clients: {rate:.0} changes/s, p50 {:.2} ms, p99 {:.2} ms",
@@ -96,46 +88,74 @@
             ms(0.99)
         );
     }
+    Ok(())
+}
+
+/// The processor time of idle members.
+async fn measure_idle(number: u64) -> Result<(), Failure> {
     let (before, start_idle) = (cpu_seconds()?, Instant::now());
     sleep(Duration::from_secs(5)).await;
     let idle = (cpu_seconds()? - before) / start_idle.elapsed().as_secs_f64() / number as f64;
     println!("{number} members: idle, each takes {:.2}% of a core", idle * 100.0);
+    Ok(())
+}
 
-    // Many more entries, then a new member: it catches up by a snapshot and the rest of the log.
+/// Many more entries, then a new member: it catches up by a snapshot and the rest of the log.
+async fn measure_catch_up(folder: &Path, first: &Member, number: u64) -> Result<Member, Failure> {
     let begun = Instant::now();
     for chunk in 0..100u64 {
-        let some = (0..100).map(|n| change(&members[0].replica, (1 << 50) + chunk * 100 + n, 200));
-        for done in futures_util::future::join_all(some.collect::<Vec<_>>()).await {
+        let changes = (0..100).map(|n| change(&first.replica, (1 << 50) + chunk * 100 + n, 200));
+        for done in futures_util::future::join_all(changes.collect::<Vec<_>>()).await {
             done?;
         }
     }
     println!("{number} members: 10,000 changes in {:.1} s", begun.elapsed().as_secs_f64());
-    let size = std::fs::metadata(members[0].dir.join("store.redb"))?.len();
-    let entries = members[0].replica.status();
+    let size = std::fs::metadata(first.dir.join("store.redb"))?.len();
+    let status = first.replica.status();
     println!(
         "{number} members: {} KiB on disk at entry {}, snapshot up to {}",
         size >> 10,
-        entries.last_index,
-        entries.snapshot_index
+        status.last_index,
+        status.snapshot_index
     );
     let late = start(folder, number + 1).await?;
     let begun = Instant::now();
-    add(&members[0].replica, number + 1, &late.addr).await?;
+    add(&first.replica, number + 1, &late.addr).await?;
     println!(
         "{number} members: one more has caught up and votes after {:.0} ms",
         begun.elapsed().as_secs_f64() * 1e3
     );
+    Ok(late)
+}
 
-    // The leader falls silent.
-    let leader = members.remove(0);
+/// The first change after the leader has stopped.
+async fn measure_failover(leader: Member, next: &Replica<Tcp>, number: u64) -> Result<(), Failure> {
     leader.stop.cancel();
     leader.replica.stop().await;
     let begun = Instant::now();
-    change(&members[0].replica, 1 << 60, 200).await?;
+    change(next, 1 << 60, 200).await?;
     println!(
         "{number} members: the first change after the leader's end took {:.0} ms",
         begun.elapsed().as_secs_f64() * 1e3
     );
+    Ok(())
+}
+
+async fn play(folder: &Path, number: u64) -> Result<(), Failure> {
+    let mut members = Vec::new();
+    for member in 1..=number {
+        members.push(start(folder, member).await?);
+    }
+    members[0].replica.bootstrap().await?;
+    members[0].replica.confirm(Instant::now() + TIMEOUT).await?;
+    for member in 2..=number {
+        add(&members[0].replica, member, &members[member as usize - 1].addr).await?;
+    }
+    measure_commits(&members[0].replica, number).await?;
+    measure_idle(number).await?;
+    let late = measure_catch_up(folder, &members[0], number).await?;
+    let leader = members.remove(0);
+    measure_failover(leader, &members[0].replica, number).await?;
     for member in members.iter().chain([&late]) {
         member.stop.cancel();
         member.replica.stop().await;
--- a/crates/store/tests/feed/subscriber.rs
+++ b/crates/store/tests/feed/subscriber.rs
@@ -47,45 +47,40 @@
     encode_frame(&PublisherFrame::Update(Box::new(update))).unwrap()
 }
 
-#[test]
-fn invalid_frames_are_rejected_counted_and_not_applied() {
-    let good = record(8, &document("b", "2"));
-    let with =
-        |update: Update| encoded(Update { records: [vec![good.clone()], update.records].concat(), ..update });
-    let long = "x".repeat(300 << 10);
-    let part =
-        |offset, total, bytes: &[u8]| Some(ItemPart { revision: 9, offset, total, bytes: bytes.to_vec() });
-    let delta = |from| Item::ListDelta { from, version: 4, delta: diff("{}", "{}{}") };
+/// A frame that the subscriber rejects.
+struct InvalidFrame {
+    name: &'static str,
+    frame: Vec<u8>,
+    /// A part of the error.
+    error: &'static str,
+}
+
+fn case(name: &'static str, frame: Vec<u8>, error: &'static str) -> InvalidFrame {
+    InvalidFrame { name, frame, error }
+}
+
+/// An update after a valid record, which must not be applied either.
+fn with(update: Update) -> Vec<u8> {
+    let valid = record(8, &document("b", "2"));
+    encoded(Update { records: [vec![valid], update.records].concat(), ..update })
+}
+
+fn invalid_encodings() -> Vec<InvalidFrame> {
     let mut old = with(next(6, 9));
     old[0] = 9;
-    for (what, frame, why) in [
-        ("another version", old, "version 9; this program reads 1"),
-        ("no frame", vec![1, 200, 3], "damaged"),
-        ("too large", vec![1; MAX_FRAME_BYTES + 1], "at most 32768"),
-        ("a gap", with(next(7, 9)), "revision 7 is out of order: 6 is held"),
-        ("a step back", with(next(5, 9)), "revision 5 is out of order: 6 is held"),
-        ("back to before", with(Update { through: 4, ..next(6, 9) }), "out of order"),
-        (
-            "a record held before",
-            with(Update { records: vec![record(6, &document("a", "0"))], ..next(6, 9) }),
-            "record 6 is out of order: 8 is held",
-        ),
-        (
-            "an older list",
-            with(Update { records: vec![record(9, &list(2, "{}"))], ..next(6, 9) }),
-            "list 2 is out of order: 3 is held",
-        ),
-        (
-            "a record of the future",
-            with(Update { records: vec![record(99, &document("a", "0"))], ..next(6, 9) }),
-            "record 99 is from the future: the publisher holds 9",
-        ),
-        (
+    vec![
+        case("another version", old, "version 9; this program reads 1"),
+        case("no frame", vec![1, 200, 3], "damaged"),
+        case("too large", vec![1; MAX_FRAME_BYTES + 1], "at most 32768"),
+        case("a gap", with(next(7, 9)), "revision 7 is out of order: 6 is held"),
+        case("a step back", with(next(5, 9)), "revision 5 is out of order: 6 is held"),
+        case("back to before", with(Update { through: 4, ..next(6, 9) }), "out of order"),
+        case(
             "a revision of the future",
             with(Update { through: 99, ..next(6, 9) }),
             "revision 99 is from the future",
         ),
-        (
+        case(
             "a time of the future",
             with(Update {
                 publisher: PublisherStatus { echoed_time: 77, ..next(6, 9).publisher },
@@ -93,72 +88,116 @@
             }),
             "time 77 is from the future",
         ),
-        (
-            "a purge left out",
-            with(Update { purges_after: 3, purges: vec!["m".into()], ..next(6, 9) }),
-            "purge 3 is out of order: 2 is held",
+    ]
+}
+
+fn invalid_records() -> Vec<InvalidFrame> {
+    let long = "x".repeat(300 << 10);
+    let delta = |from| Item::ListDelta { from, version: 4, delta: diff("{}", "{}{}") };
+    vec![
+        case(
+            "a record held before",
+            with(Update { records: vec![record(6, &document("a", "0"))], ..next(6, 9) }),
+            "record 6 is out of order: 8 is held",
         ),
-        ("a purge again", with(Update { purges_after: 1, ..next(6, 9) }), "purge 1 is out of order"),
-        (
-            "a purge of the future",
-            with(Update { purges: vec!["m".into()], ..next(6, 9) }),
-            "purge 3 is from the future",
+        case(
+            "an older list",
+            with(Update { records: vec![record(9, &list(2, "{}"))], ..next(6, 9) }),
+            "list 2 is out of order: 3 is held",
         ),
-        (
-            "a purge that is too long",
-            with(Update {
-                purges: vec!["m".repeat(600)],
-                publisher: PublisherStatus { last_purge: 3, ..next(6, 9).publisher },
-                ..next(6, 9)
-            }),
-            "a purged key of 600 bytes",
+        case(
+            "a record of the future",
+            with(Update { records: vec![record(99, &document("a", "0"))], ..next(6, 9) }),
+            "record 99 is from the future: the publisher holds 9",
         ),
-        (
+        case(
             "an item that is none",
             with(Update { records: vec![Record { revision: 9, item: vec![1, 99] }], ..next(6, 9) }),
             "an item is damaged",
         ),
-        (
+        case(
             "a name that is too long",
             with(Update { records: vec![record(9, &document(&long[..300], ""))], ..next(6, 9) }),
             "a name of 300 bytes",
         ),
-        (
+        case(
+            "a difference to another list",
+            with(Update { records: vec![record(9, &delta(2))], ..next(6, 9) }),
+            "a difference to another text",
+        ),
+    ]
+}
+
+fn invalid_parts() -> Vec<InvalidFrame> {
+    let part =
+        |offset, total, bytes: &[u8]| Some(ItemPart { revision: 9, offset, total, bytes: bytes.to_vec() });
+    vec![
+        case(
             "a part without a beginning",
             with(Update { part: part(10, 20, b"x"), ..next(6, 9) }),
             "a part at byte 10 is out of order",
         ),
-        (
+        case(
             "a part that is too long",
             with(Update { part: part(0, MAX_ITEM_BYTES as u32 + 1, b"x"), ..next(6, 9) }),
             "an item of",
         ),
-        (
+        case(
             "more than the whole",
             with(Update { part: part(0, 2, b"xyz"), ..next(6, 9) }),
             "an item of 3 bytes",
         ),
-        (
-            "a difference to another list",
-            with(Update { records: vec![record(9, &delta(2))], ..next(6, 9) }),
-            "a difference to another text",
+    ]
+}
+
+fn invalid_purges() -> Vec<InvalidFrame> {
+    vec![
+        case(
+            "a purge left out",
+            with(Update { purges_after: 3, purges: vec!["m".into()], ..next(6, 9) }),
+            "purge 3 is out of order: 2 is held",
+        ),
+        case("a purge again", with(Update { purges_after: 1, ..next(6, 9) }), "purge 1 is out of order"),
+        case(
+            "a purge of the future",
+            with(Update { purges: vec!["m".into()], ..next(6, 9) }),
+            "purge 3 is from the future",
         ),
-    ] {
+        case(
+            "a purge that is too long",
+            with(Update {
+                purges: vec!["m".repeat(600)],
+                publisher: PublisherStatus { last_purge: 3, ..next(6, 9).publisher },
+                ..next(6, 9)
+            }),
+            "a purged key of 600 bytes",
+        ),
+    ]
+}
+
+#[test]
+fn invalid_frames_are_rejected_counted_and_not_applied() {
+    let cases = [invalid_encodings(), invalid_records(), invalid_parts(), invalid_purges()];
+    for InvalidFrame { name, frame, error } in cases.into_iter().flatten() {
         let mut subscriber = subscriber();
-        let before =
-            (subscriber.table.items().clone(), subscriber.table.revision(), subscriber.table.last_purge());
-        let error = subscriber.on_frame(&frame, 10).expect_err(what).to_string();
-        assert!(error.contains(why), "{what}: {error}");
-        let after =
-            (subscriber.table.items().clone(), subscriber.table.revision(), subscriber.table.last_purge());
-        assert_eq!(before, after, "{what}: applied in part");
-        assert_eq!(subscriber.counters().rejected_frames, 1, "{what}");
+        let state = |subscriber: &Subscriber| {
+            let table = &subscriber.table;
+            (table.items().clone(), table.revision(), table.last_purge())
+        };
+        let before = state(&subscriber);
+        let found = subscriber.on_frame(&frame, 10).expect_err(name).to_string();
+        assert!(found.contains(error), "{name}: {found}");
+        assert_eq!(state(&subscriber), before, "{name}: applied in part");
+        assert_eq!(subscriber.counters().rejected_frames, 1, "{name}");
     }
-    let refused =
-        encode_frame(&PublisherFrame::Rejected(SessionRejection::SubscriberLimitReached(3))).unwrap();
+}
+
+#[test]
+fn a_rejected_session_is_counted_apart_from_rejected_frames() {
+    let frame = encode_frame(&PublisherFrame::Rejected(SessionRejection::SubscriberLimitReached(3))).unwrap();
     let mut rejected = subscriber();
     assert_eq!(
-        rejected.on_frame(&refused, 10),
+        rejected.on_frame(&frame, 10),
         Err(ReceiveError::Publisher(SessionRejection::SubscriberLimitReached(3)))
     );
     assert_eq!((rejected.counters().rejected_frames, rejected.counters().rejected_sessions), (0, 1));
--- a/crates/store/tests/following/sessions.rs
+++ b/crates/store/tests/following/sessions.rs
@@ -11,37 +11,45 @@
 use super::nodes::{members, subscriber};
 use super::raw_peer::{RawPeer, hello};
 
-#[tokio::test]
-async fn invalid_subscriber_frames_are_rejected_with_a_reason() {
-    let members = members(1).await;
-    members[0].document("a", "1").await;
-    let frame = |uplink: SubscriberFrame| encode_frame(&uplink).unwrap();
-    let mut version = frame(SubscriberFrame::Hello(hello(0)));
+fn encoded(frame: SubscriberFrame) -> Vec<u8> {
+    encode_frame(&frame).unwrap()
+}
+
+/// Frames of subscribers whose sessions are rejected, with a part of the reason.
+fn invalid_subscriber_sessions() -> Vec<(Vec<Vec<u8>>, &'static str)> {
+    let mut version = encoded(SubscriberFrame::Hello(hello(0)));
     version[0] = 9;
-    for (said, why) in [
-        (vec![frame(SubscriberFrame::Hello(hello(99_999)))], "revision 99999 is from the future"),
+    vec![
+        (vec![encoded(SubscriberFrame::Hello(hello(99_999)))], "revision 99999 is from the future"),
         (
-            vec![frame(SubscriberFrame::Hello(Hello { last_purge: Some(7), ..hello(0) }))],
+            vec![encoded(SubscriberFrame::Hello(Hello { last_purge: Some(7), ..hello(0) }))],
             "revision 7 is from the future",
         ),
         (vec![version], "version 9; this program reads 1"),
-        (vec![frame(SubscriberFrame::Ack(Ack { received_bytes: 0, time: 0 }))], "before a hello"),
+        (vec![encoded(SubscriberFrame::Ack(Ack { received_bytes: 0, time: 0 }))], "before a hello"),
         (
-            vec![frame(SubscriberFrame::Hello(hello(0))), frame(SubscriberFrame::Hello(hello(0)))],
+            vec![encoded(SubscriberFrame::Hello(hello(0))), encoded(SubscriberFrame::Hello(hello(0)))],
             "a second hello",
         ),
         (
             vec![
-                frame(SubscriberFrame::Hello(hello(0))),
-                frame(SubscriberFrame::Ack(Ack { received_bytes: 1 << 40, time: 0 })),
+                encoded(SubscriberFrame::Hello(hello(0))),
+                encoded(SubscriberFrame::Ack(Ack { received_bytes: 1 << 40, time: 0 })),
             ],
             "of what was not sent",
         ),
-        (vec![frame(SubscriberFrame::Hello(hello(0))), vec![1, 250]], "damaged"),
-    ] {
+        (vec![encoded(SubscriberFrame::Hello(hello(0))), vec![1, 250]], "damaged"),
+    ]
+}
+
+#[tokio::test]
+async fn invalid_subscriber_frames_are_rejected_with_a_reason() {
+    let members = members(1).await;
+    members[0].document("a", "1").await;
+    for (frames, why) in invalid_subscriber_sessions() {
         let before = members[0].tcp.rejected_callers();
         let mut raw = RawPeer::connect(&members[0].addr).await;
-        for bytes in &said {
+        for bytes in &frames {
             raw.send(bytes).await;
         }
         let error = format!(
@@ -56,57 +64,62 @@
     }
     // One that is too large is not even read.
     let mut raw = RawPeer::connect(&members[0].addr).await;
-    raw.send(&frame(SubscriberFrame::Hello(hello(0)))).await;
+    raw.send(&encoded(SubscriberFrame::Hello(hello(0)))).await;
     raw.send(&vec![1; MAX_FRAME_BYTES + 1]).await;
     raw.receive_until_closed().await;
     assert!(members[0].tcp.rejected_callers() > 7);
 }
 
-#[tokio::test]
-async fn invalid_publisher_frames_close_the_connection_and_are_not_applied() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let node = subscriber(3, &[vec![listener.local_addr().unwrap().to_string()]]);
-    let item =
-        |text: &str| Item::Document { name: "a".into(), text: text.into(), author: "me".into(), at_ms: 0 };
-    let record = |revision, text: &str| Record { revision, item: item(text).encode() };
-    let beacon = PublisherStatus {
+fn record(revision: u64, text: &str) -> Record {
+    let item = Item::Document { name: "a".into(), text: text.into(), author: "me".into(), at_ms: 0 };
+    Record { revision, item: item.encode() }
+}
+
+/// An encoded update of a publisher that has everything up to revision 5.
+fn update(update: Update) -> Vec<u8> {
+    let publisher = PublisherStatus {
         echoed_time: 0,
         stale_ms: Some(1),
         is_complete: true,
         head_revision: 5,
         last_purge: 0,
     };
-    let said = |update: Update| {
-        encode_frame(&PublisherFrame::Update(Box::new(Update { publisher: beacon, ..update }))).unwrap()
-    };
-    let good = |after| Update { after, through: 5, records: vec![record(5, "1")], ..Update::default() };
+    encode_frame(&PublisherFrame::Update(Box::new(Update { publisher, ..update }))).unwrap()
+}
+
+/// An update with document `a` of revision 5, for a subscriber that has nothing.
+fn first_update() -> Vec<u8> {
+    update(Update { after: 0, through: 5, records: vec![record(5, "1")], ..Update::default() })
+}
+
+/// Frames that are invalid for a subscriber that has applied the first update.
+fn invalid_updates() -> Vec<Vec<u8>> {
     let list = Item::ListDelta { from: 3, version: 4, delta: diff("{}", "{}{}") };
-    let mut version = said(good(0));
+    let mut version = first_update();
     version[0] = 9;
-    let first = said(good(0));
+    let next = || Update { after: 5, through: 5, ..Update::default() };
+    vec![
+        version,
+        update(Update { after: 2, ..next() }),
+        update(Update { through: 9, ..next() }),
+        update(Update { records: vec![record(4, "0")], ..next() }),
+        update(Update { records: vec![record(7, "7")], ..next() }),
+        update(Update { records: vec![Record { revision: 5, item: list.encode() }], ..next() }),
+        update(Update { purges_after: 2, purges: vec!["k".into()], ..next() }),
+        vec![1; MAX_FRAME_BYTES + 1],
+    ]
+}
+
+#[tokio::test]
+async fn invalid_publisher_frames_close_the_connection_and_are_not_applied() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let node = subscriber(3, &[vec![listener.local_addr().unwrap().to_string()]]);
     let mut raw = RawPeer::accept(&listener).await;
     raw.receive().await.unwrap();
-    raw.send(&first).await;
+    raw.send(&first_update()).await;
     node.has("a", "1").await;
     drop(raw);
-    for (n, bytes) in [
-        version,
-        said(Update { after: 2, through: 5, ..Update::default() }),
-        said(Update { after: 5, through: 9, ..Update::default() }),
-        said(Update { after: 5, through: 5, records: vec![record(4, "0")], ..Update::default() }),
-        said(Update { after: 5, through: 5, records: vec![record(7, "7")], ..Update::default() }),
-        said(Update {
-            after: 5,
-            through: 5,
-            records: vec![Record { revision: 5, item: list.encode() }],
-            ..Update::default()
-        }),
-        said(Update { after: 5, through: 5, purges_after: 2, purges: vec!["k".into()], ..Update::default() }),
-        vec![1; MAX_FRAME_BYTES + 1],
-    ]
-    .into_iter()
-    .enumerate()
-    {
+    for (n, frame) in invalid_updates().into_iter().enumerate() {
         let mut raw = RawPeer::accept(&listener).await;
         match decode_frame(&raw.receive().await.unwrap()).unwrap() {
             SubscriberFrame::Hello(hello) => {
@@ -114,7 +127,7 @@
             }
             ack => panic!("{ack:?}"),
         }
-        raw.send(&bytes).await;
+        raw.send(&frame).await;
         assert_eq!(raw.receive().await, None, "{n}: it closes");
         node.until("counted", |node| node.feed.counters().rejected_frames == n as u64 + 1).await;
         assert_eq!((node.text("a").as_deref(), node.feed.revision()), (Some("1"), 5), "{n}");
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -1,6 +1,7 @@
 //! Clusters in virtual time, on simulated disks and a simulated network: every fault follows from a seed.
 
 pub(crate) mod check;
+mod client;
 pub(crate) mod memory_disk;
 pub(crate) mod net;
 
@@ -9,6 +10,7 @@
 use std::time::Duration;
 
 use check::{ListUse, Operation};
+use client::Client;
 use memory_disk::MemoryDisk;
 use net::{Network, SimulatedTransport, addr};
 use stonefold_store::applied::AppliedState;
@@ -17,7 +19,7 @@
 use stonefold_store::message::{Caller, Request};
 use stonefold_store::raft::MemberId;
 use stonefold_store::replica::{Options, Replica};
-use stonefold_store::state::{AdminOverride, Change, Proposal, Reply};
+use stonefold_store::state::{AdminOverride, Change, Proposal};
 use tokio::time::{Instant, sleep};
 
 /// What is broken on purpose, to test the checker.
@@ -74,34 +76,10 @@
 }
 
 async fn play(members: u64, broken: Broken) -> Report {
-    let (net, records) = (Network::default(), Arc::<Mutex<Records>>::default());
-    let mut cluster = Cluster {
-        net: net.clone(),
-        disks: BTreeMap::new(),
-        incarnations: 0,
-        kills: 0,
-        broken,
-        records,
-        slots: (1..=members).collect(),
-        wrong: None,
-    };
-    net.links().delay = 5;
-    for member in 1..=members {
-        cluster.disks.insert(member, MemoryDisk::default());
-        cluster.start(member).await;
-    }
-    let first = net.replica(1).unwrap();
-    first.bootstrap().await.unwrap();
-    for member in 2..=members {
-        let added = |replica: Replica<SimulatedTransport>| async move {
-            let add = Request::AddMember { member, addr: addr(member) };
-            replica.answer(Caller::Client, add).await
-        };
-        let answer = added(first.clone()).await;
-        assert!(format!("{answer:?}").contains("Ok"), "{answer:?}");
-    }
+    let mut cluster = Cluster::form(members, broken).await;
     let clients: Vec<_> = (0..4)
-        .map(|client| tokio::spawn(run_client(client, net.clone(), cluster.records.clone(), broken)))
+        .map(|id| Client::new(id, cluster.net.clone(), cluster.records.clone(), broken))
+        .map(|client| tokio::spawn(client.run()))
         .collect();
     let end = Instant::now() + FAULTS_DURATION;
     while Instant::now() < end {
@@ -112,23 +90,51 @@
     for client in clients {
         client.await.unwrap();
     }
-    let last = match cluster.wrong.take() {
-        Some(wrong) => Err(wrong),
-        None => cluster.settle().await,
-    };
-    let records = cluster.records.lock().unwrap();
-    let verdict = last.and_then(|last| check::check(&records.operations, &records.list_uses, &last));
-    let answered = records.operations.iter().filter(|op| op.ended.is_some()).count();
-    Report {
-        operations: records.operations.clone(),
-        list_uses: records.list_uses.clone(),
-        answered,
-        kills: cluster.kills,
-        verdict,
-    }
+    cluster.report().await
 }
 
 impl Cluster {
+    /// Starts the members, and makes all of them voters.
+    async fn form(members: u64, broken: Broken) -> Cluster {
+        let net = Network::default();
+        let mut cluster = Cluster {
+            net: net.clone(),
+            disks: BTreeMap::new(),
+            incarnations: 0,
+            kills: 0,
+            broken,
+            records: Arc::default(),
+            slots: (1..=members).collect(),
+            wrong: None,
+        };
+        net.links().delay = 5;
+        for member in 1..=members {
+            cluster.disks.insert(member, MemoryDisk::default());
+            cluster.start(member).await;
+        }
+        let first = net.replica(1).unwrap();
+        first.bootstrap().await.unwrap();
+        for member in 2..=members {
+            let add = Request::AddMember { member, addr: addr(member) };
+            let answer = first.answer(Caller::Client, add).await;
+            assert!(format!("{answer:?}").contains("Ok"), "{answer:?}");
+        }
+        cluster
+    }
+
+    /// Waits until the cluster has settled, and checks the invariants.
+    async fn report(mut self) -> Report {
+        let last = match self.wrong.take() {
+            Some(wrong) => Err(wrong),
+            None => self.settle().await,
+        };
+        let records = self.records.lock().unwrap();
+        let verdict = last.and_then(|last| check::check(&records.operations, &records.list_uses, &last));
+        let answered = records.operations.iter().filter(|operation| operation.ended.is_some()).count();
+        let (operations, list_uses) = (records.operations.clone(), records.list_uses.clone());
+        Report { operations, list_uses, answered, kills: self.kills, verdict }
+    }
+
     async fn start(&mut self, member: MemberId) {
         self.incarnations += 1;
         let incarnation = self.incarnations;
@@ -291,73 +297,3 @@
         }
     }
 }
-
-/// A client: it writes and reads at random members, one operation after the other.
-async fn run_client(client: u64, net: Network, records: Arc<Mutex<Records>>, broken: Broken) {
-    let start = Instant::now();
-    let mut sequence = 0;
-    let end = start + FAULTS_DURATION;
-    while Instant::now() < end {
-        sleep(Duration::from_millis(fastrand::u64(20..300))).await;
-        let running = fastrand::choice(
-            net.links().running.iter().map(|(&id, (incarnation, r))| (id, *incarnation, r.clone())),
-        );
-        let Some((member, incarnation, replica)) = running else { continue };
-        // A response that a member sends after its end doesn't arrive.
-        let is_running = || net.is_running(member, incarnation);
-        let name = format!("d{}", fastrand::u8(..6));
-        let until = Instant::now() + Duration::from_secs(2);
-        let begun = Instant::now().duration_since(start).as_nanos();
-        let latest = || {
-            let applied = replica.shared().read();
-            let latest = applied.state.document(&name);
-            latest.map_or((0, String::new()), |latest| (latest.revision, latest.text.clone()))
-        };
-        let mut op = Operation {
-            name: name.clone(),
-            begun,
-            ended: None,
-            text: String::new(),
-            write: false,
-            after: None,
-        };
-        if fastrand::bool() {
-            if broken != Broken::Quorum && replica.confirm(until).await.is_err() {
-                continue;
-            }
-            if !is_running() {
-                continue;
-            }
-            let (revision, text) = latest();
-            op.text = text;
-            op.ended = Some((Instant::now().duration_since(start).as_nanos(), revision));
-        } else {
-            sequence += 1;
-            (op.write, op.text) = (true, format!("{client}-{sequence}"));
-            op.after = fastrand::bool().then(|| latest().0);
-            let change = match fastrand::u8(..4) {
-                0 => {
-                    let version = Instant::now().duration_since(start).as_millis() as u64;
-                    Change::List { version, text: "[]".into(), learned_by: client, started: Vec::new() }
-                }
-                _ => Change::Document {
-                    name,
-                    text: op.text.clone(),
-                    author: String::new(),
-                    at_ms: 0,
-                    after: op.after,
-                },
-            };
-            let list = matches!(change, Change::List { .. });
-            match replica.propose(Proposal { client, sequence, change }, until).await {
-                _ if list => continue,
-                Ok(Reply::Applied(revision)) if is_running() => {
-                    op.ended = Some((Instant::now().duration_since(start).as_nanos(), revision));
-                }
-                Ok(Reply::Rejected(_)) => continue, // at every replica alike
-                Ok(_) | Err(_) => {}
-            }
-        }
-        records.lock().unwrap().operations.push(op);
-    }
-}
