--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -28,10 +28,10 @@
     /// New settings. A class or tenant keeps its index, and new ones come behind those before; open requests
     /// keep the rules of their class and the most attempts.
     Settings(Box<Settings>),
-    /// Operators take a server out of use, whatever the endpoint list says, until they enable it. It need not be
+    /// Operators take a server out of service, whatever the endpoint list has, until they enable it. It need not be
     /// listed. Idempotent.
     Disable(ServerId),
-    /// Operators put a server back in use, which they may have restarted meanwhile.
+    /// Operators put a server back into service, possibly after restarting it.
     Enable {
         /// The server.
         server: ServerId,
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -143,7 +143,7 @@
 }
 
 impl Settings {
-    /// How a started server warms up and how much load overloads it meanwhile.
+    /// How a started server warms up and how much load overloads it until then.
     pub fn slow_start(&self) -> SlowStart {
         SlowStart {
             duration: self.slow_start_duration,
