--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -8,45 +8,53 @@
 use redis_protocol::resp2::types::BytesFrame;
 use stonefold_proto::resp::{append_command, decode_frame};
 
-/// Beyond the deadline the answer is waited for so much longer: it may be on its way.
-const LATE: Duration = Duration::from_millis(200);
-/// The longest answer.
-const LARGEST: usize = (4 << 20) + 1024;
+/// How much longer than the deadline a reply is awaited: it may be on its way.
+const REPLY_GRACE: Duration = Duration::from_millis(200);
+/// The shortest timeout that a socket accepts.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+/// The longest reply in bytes: the longest value, and the frame around it.
+const MAX_REPLY_LENGTH: usize = (4 << 20) + 1024;
+/// Bytes that are read at a time.
+const READ_LENGTH: usize = 16 << 10;
 
-/// How a request ended.
-pub struct Answered {
-    pub outcome: Outcome,
-    pub took: Duration,
+/// A reply, and how long it took.
+pub(crate) struct TimedReply {
+    pub(crate) reply: Reply,
+    pub(crate) elapsed: Duration,
 }
 
-/// What the node said.
-pub enum Outcome {
+/// A node's reply.
+pub(crate) enum Reply {
+    /// The value, or a write's receipt.
     Served(Vec<u8>),
-    /// Come again after so many milliseconds, if it said.
-    Refused(Option<u64>),
+    /// The request was rejected; it may be retried after so many milliseconds, if the node stated that.
+    Rejected(Option<u64>),
+    /// The request failed, with the node's error.
     Failed(String),
 }
 
-/// Sends a command and waits for its answer.
-pub fn ask(node: SocketAddr, words: &[&[u8]], deadline: Duration) -> io::Result<Answered> {
+/// Sends a command and waits for its reply until shortly after the deadline.
+///
+/// # Errors
+/// If the node can't be reached, closes the connection, sends no complete reply in time, or is no node.
+pub(crate) fn request(node: SocketAddr, words: &[&[u8]], deadline: Duration) -> io::Result<TimedReply> {
     let start = Instant::now();
-    let mut stream = TcpStream::connect_timeout(&node, deadline.max(Duration::from_millis(1)))?;
+    let mut stream = TcpStream::connect_timeout(&node, deadline.max(MIN_TIMEOUT))?;
     stream.set_nodelay(true)?;
-    let mut text = BytesMut::new();
-    append_command(&mut text, words);
-    stream.write_all(&text)?;
+    let mut command = BytesMut::new();
+    append_command(&mut command, words);
+    stream.write_all(&command)?;
     let mut buffer = BytesMut::new();
-    let mut piece = vec![0; 16 << 10];
+    let mut chunk = vec![0; READ_LENGTH];
     loop {
-        let frame = decode_frame(&mut buffer, LARGEST).map_err(|_| malformed())?;
-        if let Some(frame) = frame {
-            return Ok(Answered { outcome: outcome(frame), took: start.elapsed() });
+        if let Some(frame) = decode_frame(&mut buffer, MAX_REPLY_LENGTH).map_err(|_| malformed())? {
+            return Ok(TimedReply { reply: parse_reply(frame), elapsed: start.elapsed() });
         }
-        let left = (start + deadline + LATE).saturating_duration_since(Instant::now());
-        stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
-        match stream.read(&mut piece)? {
+        let remaining = (start + deadline + REPLY_GRACE).saturating_duration_since(Instant::now());
+        stream.set_read_timeout(Some(remaining.max(MIN_TIMEOUT)))?;
+        match stream.read(&mut chunk)? {
             0 => return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "the node closed the connection")),
-            read => buffer.extend_from_slice(&piece[..read]),
+            length => buffer.extend_from_slice(&chunk[..length]),
         }
     }
 }
@@ -55,13 +63,13 @@
     io::Error::new(io::ErrorKind::InvalidData, "the answer can't be read: is this a node's address?")
 }
 
-fn outcome(frame: BytesFrame) -> Outcome {
+fn parse_reply(frame: BytesFrame) -> Reply {
     match frame {
-        BytesFrame::BulkString(value) => Outcome::Served(value.to_vec()),
+        BytesFrame::BulkString(value) => Reply::Served(value.to_vec()),
         BytesFrame::Error(text) => match text.split_once(' ').unwrap_or((&text, "")) {
-            ("BUSY", wait) => Outcome::Refused(wait.parse().ok()),
-            _ => Outcome::Failed(text.to_string()),
+            ("BUSY", retry_after) => Reply::Rejected(retry_after.parse().ok()),
+            _ => Reply::Failed(text.to_string()),
         },
-        other => Outcome::Failed(format!("an unexpected answer: {other:?}")),
+        other => Reply::Failed(format!("an unexpected answer: {other:?}")),
     }
 }
--- a/crates/cli/src/commands/call.rs
+++ b/crates/cli/src/commands/call.rs
@@ -1,3 +1,5 @@
+//! `stonefold call`: one operator command to a node.
+
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
@@ -7,50 +9,53 @@
 use crate::args::{CallArgs, Format};
 use crate::failure::Failure;
 
-/// A node answers within a second, whatever the load.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// The longest answer that is read.
-const LARGEST: u64 = 1 << 20;
+/// How long a reply is awaited. A node replies within a second, whatever the load.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// How much of a reply is read, in bytes.
+const MAX_REPLY_LENGTH: u64 = 1 << 20;
+/// The first word of a reply that reports a failure.
+const FAIL: &str = "fail";
 
-/// Makes one operators' call.
-pub fn run(args: CallArgs) -> Result<(), Failure> {
-    let call = args.call.join(" ");
-    let answer = ask(&args, &call).map_err(|error| Failure::failed(format!("{}: {error}", args.address)))?;
-    let failed = answer.strip_prefix("fail").map(|why| why.trim().to_owned());
+/// Sends an operator command and prints the reply.
+pub(crate) fn run(args: CallArgs) -> Result<(), Failure> {
+    let command = args.call.join(" ");
+    let reply =
+        send(&args, &command).map_err(|error| Failure::failed(format!("{}: {error}", args.address)))?;
+    let failure = reply.strip_prefix(FAIL).map(|reason| reason.trim().to_owned());
     let mut out = io::stdout().lock();
     match args.format {
-        Format::Json => writeln!(out, "{}", json!({"ok": failed.is_none(), "answer": parsed(&answer)}))?,
-        Format::Text => out.write_all(answer.as_bytes())?,
+        Format::Json => {
+            let line = json!({"ok": failure.is_none(), "answer": reply_as_json(&reply)});
+            writeln!(out, "{line}")?;
+        }
+        Format::Text => out.write_all(reply.as_bytes())?,
     }
-    match failed {
-        Some(why) => Err(Failure::failed(format!("{call}: {why}"))),
+    match failure {
+        Some(reason) => Err(Failure::failed(format!("{command}: {reason}"))),
         None => Ok(()),
     }
 }
 
-fn ask(args: &CallArgs, call: &str) -> io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&args.address, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.write_all(format!("{call}\n").as_bytes())?;
+fn send(args: &CallArgs, command: &str) -> io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&args.address, REPLY_TIMEOUT)?;
+    stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
+    stream.write_all(format!("{command}\n").as_bytes())?;
     stream.shutdown(Shutdown::Write)?;
-    let mut answer = String::new();
-    stream.take(LARGEST).read_to_string(&mut answer)?;
-    match answer.is_empty() {
-        true => Err(io::Error::new(io::ErrorKind::UnexpectedEof, "no answer")),
-        false => Ok(answer),
+    let mut reply = String::new();
+    stream.take(MAX_REPLY_LENGTH).read_to_string(&mut reply)?;
+    if reply.is_empty() {
+        return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "no answer"));
     }
+    Ok(reply)
 }
 
-/// Figures by their names, or else the answer's words.
-fn parsed(answer: &str) -> Value {
-    let figure = |line: &str| {
+/// Metrics by their names; a reply without metrics is a string.
+fn reply_as_json(reply: &str) -> Value {
+    let parse_metric = |line: &str| {
         let (name, value) = line.rsplit_once(' ')?;
         Some((name.to_owned(), json!(value.parse::<f64>().ok()?)))
     };
-    let figures: Map<String, Value> =
-        answer.lines().filter(|line| !line.starts_with('#')).filter_map(figure).collect();
-    match figures.is_empty() {
-        true => json!(answer.trim_end()),
-        false => Value::Object(figures),
-    }
+    let lines = reply.lines().filter(|line| !line.starts_with('#'));
+    let metrics: Map<String, Value> = lines.filter_map(parse_metric).collect();
+    if metrics.is_empty() { json!(reply.trim_end()) } else { Value::Object(metrics) }
 }
--- a/crates/cli/src/commands/emulate.rs
+++ b/crates/cli/src/commands/emulate.rs
@@ -1,3 +1,5 @@
+//! `stonefold emulate`: runs a site on loopback until it is stopped, and reports the verdict.
+
 use std::fs;
 use std::io::{self, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -15,11 +17,11 @@
 use crate::args::{EmulateArgs, Format};
 use crate::failure::Failure;
 
-/// Any free port of this machine alone.
-pub const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Any free port of the loopback interface.
+pub(crate) const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Plays a site until it is told to stop, and judges what nodes did.
-pub fn run(args: EmulateArgs) -> Result<(), Failure> {
+/// Runs a site until it is stopped, and fails if a rule was broken.
+pub(crate) fn run(args: EmulateArgs) -> Result<(), Failure> {
     let site =
         load::<Site>(&Layers { file: Some(args.site.clone()), flags: args.set.clone(), ..Layers::default() })
             .map_err(Failure::unusable)?
@@ -30,10 +32,10 @@
         .worker_threads(args.threads.into())
         .enable_all()
         .build()?;
-    runtime.block_on(play(site, &args))
+    runtime.block_on(emulate(site, &args))
 }
 
-async fn play(site: Site, args: &EmulateArgs) -> Result<(), Failure> {
+async fn emulate(site: Site, args: &EmulateArgs) -> Result<(), Failure> {
     let options = Options { control: args.control, faults: !args.no_faults, ..Options::default() };
     let emulator = Emulator::start(site, options).await.map_err(|error| match error {
         EmulatorError::NotLoopback(_) => Failure::unusable(error),
@@ -43,18 +45,18 @@
         Some(folder) => write_configs(&emulator, folder)?,
         None => Vec::new(),
     };
-    told_start(&emulator, &files, args.format)?;
-    ended(args.duration).await?;
-    told_end(emulator.verdict(), args.format)
+    print_start(&emulator, &files, args.format)?;
+    wait_for_end(args.duration).await?;
+    print_verdict(emulator.verdict(), args.format)
 }
 
-/// A configuration for each node, to start it with.
+/// Writes the configuration of each node into a folder, and returns the files.
 fn write_configs(emulator: &Emulator, folder: &PathBuf) -> Result<Vec<PathBuf>, Failure> {
     let failed = |path: &PathBuf, error: io::Error| Failure::failed(format!("{}: {error}", path.display()));
     fs::create_dir_all(folder).map_err(|error| failed(folder, error))?;
     let mut files = Vec::new();
     for node in 0..emulator.site().nodes.get() {
-        let Some(config) = emulator.config(node, ANY, Some(ANY)) else { continue };
+        let Some(config) = emulator.config(node, ANY_PORT, Some(ANY_PORT)) else { continue };
         let text = toml::to_string(&config).map_err(Failure::failed)?;
         let path = folder.join(format!("node-{node}.toml"));
         fs::write(&path, text).map_err(|error| failed(&path, error))?;
@@ -63,7 +65,7 @@
     Ok(files)
 }
 
-fn told_start(emulator: &Emulator, files: &[PathBuf], format: Format) -> Result<(), Failure> {
+fn print_start(emulator: &Emulator, files: &[PathBuf], format: Format) -> Result<(), Failure> {
     let mut out = io::stdout().lock();
     let discoveries: Vec<SocketAddr> =
         (0..emulator.site().nodes.get()).filter_map(|node| emulator.discovery(node)).collect();
@@ -85,29 +87,29 @@
     Ok(out.flush()?)
 }
 
-/// Waits for Ctrl-C, for SIGTERM, or as long as was said.
-pub async fn ended(lasts: Option<Duration>) -> Result<(), Failure> {
+/// Waits for SIGINT or SIGTERM, at most for `duration` if that is given.
+pub(crate) async fn wait_for_end(duration: Option<Duration>) -> Result<(), Failure> {
     let mut terminated = signal(SignalKind::terminate())?;
     let mut interrupted = signal(SignalKind::interrupt())?;
-    let over = async {
-        match lasts {
-            Some(lasts) => tokio::time::sleep(lasts).await,
+    let elapsed = async {
+        match duration {
+            Some(duration) => tokio::time::sleep(duration).await,
             None => std::future::pending().await,
         }
     };
     tokio::select! {
         _ = terminated.recv() => {}
         _ = interrupted.recv() => {}
-        () = over => {}
+        () = elapsed => {}
     }
     Ok(())
 }
 
-fn told_end(verdict: Verdict, format: Format) -> Result<(), Failure> {
+fn print_verdict(verdict: Verdict, format: Format) -> Result<(), Failure> {
     let mut out = io::stdout().lock();
     match format {
         Format::Json => {
-            writeln!(out, "{}", json!({"verdict": verdict, "rules_broken": verdict.rules_broken()}))?
+            writeln!(out, "{}", json!({"verdict": verdict, "rules_broken": verdict.rules_broken()}))?;
         }
         Format::Text => writeln!(out, "{verdict:#?}")?,
     }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,11 +1,13 @@
-//! One module for each command.
+//! One module for each command or group of commands.
 
-pub mod call;
-pub mod check;
-pub mod demo;
-pub mod emulate;
-pub mod lab;
-pub mod node;
-pub mod request;
-pub mod store;
-pub mod texts;
+pub(crate) mod call;
+pub(crate) mod check;
+pub(crate) mod demo;
+pub(crate) mod emulate;
+pub(crate) mod lab;
+#[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
+pub(crate) mod node;
+pub(crate) mod request;
+#[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
+pub(crate) mod store;
+pub(crate) mod texts;
--- a/crates/cli/src/commands/request.rs
+++ b/crates/cli/src/commands/request.rs
@@ -1,18 +1,21 @@
+//! `stonefold get` and `stonefold set`: one request to a node.
+
 use std::io::{self, Read, Write};
+use std::time::Duration;
 
-use serde_json::json;
+use serde_json::{Value, json};
 
 use crate::args::{Format, GetArgs, RequestArgs, SetArgs};
-use crate::client::{Answered, Outcome, ask};
+use crate::client::{self, Reply, TimedReply};
 use crate::failure::Failure;
 
-/// Reads one key.
-pub fn get(args: GetArgs) -> Result<(), Failure> {
+/// Reads one key and prints its value.
+pub(crate) fn get(args: GetArgs) -> Result<(), Failure> {
     run(&args.request, b"CACHE.GET", &args.key, None, None)
 }
 
-/// Writes one key.
-pub fn set(args: SetArgs) -> Result<(), Failure> {
+/// Writes one key and prints the receipt.
+pub(crate) fn set(args: SetArgs) -> Result<(), Failure> {
     let value = match args.value.as_str() {
         "-" => {
             let mut value = Vec::new();
@@ -32,51 +35,57 @@
     value: Option<Vec<u8>>,
 ) -> Result<(), Failure> {
     let id = format!("{:016x}", fastrand::u64(..));
-    let facts = facts(args, idempotency_key)?;
-    let mut words: Vec<&[u8]> = vec![name, key.as_bytes(), id.as_bytes(), facts.as_bytes()];
+    let attributes = attributes(args, idempotency_key)?;
+    let mut words: Vec<&[u8]> = vec![name, key.as_bytes(), id.as_bytes(), attributes.as_bytes()];
     words.extend(value.as_deref());
-    let answered = ask(args.node, &words, args.deadline)
+    let reply = client::request(args.node, &words, args.deadline)
         .map_err(|error| Failure::failed(format!("{}: {error}", args.node)))?;
-    told(args.format, answered)
+    print_reply(args.format, reply)
 }
 
-fn facts(args: &RequestArgs, idempotency_key: Option<&str>) -> Result<String, Failure> {
-    let mut facts = format!("d={}", args.deadline.as_millis());
+/// The `name=value` pairs of a request: deadline, class, tenant, idempotency key.
+fn attributes(args: &RequestArgs, idempotency_key: Option<&str>) -> Result<String, Failure> {
+    let mut attributes = format!("d={}", args.deadline.as_millis());
     let named = [("c", args.class.as_deref()), ("t", args.tenant.as_deref()), ("k", idempotency_key)];
     for (name, value) in named {
         let Some(value) = value else { continue };
         if value.contains([',', '=']) {
             return Err(Failure::unusable(format!("{value:?} must not hold a comma or =")));
         }
-        facts += &format!(",{name}={value}");
+        attributes += &format!(",{name}={value}");
     }
-    Ok(facts)
+    Ok(attributes)
 }
 
-fn told(format: Format, answered: Answered) -> Result<(), Failure> {
-    let Answered { outcome, took } = answered;
+fn print_reply(format: Format, timed: TimedReply) -> Result<(), Failure> {
+    let TimedReply { reply, elapsed } = timed;
     let mut out = io::stdout().lock();
-    let ms = took.as_secs_f64() * 1e3;
-    if format == Format::Json {
-        let line = match &outcome {
-            Outcome::Served(value) => {
-                json!({"outcome": "served", "ms": ms, "value": String::from_utf8_lossy(value)})
-            }
-            Outcome::Refused(wait) => json!({"outcome": "refused", "ms": ms, "retry_after_ms": wait}),
-            Outcome::Failed(error) => json!({"outcome": "failed", "ms": ms, "error": error}),
-        };
-        writeln!(out, "{line}")?;
-    }
-    match outcome {
-        Outcome::Served(value) => {
-            if format == Format::Text {
-                out.write_all(&value)?;
+    match format {
+        Format::Json => writeln!(out, "{}", reply_as_json(&reply, elapsed))?,
+        Format::Text => {
+            if let Reply::Served(value) = &reply {
+                out.write_all(value)?;
                 writeln!(out)?;
             }
-            Ok(())
         }
-        Outcome::Refused(Some(wait)) => Err(Failure::failed(format!("refused: come again after {wait} ms"))),
-        Outcome::Refused(None) => Err(Failure::failed("refused")),
-        Outcome::Failed(error) => Err(Failure::failed(format!("failed: {error}"))),
+    }
+    match reply {
+        Reply::Served(_) => Ok(()),
+        Reply::Rejected(Some(ms)) => Err(Failure::failed(format!("refused: come again after {ms} ms"))),
+        Reply::Rejected(None) => Err(Failure::failed("refused")),
+        Reply::Failed(error) => Err(Failure::failed(format!("failed: {error}"))),
+    }
+}
+
+fn reply_as_json(reply: &Reply, elapsed: Duration) -> Value {
+    let ms = elapsed.as_secs_f64() * 1e3;
+    match reply {
+        Reply::Served(value) => {
+            json!({"outcome": "served", "ms": ms, "value": String::from_utf8_lossy(value)})
+        }
+        Reply::Rejected(retry_after) => {
+            json!({"outcome": "refused", "ms": ms, "retry_after_ms": retry_after})
+        }
+        Reply::Failed(error) => json!({"outcome": "failed", "ms": ms, "error": error}),
     }
 }
--- a/crates/cli/src/commands/texts.rs
+++ b/crates/cli/src/commands/texts.rs
@@ -1,3 +1,5 @@
+//! `stonefold completions` and `stonefold man`: texts made from the definition of the command line.
+
 use std::io::{self, Write};
 
 use clap::CommandFactory;
@@ -7,14 +9,14 @@
 use crate::failure::Failure;
 
 /// Prints completions for a shell.
-pub fn completions(shell: Shell) -> Result<(), Failure> {
+pub(crate) fn completions(shell: Shell) -> Result<(), Failure> {
     let mut text = Vec::new();
     clap_complete::generate(shell, &mut Args::command(), "stonefold", &mut text);
     Ok(io::stdout().write_all(&text)?)
 }
 
 /// Prints the manual page.
-pub fn man() -> Result<(), Failure> {
+pub(crate) fn man() -> Result<(), Failure> {
     let mut text = Vec::new();
     clap_mangen::Man::new(Args::command()).render(&mut text)?;
     for command in Args::command().get_subcommands() {
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -1,38 +1,43 @@
-//! How the program ends when it fails: words on standard error, and the exit codes that the help documents.
+//! How a command fails: the message on standard error, and the exit codes that the help documents.
 
 use std::error::Error;
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// Why a command did not do what it was asked for.
+/// Exit code of [`Failure::Failed`].
+const EXIT_FAILED: u8 = 1;
+/// Exit code of [`Failure::Unusable`].
+const EXIT_UNUSABLE: u8 = 2;
+
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
-    /// It was tried and failed: exit code 1.
+pub(crate) enum Failure {
+    /// It was tried and failed.
     #[error("{0}")]
     Failed(Box<dyn Error + Send + Sync>),
-    /// The call or the configuration can't be used: exit code 2.
+    /// Its arguments or a configuration can't be used.
     #[error("{0}")]
     Unusable(Box<dyn Error + Send + Sync>),
 }
 
 impl Failure {
-    /// Something that was tried and failed.
-    pub fn failed(error: impl Into<Box<dyn Error + Send + Sync>>) -> Failure {
+    /// Something was tried and failed.
+    pub(crate) fn failed(error: impl Into<Box<dyn Error + Send + Sync>>) -> Failure {
         Failure::Failed(error.into())
     }
 
-    /// Something that was asked for and can't be used.
-    pub fn unusable(error: impl Into<Box<dyn Error + Send + Sync>>) -> Failure {
+    /// Arguments or a configuration can't be used.
+    pub(crate) fn unusable(error: impl Into<Box<dyn Error + Send + Sync>>) -> Failure {
         Failure::Unusable(error.into())
     }
 
-    /// Says so on standard error.
-    pub fn told(self) -> ExitCode {
-        // Guards against: a panic where standard error is closed.
+    /// Prints the message and returns the exit code.
+    pub(crate) fn report(self) -> ExitCode {
+        // `eprintln!` would panic where standard error is closed.
         let _ = writeln!(io::stderr(), "stonefold: {self}");
         match self {
-            Failure::Failed(_) => ExitCode::from(1),
-            Failure::Unusable(_) => ExitCode::from(2),
+            Failure::Failed(_) => ExitCode::from(EXIT_FAILED),
+            Failure::Unusable(_) => ExitCode::from(EXIT_UNUSABLE),
         }
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,11 +1,12 @@
 //! The `stonefold` program: a thin shell over the other crates.
-#![allow(missing_docs, unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
 
 mod args;
 mod client;
 mod commands;
 mod failure;
+#[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
 mod followed;
+#[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
 mod shared;
 
 use std::process::ExitCode;
@@ -15,7 +16,7 @@
 use args::{Args, Command};
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Node(args) => commands::node::run(args),
         Command::Check(args) => commands::check::run(args),
         Command::Emulate(args) => commands::emulate::run(args),
@@ -29,8 +30,8 @@
         Command::Completions { shell } => commands::texts::completions(shell),
         Command::Man => commands::texts::man(),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => failure.told(),
+        Err(failure) => failure.report(),
     }
 }
