--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -21,12 +21,7 @@
                 () = tokio::time::sleep_until(world.instant(fault.at.us())) => {}
             }
             if let Err(CheckError { key, reason }) = begin(&world, &fault) {
-                tracing::error!(
-                    event = "fault_refused",
-                    key,
-                    what = reason,
-                    "a fault of the site can't be played"
-                );
+                tracing::error!(event = "fault_rejected", key, reason, "a fault of the site can't be played");
             }
         });
     }
