--- a/crates/cli/src/args/mod.rs
+++ b/crates/cli/src/args/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use emulate::{DemoArgs, EmulateArgs};
 pub(crate) use node::{CheckArgs, NodeArgs};
 pub(crate) use request::{CallArgs, GetArgs, RequestArgs, SetArgs};
-pub(crate) use store::{ConfigCommand, ReachArgs, StoreCommand};
+pub(crate) use store::{ConfigCommand, StoreClientArgs, StoreCommand};
 
 /// The version and the commit that the program was built from.
 const VERSION: &str = concat!(env!("CARGO_PKG_VERSION"), " (", env!("STONEFOLD_COMMIT"), ")");
--- a/crates/cli/src/args/store.rs
+++ b/crates/cli/src/args/store.rs
@@ -20,7 +20,7 @@
 
 /// How a store is reached.
 #[derive(clap::Args)]
-pub(crate) struct ReachArgs {
+pub(crate) struct StoreClientArgs {
     /// A member.
     #[arg(long, value_name = "ADDRESS", env = "STONEFOLD_STORE")]
     pub(crate) at: SocketAddr,
@@ -65,12 +65,12 @@
         /// The key.
         key: String,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// How each member stands.
-    Status(ReachArgs),
+    Status(StoreClientArgs),
     /// The members.
-    Members(ReachArgs),
+    Members(StoreClientArgs),
     /// Add a member: it learns until it has caught up, then it votes.
     Add {
         /// Its number.
@@ -78,7 +78,7 @@
         /// Where it listens.
         address: SocketAddr,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// Remove a member, for good.
     Remove {
@@ -88,14 +88,14 @@
         #[arg(long)]
         force: bool,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// Print a document's latest revision.
     Get {
         /// Its name.
         name: String,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// Write a document from a file; `-` is standard input.
     Set {
@@ -107,14 +107,14 @@
         #[arg(long, value_name = "REVISION")]
         after: Option<u64>,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// The revisions of a document that are kept.
     History {
         /// Its name.
         name: String,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// Write an earlier revision of a document anew.
     Rollback {
@@ -123,21 +123,21 @@
         /// The revision.
         revision: u64,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// Write all that is kept to a file, with its checksum.
     Snapshot {
         /// The file; it must not exist.
         file: PathBuf,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// Put a snapshot's documents, orders and list into a new cluster.
     Restore {
         /// The file.
         file: PathBuf,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
     /// Read all of a folder's store, which nothing else may be using, and say whether it is whole.
     Verify {
@@ -160,6 +160,6 @@
         #[arg(long, value_name = "TIME", default_value = "10s", value_parser = humantime::parse_duration)]
         wait: Duration,
         #[command(flatten)]
-        reach: ReachArgs,
+        store: StoreClientArgs,
     },
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -8,6 +8,5 @@
 #[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
 pub(crate) mod node;
 pub(crate) mod request;
-#[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
 pub(crate) mod store;
 pub(crate) mod texts;
