--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -5,7 +5,6 @@
 pub(crate) mod demo;
 pub(crate) mod emulate;
 pub(crate) mod lab;
-#[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
 pub(crate) mod node;
 pub(crate) mod request;
 pub(crate) mod store;
--- a/crates/cli/src/commands/store/push.rs
+++ b/crates/cli/src/commands/store/push.rs
@@ -9,7 +9,7 @@
 use super::{client, documents, members, print_revision, read_text};
 use crate::args::StoreClientArgs;
 use crate::failure::Failure;
-use crate::shared::CONFIG;
+use crate::shared_state::CONFIG_DOCUMENT;
 
 /// How often the members' status is requested while a push waits for them.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -22,9 +22,9 @@
     validate(file, &text)?;
     let mut client = client(store)?;
     // Written over the latest revision only: of two concurrent pushes the second fails.
-    let latest = client.document(CONFIG, false).await.map_err(Failure::failed)?;
+    let latest = client.document(CONFIG_DOCUMENT, false).await.map_err(Failure::failed)?;
     let after = latest.last().map_or(0, |latest| latest.revision);
-    let revision = documents::write(&mut client, CONFIG, text, Some(after)).await?;
+    let revision = documents::write(&mut client, CONFIG_DOCUMENT, text, Some(after)).await?;
     print_revision(store, revision)?;
     wait_until_applied(revision, wait, store).await
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,10 +4,7 @@
 mod client;
 mod commands;
 mod failure;
-#[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
-mod followed;
-#[allow(unreachable_pub, clippy::pedantic)] // not yet at the workspace's standard
-mod shared;
+mod shared_state;
 
 use std::process::ExitCode;
 
--- /dev/null
+++ b/crates/cli/src/shared_state/mod.rs
@@ -0,0 +1,38 @@
+//! The replicated store as a node sees it: through a member's replica, or as a subscriber.
+
+mod member;
+mod subscriber;
+
+use stonefold_node::shared::SharedState;
+use stonefold_proto::endpoints::EndpointList;
+use tracing::warn;
+
+pub(crate) use member::MemberState;
+pub(crate) use subscriber::SubscriberState;
+
+/// The document with the part of the configuration that all nodes share.
+pub(crate) const CONFIG_DOCUMENT: &str = "config";
+
+/// A committed revision of the shared configuration.
+pub(crate) struct ConfigRevision {
+    pub(crate) revision: u64,
+    /// Its text, as TOML.
+    pub(crate) text: String,
+}
+
+/// Shared state that contains a part of the node's configuration.
+pub(crate) trait SharedConfig: SharedState {
+    /// The committed configuration; `None` if there is none, or it is not known yet.
+    fn config(&self) -> Option<ConfigRevision>;
+}
+
+/// Parses a committed endpoint list; logs why it can't be used.
+fn parse_list(version: u64, text: &str) -> Option<EndpointList> {
+    match serde_json::from_str(text) {
+        Ok(list) => Some(list),
+        Err(error) => {
+            warn!(event = "list_unreadable", version, %error, "the committed endpoint list is not used");
+            None
+        }
+    }
+}
--- /dev/null
+++ b/crates/cli/src/shared_state/subscriber.rs
@@ -0,0 +1,133 @@
+//! Shared state of a node that only subscribes to the store: it receives what is committed, and can change nothing.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+
+use stonefold_node::overrides::{Override, Overrides};
+use stonefold_node::shared::{BoxFuture, SharedState};
+use stonefold_proto::endpoints::EndpointList;
+use stonefold_store::feed::frame::{Item, ItemKey};
+use stonefold_store::feed::subscriber::Event;
+use stonefold_store::follower::{self, Follower, FollowerError, Settings};
+use stonefold_store::freshness::{Freshness, Verdict};
+use tracing::debug;
+
+use super::{CONFIG_DOCUMENT, ConfigRevision, SharedConfig, parse_list};
+
+/// The state of a subscriber.
+pub(crate) struct SubscriberState {
+    follower: Follower,
+    /// One more than the count of changes at the last call of `changed`; 0 before the first.
+    seen_changes: AtomicU64,
+    /// The versions in use. Every list that the subscriber holds is committed.
+    freshness: Mutex<Freshness>,
+}
+
+impl SubscriberState {
+    /// Starts the subscriber, and waits for the committed state as long as the settings allow.
+    ///
+    /// # Errors
+    /// If its folder, key or addresses can't be used.
+    pub(crate) fn start(settings: Settings) -> Result<Arc<SubscriberState>, FollowerError> {
+        let follower = follower::start(settings, Box::new(log_purge))?;
+        follower.wait();
+        let freshness = Mutex::new(Freshness::new(0, 0, follower.list_in_use));
+        Ok(Arc::new(SubscriberState { follower, seen_changes: AtomicU64::new(0), freshness }))
+    }
+
+    fn with_freshness<R>(&self, work: impl FnOnce(&mut Freshness) -> R) -> R {
+        let mut freshness = self.freshness.lock().unwrap_or_else(PoisonError::into_inner);
+        freshness.list_committed(self.follower.feed.view().list_version());
+        work(&mut freshness)
+    }
+}
+
+/// Purges are only logged: no cache server of this platform supports them.
+fn log_purge(event: &Event) {
+    debug!(event = "purge_records", records = ?event, "purge records were received");
+}
+
+impl SharedConfig for SubscriberState {
+    fn config(&self) -> Option<ConfigRevision> {
+        match self.follower.feed.view().item(&ItemKey::Document(CONFIG_DOCUMENT.into())) {
+            Some((revision, Item::Document { text, .. })) => Some(ConfigRevision { revision, text }),
+            _ => None,
+        }
+    }
+}
+
+impl SharedState for SubscriberState {
+    fn ready(&self) -> BoxFuture<'_, ()> {
+        let mut ready = self.follower.ready.clone();
+        // An error means that the subscriber has ended, which must not block the node.
+        Box::pin(async move { _ = ready.wait_for(|ready| *ready).await })
+    }
+
+    fn overrides(&self) -> Overrides {
+        let view = self.follower.feed.view();
+        let keys: Vec<&ItemKey> =
+            view.items().keys().filter(|key| matches!(key, ItemKey::Override(_))).collect();
+        let convert = |key: &ItemKey| match view.item(key) {
+            Some((_, Item::Override { server, admin_override: stored })) => {
+                Some((server, Override { disabled: stored.out_of_service, since_ms: stored.since_ms }))
+            }
+            _ => None,
+        };
+        keys.into_iter().filter_map(convert).collect()
+    }
+
+    fn changed(&self) -> bool {
+        // One more than the count, so that the first call returns true.
+        let changes = *self.follower.feed.view_changes().borrow() + 1;
+        self.seen_changes.swap(changes, Ordering::Relaxed) != changes
+    }
+
+    fn set_override(&self, _: String, _: Override) -> BoxFuture<'_, Result<(), String>> {
+        Box::pin(async {
+            Err("this node follows the store, and can't change it: order at a member's node".into())
+        })
+    }
+
+    fn newer_list(&self) -> Option<EndpointList> {
+        let in_use = self.with_freshness(|freshness| freshness.in_use());
+        let view = self.follower.feed.view();
+        if view.list_version() <= in_use.list {
+            return None;
+        }
+        match view.item(&ItemKey::List)?.1 {
+            Item::List { version, text } => parse_list(version, &text),
+            _ => None,
+        }
+    }
+
+    fn adopt_list(&self, version: u64) -> Result<(), u64> {
+        match self.with_freshness(|freshness| freshness.use_list(version)) {
+            Verdict::Newer | Verdict::Current => {
+                self.follower.feed.use_list(version);
+                Ok(())
+            }
+            Verdict::Stale { known } => Err(known),
+        }
+    }
+
+    /// Does nothing: members publish the lists that they receive from discovery.
+    fn publish_list(&self, _: u64, _: String, _: Vec<(String, u64)>) {}
+
+    fn config_after(&self, revision: u64) -> BoxFuture<'_, u64> {
+        Box::pin(async move {
+            let mut changes = self.follower.feed.view_changes();
+            loop {
+                if let Some(latest) = self.config().filter(|latest| latest.revision > revision) {
+                    return latest.revision;
+                }
+                if changes.changed().await.is_err() {
+                    return std::future::pending().await; // the subscriber has ended
+                }
+            }
+        })
+    }
+
+    fn config_applied(&self, revision: u64) {
+        self.with_freshness(|freshness| freshness.use_config(revision));
+    }
+}
