--- a/crates/observe/src/tests.rs
+++ b/crates/observe/src/tests.rs
@@ -56,7 +56,11 @@
     drop(logging);
     let lines: Vec<String> = read.iter().collect();
     assert_eq!(lines.len(), 2, "{lines:?}");
-    assert!(lines[0].contains(r#""event":"server_disabled""#) && lines[0].contains(r#""n":7"#), "{}", lines[0]);
+    assert!(
+        lines[0].contains(r#""event":"server_disabled""#) && lines[0].contains(r#""n":7"#),
+        "{}",
+        lines[0]
+    );
     assert!(lines[0].contains(r#"s-1\n\"x\""#), "{}", lines[0]);
     assert!(lines[0].ends_with("}\n") && lines[0].matches('\n').count() == 1, "one line an event");
     assert!(lines[1].contains(r#""event":"details""#), "{}", lines[1]);
