--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,4 @@
 //! A node on real sockets: carries out what the balancer decides, and reports to it what happens.
-#![allow(missing_docs, unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
 
 mod bind;
 mod client_limits;
