--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -11,7 +11,7 @@
         request: RequestId,
         /// Where to.
         server: ServerId,
-        /// The attempt's timeout; 0 means until the client gives up.
+        /// The attempt's timeout, which is never 0.
         timeout: Micros,
         /// It may not be sent at this time or later: a repeat of what may have run, which servers discard until then.
         send_before: Option<Micros>,
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -45,7 +45,7 @@
 /// How a value that no cache holds is fetched from the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheMode {
-    /// Cache-aside: a cache answers [`Outcome::CacheMiss`](super::Outcome::CacheMiss), and the node asks the origin,
+    /// Cache-aside: a cache answers [`Outcome::CacheMiss`](super::Outcome::CacheMiss), and the node fetches it from the origin,
     /// which is an endpoint of the list.
     Aside,
     /// Read-through and write-through: the cache fetches by itself; writes go through any cache.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -15,11 +15,11 @@
 
 use std::collections::HashMap;
 
+use answers::Ending;
 use stonefold_allotment::Sender;
 
 use crate::api::{Action, Event, Micros, RequestId, Settings};
 use crate::concurrency_limit::{INITIAL_LIMIT, initial_share};
-use crate::drain::Drain;
 use crate::endpoint_updates::EndpointWatch;
 use crate::idle_connections::IdleCheck;
 use crate::latency::ClassLatencies;
@@ -30,6 +30,7 @@
 use crate::request::OpenRequest;
 use crate::retry_budget::AttemptBudget;
 use crate::server_list::ServerList;
+use crate::shutdown::Shutdown;
 use crate::single_flight::SingleFlight;
 use crate::tier::Tiers;
 use crate::timers::Timer;
@@ -44,7 +45,7 @@
     rng: fastrand::Rng,
     /// The time of the latest event.
     now: Micros,
-    /// Which of all nodes this one is.
+    /// Which of all nodes this one is. Its quota at a server in slow start depends on it.
     sender: Sender,
     requests: HashMap<RequestId, OpenRequest>,
     servers: ServerList,
@@ -60,7 +61,7 @@
     single_flight: SingleFlight,
     idle_check: IdleCheck,
     watch: EndpointWatch,
-    drain: Drain,
+    shutdown: Shutdown,
 }
 
 impl Balancer {
@@ -88,7 +89,7 @@
             single_flight: SingleFlight::default(),
             idle_check: IdleCheck::new(),
             watch: EndpointWatch::default(),
-            drain: Drain::new(),
+            shutdown: Shutdown::new(),
             settings,
         }
     }
@@ -104,12 +105,12 @@
             Event::Request(request) => self.on_request(request, out),
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, out),
             Event::ResponseStarted(attempt) => self.on_response_started(attempt, out),
-            Event::ClientDisconnected(id) => self.settle(id, false, out),
+            Event::ClientDisconnected(id) => self.settle(id, Ending::Unserved, out),
             Event::Timer(token) => self.on_timer(token.into(), out),
             Event::Settings(settings) => self.reconfigure(*settings),
             Event::Disable(server) => self.disable(server, out),
             Event::Enable { server, since } => self.enable(server, since),
-            Event::Shutdown { deadline } => self.begin_drain(deadline, out),
+            Event::Shutdown { deadline } => self.begin_shutdown(deadline, out),
         }
     }
 
--- a/crates/balancer/src/balancer/answers.rs
+++ b/crates/balancer/src/balancer/answers.rs
@@ -5,6 +5,15 @@
 use crate::retry_after::retry_after;
 use crate::timers::Timer;
 
+/// Whether a request got a server's response, for the load estimate.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Ending {
+    /// A server's response was its final answer.
+    Served,
+    /// It was rejected, has failed, or its client has disconnected.
+    Unserved,
+}
+
 impl Balancer {
     /// How long a client whose request of this class is rejected should wait before it retries, in
     /// microseconds, with jitter; 0 where the settings allow no such advice.
@@ -24,16 +33,19 @@
         } else {
             out.push(Action::Fail(id));
         }
-        self.settle(id, false, out);
+        self.settle(id, Ending::Unserved, out);
     }
 
     /// The process ends at this time: every request is answered before.
-    pub(super) fn begin_drain(&mut self, ends_at: Micros, out: &mut Vec<Action>) {
-        self.drain.begin(ends_at);
+    pub(super) fn begin_shutdown(&mut self, ends_at: Micros, out: &mut Vec<Action>) {
+        self.shutdown.begin(ends_at);
         for request in self.requests.values_mut() {
-            request.deadline = self.drain.limit_deadline(request.deadline);
+            request.deadline = self.shutdown.limit_deadline(request.deadline);
         }
-        out.push(Action::SetTimer { after: self.drain.until_end(self.now), token: Timer::Shutdown.into() });
+        out.push(Action::SetTimer {
+            after: self.shutdown.until_end(self.now),
+            token: Timer::Shutdown.into(),
+        });
     }
 
     /// Answers all requests, in order of their ids.
@@ -47,17 +59,17 @@
 
     /// A request has its final answer or needs none any more. Its attempts are cancelled, except a fetch: the
     /// origin completes it in any case, and its value serves the reads that wait or come later.
-    pub(super) fn settle(&mut self, id: RequestId, served: bool, out: &mut Vec<Action>) {
+    pub(super) fn settle(&mut self, id: RequestId, ending: Ending, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.is_settled) else { return };
         request.is_settled = true;
         if let Some(position) = &request.queue_position {
             self.tiers.remove_queued(position);
         }
         let key = request.key;
-        match (request.is_streaming, served) {
+        match (request.is_streaming, ending) {
             (true, _) => {} // counted when the answer began
-            (false, true) => self.load.record_served(self.now),
-            (false, false) => self.load.record_unserved(self.now),
+            (false, Ending::Served) => self.load.record_served(self.now),
+            (false, Ending::Unserved) => self.load.record_unserved(self.now),
         }
         let fetching = self.fetching_attempt(id);
         self.cancel_attempts(id, fetching, out);
--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -1,6 +1,7 @@
 //! The end of an attempt: what the rules learn from it, and what its request does next.
 
 use super::Balancer;
+use super::answers::Ending;
 use crate::api::{Action, AttemptEnd, AttemptId, Micros, Outcome, RequestId, ServerId};
 use crate::concurrency_limit::{Congestion, cache_floor};
 use crate::congestion::ExpectedLatency;
@@ -34,7 +35,7 @@
         self.learn(end, ended.server);
         let lost = self.write_off_lost(ended.server);
         if end.settled {
-            self.settle(id, true, out);
+            self.settle(id, Ending::Served, out);
         } else {
             self.advance(id, out);
         }
@@ -82,7 +83,7 @@
         let zone = server.endpoint.zone;
         self.zones.record_outcome(zone, end.outcome, end.elapsed);
         let expected =
-            ExpectedLatency { objective, zone_latency: self.zones.extra_latency(zone), tier: server.tier() };
+            ExpectedLatency { objective, extra_latency: self.zones.extra_latency(zone), tier: server.tier() };
         let congestion = assess_congestion(server, end, &expected, self.now);
         if end.outcome == Outcome::NotSent {
             return;
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -37,7 +37,7 @@
             None => self.rng.u64(..),
         };
         let rules = self.rules_for(&request);
-        let deadline = self.drain.limit_deadline(self.now.saturating_add(request.timeout));
+        let deadline = self.shutdown.limit_deadline(self.now.saturating_add(request.timeout));
         self.requests.insert(id, OpenRequest::new(&request, key, rules, self.now, deadline));
         self.hedge_budget.earn();
         self.retry_budget.earn();
@@ -109,7 +109,7 @@
     pub(super) fn send_to_cache(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let stored_at = request.stored_at.take();
-        let may_fetch = self.settings.cache_mode == CacheMode::Aside && request.is_repeatable();
+        let may_fetch = self.settings.cache_mode == CacheMode::Aside && request.is_idempotent_read();
         if stored_at.is_some_and(|server| self.send(id, server, out)) {
             return;
         }
--- a/crates/balancer/src/balancer/sending.rs
+++ b/crates/balancer/src/balancer/sending.rs
@@ -47,7 +47,7 @@
     fn check_send(&self, request: &OpenRequest, server: &Server) -> Result<Permit, Denied> {
         let latency = self.expected_latency(server, request.rules.class);
         let attempt_time =
-            min_attempt_time(latency, request.is_repeatable(), self.settings.timer_granularity);
+            min_attempt_time(latency, request.is_idempotent_read(), self.settings.timer_granularity);
         let send = ProposedSend { request, server, now: self.now, attempt_time };
         let endpoint = |id| self.servers.get(id).map(|server| &server.endpoint);
         send.check(endpoint, || self.remaining_calls(server))
--- a/crates/balancer/src/balancer/waiting.rs
+++ b/crates/balancer/src/balancer/waiting.rs
@@ -85,7 +85,7 @@
         let Some(request) = self.requests.get(&id) else { return self.now };
         let latency = self.class_latencies.get(request.rules.class);
         let attempt_time =
-            min_attempt_time(latency, request.is_repeatable(), self.settings.timer_granularity);
+            min_attempt_time(latency, request.is_idempotent_read(), self.settings.timer_granularity);
         give_up_at(request, attempt_time)
     }
 
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -120,8 +120,8 @@
         !self.is_full() && self.congestion_ratio <= HEDGING_RATIO
     }
 
-    /// The probability with which an optional attempt should wait: none up to the overload ratio, and rising
-    /// with the ratio above it.
+    /// The probability with which a read should wait for an overloaded tier: the congestion ratio less the
+    /// overload ratio. Negative without overload, which stands for never.
     pub(crate) fn delay_probability(&self) -> f64 {
         self.congestion_ratio - OVERLOAD_RATIO
     }
--- a/crates/balancer/src/congestion.rs
+++ b/crates/balancer/src/congestion.rs
@@ -1,6 +1,6 @@
 //! Whether a finished attempt shows that its tier is congested.
 //!
-//! A queue shows in the response time before the latency objective is missed: each leg of a request gets its
+//! A queue shows in the response time before the latency objective is missed: each hop of a request gets its
 //! part of the objective. What answers of a zone take beyond the nearest zone's is no queueing, so a tier
 //! that is far away doesn't seem congested; if a zone queues for so long that no quick answer of it is
 //! remembered, its queueing passes for distance and shows only beyond the objective.
@@ -13,10 +13,10 @@
 
 /// A server that reports more of its cores in use than this is about to queue.
 const SATURATED_UTILIZATION: f64 = 0.95;
-/// Legs of a read whose cache missed: the cache, the origin and the cache again.
-const LEGS_OF_MISS: Micros = 3;
-/// Legs of a request that goes to the origin.
-const LEGS_VIA_ORIGIN: Micros = 2;
+/// Hops of a read whose cache missed: the cache, the origin and the cache again.
+const HOPS_OF_MISS: Micros = 3;
+/// Hops of a request that goes to the origin.
+const HOPS_VIA_ORIGIN: Micros = 2;
 /// An answer within the objective divided by this was not queued at all.
 const PROMPT_ANSWER_DIVISOR: Micros = 3;
 
@@ -26,7 +26,7 @@
     /// The latency objective of the request, in microseconds.
     pub(crate) objective: Micros,
     /// What answers of the server's zone take beyond the nearest zone's, in microseconds.
-    pub(crate) zone_latency: Micros,
+    pub(crate) extra_latency: Micros,
     /// The tier of the server.
     pub(crate) tier: Tier,
 }
@@ -34,14 +34,14 @@
 impl ExpectedLatency {
     /// Whether the server answered so soon that it has no queue.
     pub(crate) fn is_prompt_answer(&self, end: &AttemptEnd) -> bool {
-        let prompt = self.objective.min(self.objective / PROMPT_ANSWER_DIVISOR + self.zone_latency);
+        let prompt = self.objective.min(self.objective / PROMPT_ANSWER_DIVISOR + self.extra_latency);
         matches!(end.outcome, Outcome::Success | Outcome::CacheMiss) && end.elapsed <= prompt
     }
 
     /// What a finished attempt shows, if anything. `was_overtaken` means that the server promptly answered an
     /// attempt sent later.
     pub(crate) fn congestion(&self, end: &AttemptEnd, was_overtaken: bool) -> Option<Congestion> {
-        let is_queued = end.utilization > Some(SATURATED_UTILIZATION) || end.elapsed > self.leg_limit(end);
+        let is_queued = end.utilization > Some(SATURATED_UTILIZATION) || end.elapsed > self.hop_limit(end);
         let queueing = if is_queued { Congestion::Present } else { Congestion::Absent };
         match end.outcome {
             // Lost on the way: a queue would have answered it first.
@@ -56,13 +56,13 @@
         }
     }
 
-    /// The time that one leg of the request may take without queueing.
-    fn leg_limit(&self, end: &AttemptEnd) -> Micros {
-        let legs = match (end.outcome, self.tier) {
-            (Outcome::CacheMiss, _) => LEGS_OF_MISS,
-            (_, Tier::Origin) => LEGS_VIA_ORIGIN,
+    /// The time that one hop of the request may take without queueing.
+    fn hop_limit(&self, end: &AttemptEnd) -> Micros {
+        let hops = match (end.outcome, self.tier) {
+            (Outcome::CacheMiss, _) => HOPS_OF_MISS,
+            (_, Tier::Origin) => HOPS_VIA_ORIGIN,
             (_, Tier::Caches) => 1,
         };
-        self.objective.min(self.objective / legs + self.zone_latency)
+        self.objective.min(self.objective / hops + self.extra_latency)
     }
 }
--- a/crates/balancer/src/endpoint_updates.rs
+++ b/crates/balancer/src/endpoint_updates.rs
@@ -20,7 +20,7 @@
 /// The watch of the endpoint list.
 #[derive(Default)]
 pub(crate) struct EndpointWatch {
-    /// Attempts to watch that failed in a row; none before the first.
+    /// Watches that failed in a row; none before the first watch was started.
     failures: Option<u32>,
 }
 
--- a/crates/balancer/src/in_flight.rs
+++ b/crates/balancer/src/in_flight.rs
@@ -39,21 +39,21 @@
 /// This node's attempts in flight at one server.
 #[derive(Default)]
 pub(crate) struct InFlight {
-    /// Those that count, the first to become overdue first.
+    /// Those that count against the concurrency limit, the first to become overdue first.
     attempts: BTreeSet<InFlightAttempt>,
     /// Those written off: lost, or with an answer that has begun.
     written_off: BTreeSet<AttemptId>,
-    /// When the latest attempt was sent that was answered promptly.
+    /// When the latest of the promptly answered attempts was sent.
     promptly_answered: Micros,
 }
 
 impl InFlight {
-    /// Attempts that count.
+    /// The number of attempts that count against the concurrency limit.
     pub(crate) fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether no attempt counts.
+    /// Whether no attempt counts against the concurrency limit.
     pub(crate) fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
@@ -80,7 +80,7 @@
     }
 
     /// An answer has begun: the attempt is no longer waited for, however long the answer is. Returns whether
-    /// it counted until now.
+    /// it counted against the concurrency limit until now.
     pub(crate) fn write_off(&mut self, id: AttemptId) -> bool {
         let counted = self.remove(id).is_some();
         if counted {
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -136,13 +136,13 @@
     }
 
     /// Whether it is a read that may run any number of times.
-    pub(crate) fn is_repeatable(&self) -> bool {
+    pub(crate) fn is_idempotent_read(&self) -> bool {
         !self.is_write && self.rules.idempotency == Idempotency::Idempotent
     }
 
     /// Whether a second attempt may be sent while one is in flight.
     pub(crate) fn allows_hedging(&self) -> bool {
-        self.rules.may_hedge && self.is_repeatable() && !self.is_streaming
+        self.rules.may_hedge && self.is_idempotent_read() && !self.is_streaming
     }
 
     /// Whether a client may repeat it without harm when it is rejected.
@@ -151,8 +151,8 @@
             || !self.attempts.iter().any(Attempt::may_take_effect)
     }
 
-    /// Until when an idempotent request that may have taken effect can be sent again: afterwards the servers
-    /// may not discard the repeat.
+    /// Until when a request with an idempotency key that may have taken effect can be sent again: afterwards
+    /// the servers may not discard the repeat. None where a repeat needs no time limit.
     pub(crate) fn send_before(&self) -> Option<Micros> {
         let Idempotency::Keyed { window, .. } = self.rules.idempotency else { return None };
         let window = window - window / CLOCK_MARGIN_DIVISOR;
--- a/crates/balancer/src/server_list.rs
+++ b/crates/balancer/src/server_list.rs
@@ -13,7 +13,8 @@
 pub struct CacheCounts {
     /// Caches in the endpoint list.
     pub listed: usize,
-    /// Listed caches that get no requests now: disabled, ejected, or in a zone that can't be reached.
+    /// Listed caches that get no requests now, or only probes: disabled, suspected to be outliers, or in a
+    /// zone that can't be reached.
     pub avoided: usize,
 }
 
--- a/crates/balancer/src/drain.rs
+++ b/crates/balancer/src/shutdown.rs
@@ -1,16 +1,17 @@
-//! Graceful shutdown: every request is answered before the process ends.
+//! Graceful shutdown of this node: every request is answered before the process ends. A server that
+//! drains has an [`EndpointState`](crate::api::EndpointState) instead.
 
 use crate::api::Micros;
 
-/// When the process ends, as far as is known.
-pub(crate) struct Drain {
+/// When the process ends, in microseconds; `Micros::MAX` until a shutdown begins.
+pub(crate) struct Shutdown {
     ends_at: Micros,
 }
 
-impl Drain {
-    /// No end is known.
+impl Shutdown {
+    /// No shutdown has begun.
     pub(crate) fn new() -> Self {
-        Drain { ends_at: Micros::MAX }
+        Shutdown { ends_at: Micros::MAX }
     }
 
     /// The process ends at this time.
