--- a/crates/allotment/src/lib.rs
+++ b/crates/allotment/src/lib.rs
@@ -1,10 +1,11 @@
 //! A call quota for a server in slow start, split among many senders without a message between them.
 //!
-//! A server that warms up handles a budget of `N` calls in any span of a stated length, from all senders together.
-//! The budget is cut into whole [`tokens`], and these are dealt to the senders by their rank in an order that all
+//! A server that warms up handles a budget of `N` calls in any window of a stated length, from all senders together. A
+//! call is one attempt at the server.
+//! The budget is cut into whole [`tokens`], and these are divided among the senders by their rank in an order that all
 //! compute alike from the server's id (deterministic subsetting): with fewer tokens than senders only the first
 //! ranks have one. Each sender keeps to its [`Quota`] with a sliding window log, so that the sum over all senders
-//! stays within the tokens in every span, whatever traffic each of them meets.
+//! stays within the tokens in every window, whatever traffic each of them meets.
 //!
 //! No I/O, no clock, no randomness: the time is passed in. Times and durations are whole microseconds of one clock.
 //!
--- a/crates/allotment/src/quota.rs
+++ b/crates/allotment/src/quota.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub struct Quota {
     server: u64,
-    /// The sender's place in the order for this server.
+    /// The sender's rank in the order for this server, from 0.
     rank: u64,
     /// The index and the number of senders for which the rank holds; a number of 0 means none yet.
     index: u64,
@@ -65,12 +65,12 @@
         if (index, senders) == (self.index, self.senders) {
             return;
         }
-        let place = |number: u64| xxh3_64_with_seed(&number.to_le_bytes(), self.server);
-        let own_place = place(index);
-        let ranks_before = |&other: &u64| (place(other), other) < (own_place, index);
+        let order_key = |number: u64| xxh3_64_with_seed(&number.to_le_bytes(), self.server);
+        let own_key = order_key(index);
+        let ranks_before = |&other: &u64| (order_key(other), other) < (own_key, index);
         self.rank = (0..senders).filter(ranks_before).count() as u64;
         // The low bits of the hash are independent of the rank.
-        self.phase = (place(sender.distinct_number()) & PHASE_MASK) as f64 / PHASES;
+        self.phase = (order_key(sender.distinct_number()) & PHASE_MASK) as f64 / PHASES;
         self.index = index;
         self.senders = senders;
     }
--- a/crates/allotment/src/slow_start.rs
+++ b/crates/allotment/src/slow_start.rs
@@ -2,11 +2,11 @@
 
 use crate::Micros;
 
-/// The part of the budget that is dealt as tokens ...
-const DEALT_FRACTION: f64 = 0.85;
-/// ... and what is dealt beside it, in square roots of the budget. The rest, up to `N + 2√N + 2`, is left to
+/// The part of the budget that is issued as tokens ...
+const TOKEN_FRACTION: f64 = 0.85;
+/// ... and what is issued beside it, in square roots of the budget. The rest, up to `N + 2√N + 2`, is left to
 /// estimates that differ and to calls that cost more than the mean.
-const DEALT_ROOTS: f64 = 1.0;
+const TOKEN_ROOTS: f64 = 1.0;
 /// A window's capacity is that at its middle: the window divided by this before its end.
 const MIDDLE_DIVISOR: Micros = 2;
 /// Microseconds per second.
@@ -41,7 +41,7 @@
     }
 }
 
-/// The number of calls that are dealt of a budget: at least one, and never more than `budget + 2√budget + 2`.
+/// The number of calls of a budget that are issued as tokens: at least one, and never more than `budget + 2√budget + 2`.
 pub fn tokens(budget: f64) -> u64 {
-    (DEALT_FRACTION * budget + DEALT_ROOTS * budget.max(0.0).sqrt()).max(1.0) as u64
+    (TOKEN_FRACTION * budget + TOKEN_ROOTS * budget.max(0.0).sqrt()).max(1.0) as u64
 }
--- a/crates/proto/src/endpoints.rs
+++ b/crates/proto/src/endpoints.rs
@@ -64,7 +64,7 @@
     /// The machine type of a cache server, or the type that marks the origin.
     #[serde(default)]
     pub kind: String,
-    /// The group of servers with which this one shares its keys.
+    /// The cell: a few servers that know the idempotency keys of each other's requests.
     #[serde(default)]
     pub cell: u32,
     /// Whether the server accepts requests.
