--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -20,7 +20,7 @@
 use crate::message::{Message, SharedSettings};
 
 use client::{Connection, PollError};
-use poll_schedule::{Outcome, PollSchedule};
+use poll_schedule::{PollOutcome, PollSchedule};
 
 /// Follows the endpoint list.
 pub(crate) struct EndpointWatcher {
@@ -128,7 +128,7 @@
         let connection = self.connection.take();
         let result = timeout(poll.timeout, client::fetch(connection, address, &path)).await;
         let result = result.unwrap_or(Err(PollError::TimedOut("before an answer")));
-        let outcome = result.as_ref().map_or_else(PollError::outcome, |_| Outcome::Answered);
+        let outcome = result.as_ref().map_or_else(PollError::outcome, |_| PollOutcome::Answered);
         self.schedule.on_end(poll, outcome, started.elapsed());
         match result {
             Ok((list, connection)) => {
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-use super::poll_schedule::{BODY_TIMEOUT, CONNECT_TIMEOUT, Outcome};
+use super::poll_schedule::{BODY_TIMEOUT, CONNECT_TIMEOUT, PollOutcome};
 
 /// The longest body of an answer that is read, in bytes.
 const MAX_BODY_LEN: usize = 4 << 20;
@@ -44,11 +44,11 @@
     }
 
     /// The same for the poll schedule.
-    pub(super) fn outcome(&self) -> Outcome {
+    pub(super) fn outcome(&self) -> PollOutcome {
         match self {
-            PollError::TimedOut(_) => Outcome::TimedOut,
-            PollError::Rejected(_) => Outcome::Rejected,
-            PollError::Unreadable | PollError::Broken(_) => Outcome::Broken,
+            PollError::TimedOut(_) => PollOutcome::TimedOut,
+            PollError::Rejected(_) => PollOutcome::Rejected,
+            PollError::Unreadable | PollError::Broken(_) => PollOutcome::Broken,
         }
     }
 }
--- a/crates/node/src/discovery/poll_schedule.rs
+++ b/crates/node/src/discovery/poll_schedule.rs
@@ -75,7 +75,7 @@
 
 /// How a poll ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Outcome {
+pub(super) enum PollOutcome {
     /// With a list, or without changes.
     Answered,
     /// Discovery answered with an error status.
@@ -118,7 +118,8 @@
         self.failures
     }
 
-    /// Discovery has a new address: it is polled there at once, since changes count as notified 4 s later.
+    /// Discovery has a new address: it is polled there at once, since its changes have 4 s to be notified,
+    /// less than [`NOTIFICATION_DEADLINE`].
     pub(super) fn on_new_address(&mut self) {
         *self = PollSchedule { watch_wait: self.watch_wait, missed_changes: true, ..PollSchedule::new(true) };
     }
@@ -162,8 +163,8 @@
     }
 
     /// Notes how a poll has ended, and how long it took.
-    pub(super) fn on_end(&mut self, poll: Poll, outcome: Outcome, took: Duration) {
-        if outcome == Outcome::Answered {
+    pub(super) fn on_end(&mut self, poll: Poll, outcome: PollOutcome, took: Duration) {
+        if outcome == PollOutcome::Answered {
             *self = PollSchedule { watch_wait: self.watch_wait, ..PollSchedule::new(false) };
             // A change before the wait is over shows nothing of a queue.
             if !poll.wait.is_zero() && took >= poll.wait {
@@ -173,12 +174,12 @@
         }
         self.failures = self.failures.saturating_add(1);
         // After a timeout, polls are immediate until one is answered: a second silence must not last as long as a watch.
-        self.missed_changes |= outcome == Outcome::TimedOut;
+        self.missed_changes |= outcome == PollOutcome::TimedOut;
         self.immediate |= self.missed_changes;
         // A long watch that broke has used up nothing of the spacing: those of all nodes may have broken at once.
-        let counts = outcome == Outcome::TimedOut || took < MAX_POLL_SPACING;
+        let counts = outcome == PollOutcome::TimedOut || took < MAX_POLL_SPACING;
         self.spacing_used = if counts { took } else { Duration::ZERO };
-        if outcome == Outcome::Rejected {
+        if outcome == PollOutcome::Rejected {
             self.adapt_watch_wait(true);
         }
     }
--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -8,7 +8,7 @@
 use stonefold_model::site::DiscoveryKind;
 use stonefold_model::{Discovery, Listed, State};
 
-use crate::discovery::poll_schedule::{CONNECT_TIMEOUT, Outcome, Poll, PollSchedule};
+use crate::discovery::poll_schedule::{CONNECT_TIMEOUT, Poll, PollOutcome, PollSchedule};
 use crate::message::DiscoverySettings;
 
 mod scenario;
@@ -157,7 +157,7 @@
                 }
                 Event::TimedOut(node, count) if self.nodes[node].count == count => {
                     if self.nodes[node].state != PollState::Idle {
-                        self.end(node, Outcome::TimedOut);
+                        self.end(node, PollOutcome::TimedOut);
                     }
                 }
                 Event::Change => self.change(),
@@ -208,7 +208,10 @@
             }
             None => {
                 self.figures.rejected += u64::from(now >= START);
-                self.end(index, if now < self.down_until { Outcome::Broken } else { Outcome::Rejected });
+                self.end(
+                    index,
+                    if now < self.down_until { PollOutcome::Broken } else { PollOutcome::Rejected },
+                );
             }
         }
     }
@@ -225,7 +228,7 @@
 
     fn answer(&mut self, index: usize) {
         self.receive_list(index, self.discovery.version());
-        self.end(index, Outcome::Answered);
+        self.end(index, PollOutcome::Answered);
     }
 
     /// The node receives the list of this version.
@@ -240,7 +243,7 @@
     }
 
     /// The poll has ended, and the next is scheduled.
-    fn end(&mut self, index: usize, outcome: Outcome) {
+    fn end(&mut self, index: usize, outcome: PollOutcome) {
         let node = &mut self.nodes[index];
         node.state = PollState::Idle;
         if node.count > 0 {
@@ -264,7 +267,10 @@
     fn take_discovery_down(&mut self) {
         self.down_until = self.now + FAULT_DURATION;
         self.discovery.set_unavailable_until(self.down_until);
-        self.for_each_in(|state| state != PollState::Idle, |fleet, index| fleet.end(index, Outcome::Broken));
+        self.for_each_in(
+            |state| state != PollState::Idle,
+            |fleet, index| fleet.end(index, PollOutcome::Broken),
+        );
     }
 
     fn silence_watches(&mut self) {
--- a/crates/node/src/discovery/tests/schedule.rs
+++ b/crates/node/src/discovery/tests/schedule.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::discovery::poll_schedule::{Outcome, Poll, PollSchedule};
+use crate::discovery::poll_schedule::{Poll, PollOutcome, PollSchedule};
 use crate::message::DiscoverySettings;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -18,7 +18,8 @@
 /// A schedule after so many polls that were rejected at once.
 fn rejected(times: u32, settings: DiscoverySettings) -> PollSchedule {
     let mut schedule = PollSchedule::new(false);
-    (0..times).for_each(|_| schedule.on_end(next(&schedule, settings, 0), Outcome::Rejected, Duration::ZERO));
+    (0..times)
+        .for_each(|_| schedule.on_end(next(&schedule, settings, 0), PollOutcome::Rejected, Duration::ZERO));
     schedule
 }
 
@@ -33,7 +34,7 @@
     let mut schedule = PollSchedule::new(false);
     let mut answered = |late: Duration| {
         let poll = next(&schedule, pushed(300), 1);
-        schedule.on_end(poll, Outcome::Answered, poll.wait + late);
+        schedule.on_end(poll, PollOutcome::Answered, poll.wait + late);
         next(&schedule, pushed(300), 1).wait
     };
     let overloaded: Vec<u64> = (0..5).map(|_| answered(SECOND).as_secs()).collect();
@@ -81,7 +82,7 @@
         for (times, took) in [(0, SECOND), (1, Duration::from_millis(5)), (4, 2 * SECOND)] {
             let mut schedule = rejected(times, settings);
             let poll = next(&schedule, settings, 7);
-            schedule.on_end(poll, Outcome::Answered, took);
+            schedule.on_end(poll, PollOutcome::Answered, took);
             let watch = next(&schedule, settings, 7);
             assert!(watch.backoff.is_zero() && !watch.wait.is_zero(), "{watch:?}");
         }
@@ -93,12 +94,12 @@
     let shared = DiscoverySettings { watch: true, ..pushed(300) };
     let (mut moved, mut silent) = (PollSchedule::new(false), PollSchedule::new(false));
     moved.on_new_address();
-    silent.on_end(next(&silent, shared, 1), Outcome::TimedOut, 11 * SECOND);
+    silent.on_end(next(&silent, shared, 1), PollOutcome::TimedOut, 11 * SECOND);
     for mut schedule in [moved, silent] {
-        schedule.on_end(next(&schedule, shared, 1), Outcome::Rejected, Duration::ZERO);
+        schedule.on_end(next(&schedule, shared, 1), PollOutcome::Rejected, Duration::ZERO);
         let poll = next(&schedule, shared, 1);
         assert!(poll.wait.is_zero() && poll.backoff < SECOND, "{poll:?}");
-        schedule.on_end(poll, Outcome::Answered, 2 * SECOND);
+        schedule.on_end(poll, PollOutcome::Answered, 2 * SECOND);
         assert!(next(&schedule, shared, 1).backoff.is_zero());
     }
 }
@@ -117,11 +118,11 @@
         let mut schedule = PollSchedule::new(rng.bool());
         for _ in 0..20 {
             let poll = schedule.next(settings, &mut rng);
-            let outcome = [Outcome::Rejected, Outcome::Broken, Outcome::TimedOut][rng.usize(..3)];
+            let outcome = [PollOutcome::Rejected, PollOutcome::Broken, PollOutcome::TimedOut][rng.usize(..3)];
             let took = if rng.bool() { poll.timeout } else { poll.timeout.mul_f64(rng.f64()) };
             schedule.on_end(poll, outcome, took);
             let again = schedule.next(settings, &mut rng);
-            if outcome == Outcome::TimedOut {
+            if outcome == PollOutcome::TimedOut {
                 assert!(again.wait.is_zero(), "a second silence is noticed at once");
             }
             let next = Duration::from_millis(2_200); // connect, queueing and answer
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -69,8 +69,8 @@
     pub(crate) metrics: Arc<Metrics>,
     /// The number of connections to servers, for the limit on client connections.
     pub(crate) server_connections: Arc<AtomicUsize>,
-    /// Notified when the endpoint list is to be subscribed to.
-    pub(crate) subscribe: Arc<Notify>,
+    /// Notified when the balancer requests that discovery is watched.
+    pub(crate) watch_requested: Arc<Notify>,
     /// Sends to `inbox`.
     pub(crate) sender: UnboundedSender<Message>,
     pub(crate) inbox: UnboundedReceiver<Message>,
@@ -102,7 +102,7 @@
     events: VecDeque<Event>,
     /// An empty buffer for the balancer's actions.
     actions: Vec<Action>,
-    subscribe: Arc<Notify>,
+    watch_requested: Arc<Notify>,
     sender: UnboundedSender<Message>,
     inbox: UnboundedReceiver<Message>,
     control: Receiver<Control>,
@@ -135,7 +135,7 @@
             timers: DelayQueue::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
-            subscribe: context.subscribe,
+            watch_requested: context.watch_requested,
             sender: context.sender,
             inbox: context.inbox,
             control: context.control,
@@ -262,7 +262,7 @@
                 let after = Duration::from_micros(after).min(MAX_TIMER);
                 self.timers.insert_at(Timer::Balancer(token), self.now + after);
             }
-            Action::WatchEndpoints => self.subscribe.notify_one(),
+            Action::WatchEndpoints => self.watch_requested.notify_one(),
             Action::CloseIdleConnections(server) => self.directory.disconnect(server),
         }
     }
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -60,11 +60,11 @@
         let (control_sender, control) = mpsc::channel(CONTROL_CAPACITY);
         let (address_sender, address) = watch::channel(config.discovery);
         let (settings_sender, settings) = watch::channel(SharedSettings::from(&config.settings));
-        let subscribe = Arc::new(Notify::new());
+        let watch_requested = Arc::new(Notify::new());
         let version = config.known.version;
         let known_version = (!config.known.servers.is_empty()).then_some(version);
         let watcher =
-            EndpointWatcher::new(subscribe.clone(), known_version, settings, config.seed, to_driver);
+            EndpointWatcher::new(watch_requested.clone(), known_version, settings, config.seed, to_driver);
         let store = Arc::new(OverrideStore::File(OverrideFile::of_node()));
         store.changed(); // what is loaded below is no change
         config.source = ConfigSource::default();
@@ -76,7 +76,7 @@
             budget: config.relay_budget(),
             metrics,
             server_connections: Arc::new(AtomicUsize::new(0)),
-            subscribe,
+            watch_requested,
             sender: to_self.clone(),
             inbox,
             control,
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -55,7 +55,7 @@
     clients: ClientServer,
     membership: Option<Membership>,
     stalls: StallMonitor,
-    /// Whether requests are served, for operators.
+    /// What operators are told as `READY`: true once requests are served, false from the start of a shutdown.
     serving: Arc<AtomicBool>,
 }
 
@@ -85,10 +85,10 @@
         let (new_settings, settings) = watch::channel(SharedSettings::from(&config.settings));
         let handles = Handles { driver, control, metrics, settings };
         handles.register_classes();
-        let subscribe = Arc::new(Notify::new());
-        let list_watch = handles.list_watch(&config, subscribe.clone());
+        let watch_requested = Arc::new(Notify::new());
+        let endpoint_watcher = handles.endpoint_watcher(&config, watch_requested.clone());
         let (store, overrides) = handles.start_override_store(&config).await;
-        let context = handles.driver_context(&config, subscribe, inbox, control_inbox);
+        let context = handles.driver_context(&config, watch_requested, inbox, control_inbox);
         let stalls = context.stalls.clone();
         let client_context = handles.client_context(&config, &context);
         let reloader = handles.reloader(&mut config, new_address, new_settings);
@@ -101,7 +101,7 @@
             handles.start_operator(addr, store, membership.clone(), serving.clone())?;
         }
         let driver = tokio::spawn(driver.run());
-        tokio::spawn(list_watch.run(address));
+        tokio::spawn(endpoint_watcher.run(address));
         tokio::spawn(reloader.run(reload));
         tokio::spawn(stalls.clone().run(handles.metrics.clone()));
         let clients = ClientServer::start(client_context, listener);
@@ -155,10 +155,16 @@
     }
 
     /// The watch on discovery, which continues from the known list. An empty list has no version to continue from.
-    fn list_watch(&self, config: &Config, subscribe: Arc<Notify>) -> EndpointWatcher {
+    fn endpoint_watcher(&self, config: &Config, watch_requested: Arc<Notify>) -> EndpointWatcher {
         let known = &config.known;
         let version = (!known.servers.is_empty()).then_some(known.version);
-        EndpointWatcher::new(subscribe, version, self.settings.clone(), config.seed, self.driver.clone())
+        EndpointWatcher::new(
+            watch_requested,
+            version,
+            self.settings.clone(),
+            config.seed,
+            self.driver.clone(),
+        )
     }
 
     /// Loads the overrides of operators, and starts to follow changes that are made elsewhere.
@@ -179,7 +185,7 @@
     fn driver_context(
         &self,
         config: &Config,
-        subscribe: Arc<Notify>,
+        watch_requested: Arc<Notify>,
         inbox: UnboundedReceiver<Message>,
         control: mpsc::Receiver<Control>,
     ) -> DriverContext {
@@ -188,7 +194,7 @@
             budget: config.relay_budget(),
             metrics: self.metrics.clone(),
             server_connections: Arc::default(),
-            subscribe,
+            watch_requested,
             sender: self.driver.clone(),
             inbox,
             control,
