--- a/crates/node/src/clients/command.rs
+++ b/crates/node/src/clients/command.rs
@@ -20,7 +20,7 @@
 
 /// Why a complete command cannot be executed. The text is sent to the client.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum CommandError {
+pub(crate) enum ClientCommandError {
     #[error("unknown command")]
     UnknownCommand,
     #[error("wrong arguments")]
@@ -40,23 +40,24 @@
 /// # Errors
 ///
 /// Fails if the command is unknown or its arguments are invalid.
-pub(crate) fn parse_command(arguments: &[Bytes]) -> Result<ClientRequest, CommandError> {
-    let Some((name, rest)) = arguments.split_first() else { return Err(CommandError::UnknownCommand) };
+pub(crate) fn parse_command(arguments: &[Bytes]) -> Result<ClientRequest, ClientCommandError> {
+    let Some((name, rest)) = arguments.split_first() else { return Err(ClientCommandError::UnknownCommand) };
     let is_get = name.eq_ignore_ascii_case(b"CACHE.GET");
     let is_set = name.eq_ignore_ascii_case(b"CACHE.SET");
     let (key, id, metadata, value) = match rest {
         [key, id, metadata] if is_get => (key, id, metadata, None),
         [key, id, metadata, value] if is_set => (key, id, metadata, Some(value.clone())),
-        _ if is_get || is_set => return Err(CommandError::WrongArguments),
-        _ => return Err(CommandError::UnknownCommand),
+        _ if is_get || is_set => return Err(ClientCommandError::WrongArguments),
+        _ => return Err(ClientCommandError::UnknownCommand),
     };
     if value.as_ref().is_some_and(|value| value.len() > MAX_VALUE_BYTES) {
-        return Err(CommandError::ValueTooLarge);
+        return Err(ClientCommandError::ValueTooLarge);
     }
-    let key = str::from_utf8(key).ok().filter(|key| !key.is_empty()).ok_or(CommandError::WrongArguments)?;
+    let key =
+        str::from_utf8(key).ok().filter(|key| !key.is_empty()).ok_or(ClientCommandError::WrongArguments)?;
     let total = key.len() + id.len() + metadata.len();
     if !is_header_value(id) || !is_header_value(metadata) || total > MAX_ARGUMENT_BYTES {
-        return Err(CommandError::WrongArguments);
+        return Err(ClientCommandError::WrongArguments);
     }
     // Copied, so that they do not keep the whole read buffer alive.
     let key = key.to_owned();
@@ -71,10 +72,10 @@
     !text.is_empty() && HeaderValue::from_bytes(text).is_ok()
 }
 
-fn parse_timeout(request: &ClientRequest) -> Result<Micros, CommandError> {
+fn parse_timeout(request: &ClientRequest) -> Result<Micros, ClientCommandError> {
     let timeout_ms = request.metadata_value(TIMEOUT_FIELD).and_then(|text| text.parse::<f64>().ok());
     let timeout_ms =
-        timeout_ms.filter(|ms| ms.is_finite() && *ms >= 0.0).ok_or(CommandError::InvalidDeadline)?;
+        timeout_ms.filter(|ms| ms.is_finite() && *ms >= 0.0).ok_or(ClientCommandError::InvalidDeadline)?;
     Ok(((timeout_ms * 1000.0) as Micros).min(MAX_TIMEOUT))
 }
 
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -12,7 +12,7 @@
 use tracing::trace;
 
 use super::{SMALL_BUFFER_BYTES, Session, UNANNOUNCED_BUFFER_BYTES};
-use crate::clients::command::{CommandError, into_arguments, parse_command};
+use crate::clients::command::{ClientCommandError, into_arguments, parse_command};
 use crate::clients::pending_replies::{
     OpenId, PendingReply, ReplyDeadline, RequestMemory, UnansweredRequest,
 };
@@ -30,6 +30,8 @@
 const MAX_COMMANDS_PER_TURN: usize = 32;
 /// What an open request is counted with in memory beside its command, in bytes.
 const REQUEST_OVERHEAD_BYTES: usize = 4 << 10;
+/// Open requests may occupy the clients' memory divided by this before each connection is limited to one.
+const REQUEST_MEMORY_DIVISOR: usize = 2;
 
 impl Session {
     /// The largest command that is read, in bytes: no larger than the buffer that there is a permit for.
@@ -40,12 +42,12 @@
         }
     }
 
-    /// Whether another command may be started. Open requests may occupy one half of the clients' memory, beyond which
-    /// each connection may have one.
+    /// Whether another command may be started. While the open requests of all connections occupy too much memory, a
+    /// connection may have one at a time.
     pub(super) fn may_start_command(&self) -> bool {
         let has_memory = || {
             let used = self.context.request_memory.load(Ordering::Relaxed);
-            used < self.context.limits.memory_bytes / 2
+            used < self.context.limits.memory_bytes / REQUEST_MEMORY_DIVISOR
         };
         self.malformed_at.is_none()
             && self.pending.len() < MAX_PENDING_REPLIES
@@ -101,17 +103,22 @@
         reply.unwrap_or_else(|error| PendingReply::Ready(BytesFrame::Error(format!("ERR {error}").into())))
     }
 
-    fn start_request(&mut self, request: ClientRequest, length: usize) -> Result<PendingReply, CommandError> {
+    fn start_request(
+        &mut self,
+        request: ClientRequest,
+        length: usize,
+    ) -> Result<PendingReply, ClientCommandError> {
         // Servers would reject a class that the settings lack. A request that names no class is served.
         let is_unknown = |class: &str| !self.context.settings.borrow().class_names.contains(class);
         if request.class_name().is_some_and(is_unknown) {
-            return Err(CommandError::UnknownClass);
+            return Err(ClientCommandError::UnknownClass);
         }
         if self.pending.open_requests() >= MAX_OPEN_REQUESTS {
             return Ok(self.reject_excess(&request));
         }
         // Servers treat requests with the same id as one, so that two clients would get one answer.
-        let open_id = OpenId::claim(&request.id, &self.context.open_ids).ok_or(CommandError::IdInUse)?;
+        let open_id =
+            OpenId::claim(&request.id, &self.context.open_ids).ok_or(ClientCommandError::IdInUse)?;
         let value_permit = if length >= SMALL_BUFFER_BYTES { self.buffer_permit.take() } else { None };
         let in_flight = InFlight::new(&self.context.metrics);
         let memory = RequestMemory::add(REQUEST_OVERHEAD_BYTES + length, &self.context.request_memory);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,9 @@
 //! A node on real sockets: carries out what the balancer decides, and reports to it what happens.
+//!
+//! `run` starts the parts and shuts them down. A session of `clients` reads a command and sends it as a `message` to the
+//! `driver`, the task that owns the balancer. The driver starts attempts at servers (`upstream`), and long values pass
+//! from there to the session through `relay`. `discovery` follows the endpoint list, `overrides` what operators have
+//! disabled, `reload` the configuration. `operator` answers operators on a thread of its own.
 
 mod bind;
 mod client_limits;
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -90,7 +90,7 @@
 pub(crate) struct IncomingRequest {
     pub(crate) id: RequestId,
     pub(crate) request: ClientRequest,
-    /// When its last byte was read.
+    /// The earliest time at which it may have arrived; its timeout counts from then.
     pub(crate) received_at: Instant,
     /// Takes the response.
     pub(crate) response: oneshot::Sender<Response>,
--- a/crates/node/src/operator/command.rs
+++ b/crates/node/src/operator/command.rs
@@ -7,7 +7,7 @@
 /// A command.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum OperatorCommand {
-    /// Whether clients' connections are accepted.
+    /// Whether the node serves requests; no longer once a shutdown has begun.
     Ready,
     /// The metrics.
     Stats,
@@ -21,7 +21,7 @@
 
 /// Why a line is no command. The texts are part of the answer.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub(super) enum CommandError {
+pub(super) enum OperatorCommandError {
     /// The line is blank.
     #[error("empty call")]
     Empty,
@@ -44,22 +44,28 @@
 
 impl OperatorCommand {
     /// Parses a line, its end of line included.
-    pub(super) fn parse(line: &[u8]) -> Result<OperatorCommand, CommandError> {
+    pub(super) fn parse(line: &[u8]) -> Result<OperatorCommand, OperatorCommandError> {
         let Some(text) = line.strip_suffix(b"\n") else {
             let too_long = line.len() as u64 >= MAX_COMMAND_LEN;
-            return Err(if too_long { CommandError::TooLong } else { CommandError::Unterminated });
+            return Err(if too_long {
+                OperatorCommandError::TooLong
+            } else {
+                OperatorCommandError::Unterminated
+            });
         };
-        let text = str::from_utf8(text).map_err(|_| CommandError::NotText)?;
+        let text = str::from_utf8(text).map_err(|_| OperatorCommandError::NotText)?;
         let words: Vec<&str> = text.split_ascii_whitespace().collect();
         match words[..] {
-            [] => Err(CommandError::Empty),
+            [] => Err(OperatorCommandError::Empty),
             ["READY"] => Ok(OperatorCommand::Ready),
             ["STATS"] => Ok(OperatorCommand::Stats),
             ["MEMBERS"] => Ok(OperatorCommand::Members),
             ["DISABLE", id] => Ok(OperatorCommand::Disable(id.into())),
             ["ENABLE", id] => Ok(OperatorCommand::Enable(id.into())),
-            ["READY" | "STATS" | "MEMBERS" | "DISABLE" | "ENABLE", ..] => Err(CommandError::WrongArguments),
-            _ => Err(CommandError::Unknown),
+            ["READY" | "STATS" | "MEMBERS" | "DISABLE" | "ENABLE", ..] => {
+                Err(OperatorCommandError::WrongArguments)
+            }
+            _ => Err(OperatorCommandError::Unknown),
         }
     }
 }
--- a/crates/node/src/operator/handler.rs
+++ b/crates/node/src/operator/handler.rs
@@ -18,7 +18,8 @@
 
 /// Answers the commands for one node.
 pub(crate) struct NodeHandler {
-    /// Whether clients' connections are accepted.
+    /// Whether the node serves requests. False from the start of a shutdown, although open requests are still
+    /// answered.
     pub(crate) serving: Arc<AtomicBool>,
     /// The driver's control channel.
     pub(crate) control: mpsc::Sender<Control>,
--- a/crates/node/src/overrides/store.rs
+++ b/crates/node/src/overrides/store.rs
@@ -117,7 +117,7 @@
                 let _ = control.send(Control::Overrides { overrides, applied: None }).await; // the driver may have ended
             }
             Err(error) => {
-                error!(event = "overrides_unreadable", %error, "those in force stay");
+                error!(event = "overrides_unreadable", %error, "the overrides in force stay");
                 unread = error.is_transient();
             }
         }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -66,7 +66,12 @@
     /// used.
     pub fn apply(&mut self, list: &EndpointList) -> bool {
         if let Err(known) = self.shared.adopt_list(list.version) {
-            warn!(event = "list_outdated", version = list.version, known, "an endpoint list is ignored");
+            warn!(
+                event = "list_outdated",
+                version = list.version,
+                known,
+                "an endpoint list older than the committed one is ignored"
+            );
             return false;
         }
         if list.full {
--- a/crates/node/src/upstream/cache_connection.rs
+++ b/crates/node/src/upstream/cache_connection.rs
@@ -66,7 +66,7 @@
         metrics.attempts_written.increment();
         metrics.deadline_excess.record(stated.excess(Instant::now()));
         match self.read_reply(relay).await {
-            Ok(Reply { result, reusable }) => (result, reusable.then_some(self)),
+            Ok(CacheReply { result, reusable }) => (result, reusable.then_some(self)),
             Err(outcome) => (AttemptResult::of(outcome), None),
         }
     }
@@ -81,18 +81,18 @@
     }
 
     /// Reads a reply; an error is the outcome of the attempt, after which the connection cannot be used.
-    async fn read_reply(&mut self, relay: RelayContext) -> Result<Reply, Outcome> {
+    async fn read_reply(&mut self, relay: RelayContext) -> Result<CacheReply, Outcome> {
         let mut buffer = BytesMut::new();
         loop {
             if let Some(length) = take_large_value_header(&mut buffer) {
                 let result = self.relay_value(length, buffer.freeze(), relay).await?;
-                return Ok(Reply { result, reusable: true });
+                return Ok(CacheReply { result, reusable: true });
             }
             if let Some(frame) =
                 decode_frame(&mut buffer, MAX_REPLY_BYTES).map_err(|_| Outcome::ServerError)?
             {
                 let result = parse_reply(frame).map_err(|_| Outcome::ServerError)?;
-                return Ok(Reply { result, reusable: buffer.is_empty() });
+                return Ok(CacheReply { result, reusable: buffer.is_empty() });
             }
             match self.0.read_buf(&mut buffer).await {
                 Ok(0) | Err(_) => return Err(Outcome::ConnectionReset),
@@ -168,7 +168,7 @@
 }
 
 /// A reply that was read.
-struct Reply {
+struct CacheReply {
     result: AttemptResult,
     /// Whether the connection can be used for another request.
     reusable: bool,
--- a/crates/node/src/upstream/directory/mod.rs
+++ b/crates/node/src/upstream/directory/mod.rs
@@ -25,6 +25,11 @@
 use super::start_times::{ListArrival, StartTimes};
 use crate::metrics::Metrics;
 
+/// An idle connection is closed when this many parts ...
+const MAX_IDLE_PARTS: u32 = 9;
+/// ... of so many of the idle timeout are over, so that the server doesn't close it while a request is on its way.
+const IDLE_TIMEOUT_PARTS: u32 = 10;
+
 /// The server that an attempt goes to.
 pub(crate) struct Target {
     pub(crate) addr: SocketAddr,
@@ -67,7 +72,7 @@
 
     /// Sets the time after which servers close an idle connection.
     pub(crate) fn set_idle_timeout(&mut self, idle_timeout: Duration) {
-        self.max_idle = idle_timeout * 9 / 10;
+        self.max_idle = idle_timeout * MAX_IDLE_PARTS / IDLE_TIMEOUT_PARTS;
     }
 
     /// Applies an endpoint list, and returns the servers that the balancer has to update.
@@ -149,7 +154,7 @@
             None => _ = self.servers.insert(id, Server::new(listed, &endpoint, uncertain_start)),
         }
         if let Some(server) = self.servers.get_mut(&id) {
-            server.set_disabled(disabled);
+            server.update_serving(disabled);
         }
         if endpoint.state == EndpointState::Removed {
             self.servers.remove(&id);
@@ -198,7 +203,7 @@
             self.disabled.remove(&id);
         }
         if let Some(server) = self.servers.get_mut(&id) {
-            server.set_disabled(disabled);
+            server.update_serving(disabled);
         }
         id
     }
--- a/crates/node/src/upstream/directory/server.rs
+++ b/crates/node/src/upstream/directory/server.rs
@@ -76,9 +76,10 @@
         self.serving.set(false);
     }
 
-    /// Accepts new requests if the list says that the server is up and operators have not disabled it.
-    pub(crate) fn set_disabled(&mut self, disabled: bool) {
-        let serving = self.endpoint.state == EndpointState::Up && !disabled;
+    /// Has the server get new requests if the list says that it is up and operators have not disabled it; closes its idle
+    /// connections otherwise.
+    pub(crate) fn update_serving(&mut self, is_disabled: bool) {
+        let serving = self.endpoint.state == EndpointState::Up && !is_disabled;
         self.serving.set(serving);
         if !serving {
             self.idle.close_all();
