--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -59,7 +59,7 @@
             Some(status) => self.record_crash(node, &exiting, status).await,
             None => self.kill_process(node, &mut exiting).await,
         }
-        let _ = self.start_node(node, &mut process).await; // a missing process shows as failed requests
+        let _ = self.start_node(node, &mut process).await; // on failure the node stays down
     }
 
     async fn kill(&self, node: &Node) {
@@ -68,7 +68,7 @@
         self.collect_findings(node, &mut exiting).await;
         self.kill_process(node, &mut exiting).await;
         sleep(RESTART_DELAY).await;
-        let _ = self.start_node(node, &mut process).await; // a missing process shows as failed requests
+        let _ = self.start_node(node, &mut process).await; // on failure the node stays down
     }
 
     async fn kill_process(&self, node: &Node, process: &mut Process) {
