--- a/crates/balancer/src/settings_document/document.rs
+++ b/crates/balancer/src/settings_document/document.rs
@@ -8,93 +8,138 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SettingsDocument {
+    /// The classes of requests.
     pub(super) classes: Vec<ClassDocument>,
+    /// How misses are fetched, and which machine type is the origin.
     #[serde(default)]
     pub(super) family_info: FamilyInfo,
+    /// What discovery and servers in slow start keep to.
     #[serde(default)]
     pub(super) guarantees: Guarantees,
+    /// What attempts and connections may do.
     #[serde(default)]
     pub(super) limits: Limits,
+    /// Weight of a request beyond its tenant's quota, as a part of its class's.
     #[serde(default)]
     pub(super) over_share_worth: Option<f64>,
+    /// The least time between two events.
     #[serde(default)]
     pub(super) quantum: f64,
+    /// What attempts cost.
     #[serde(default)]
     pub(super) prices: Prices,
+    /// The zone of this node.
     #[serde(default)]
     pub(super) zone: Option<String>,
+    /// `subscribe` if the endpoint list must be watched.
     #[serde(default)]
     pub(super) registry_mode: String,
+    /// Nodes that send to the same servers, this one included.
     #[serde(default)]
     pub(super) siblings: usize,
+    /// Which of them this one is, from 0.
     #[serde(default)]
     pub(super) me: Option<i64>,
+    /// The tenants and their quotas.
     #[serde(default)]
     pub(super) tenants: Vec<TenantDocument>,
+    /// `live` if an endpoint's weight is not its size.
     #[serde(default)]
     pub(super) weights: String,
+    /// The names of the zones.
     #[serde(default)]
     pub(super) dcs: Vec<String>,
+    /// The names of the machine types.
     #[serde(default)]
     pub(super) skus: Vec<String>,
 }
 
+/// A class of requests.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct ClassDocument {
+    /// The name by which clients name it.
     pub(super) name: String,
+    /// The latency objective.
     pub(super) aim: f64,
+    /// The longest deadline of a client, over all attempts.
     #[serde(default)]
     pub(super) hard_limit: f64,
+    /// The priority weight.
     #[serde(default)]
     pub(super) worth: Option<f64>,
+    /// The idempotency: `safe`, `keyed` or `unsafe`.
     pub(super) effect: String,
+    /// Which servers discard repeats of a keyed request: `all`, `zone` or `cell`.
     #[serde(default)]
     pub(super) dedup_scope: String,
+    /// For how long they discard repeats.
     #[serde(default)]
     pub(super) window: f64,
 }
 
+/// A tenant.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct TenantDocument {
+    /// The name by which clients name it.
     pub(super) name: String,
+    /// Its quota, as a part of the service.
     #[serde(default)]
     pub(super) share: f64,
 }
 
+/// How the caches and the origin work together.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct FamilyInfo {
+    /// `aside` if the node fetches misses from the origin.
     pub(super) mode: String,
+    /// The index of the machine type that marks the origin.
     pub(super) origin_kind: Option<i64>,
 }
 
+/// Costs of attempts.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct Prices {
+    /// Cost of an attempt at another zone, as a part of the service's value.
     pub(super) cross_zone: f64,
 }
 
+/// Bounds that discovery, and servers in slow start, have.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct Guarantees {
+    /// The duration of slow start.
     pub(super) cold: f64,
+    /// The part of its capacity that a started server has at least, 0 to 1.
     pub(super) cold_from: Option<f64>,
+    /// The length of the window in which a server in slow start is overloaded.
     pub(super) fall: f64,
+    /// Without a watch, the list is polled at least this often.
     pub(super) must_ask_in: Option<f64>,
+    /// The multiple of its present capacity that overloads a server in slow start.
     pub(super) overload_factor: Option<f64>,
 }
 
+/// Bounds of attempts and connections.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct Limits {
+    /// Whether attempts may be cancelled.
     pub(super) cancel: bool,
+    /// A connection that is not up by then has failed.
     pub(super) connect_timeout: Option<f64>,
+    /// Servers close a connection that has been idle for so long.
     pub(super) keepalive: Option<f64>,
+    /// The most attempts for one request.
     pub(super) max_attempts: Option<usize>,
+    /// The longest Retry-After that clients honour.
     pub(super) max_retry_after: f64,
+    /// Whether clients honour a Retry-After.
     pub(super) retry_after: bool,
+    /// Whether requests may be hedged.
     pub(super) second_copies: bool,
 }
 
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -1,4 +1,4 @@
-//! What a timer is for, and the token that stands for it.
+//! What a timer is for, and the token that stands for it: a request id, or a larger number.
 
 use crate::api::{RequestId, TimerToken};
 
