--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -54,8 +54,8 @@
     now: Micros,
 }
 
-/// What an instance did in the batch in progress.
-struct Reply {
+/// An output of an instance in the batch in progress.
+struct InstanceOutput {
     instance: u64,
     result: InstanceResult,
 }
@@ -70,8 +70,8 @@
 struct Adapter {
     instances: BTreeMap<u64, Instance>,
     batch: Option<Batch>,
-    /// The replies of the batch in progress.
-    replies: Vec<Reply>,
+    /// The outputs of the instances in the batch in progress, in order.
+    outputs: Vec<InstanceOutput>,
     /// An empty buffer for the actions of one event.
     actions: Vec<Action>,
     /// A buffer for the output of one batch.
@@ -136,11 +136,11 @@
         Ok(())
     }
 
-    /// Writes the replies to a batch.
+    /// Writes the answer to a batch: the outputs of the instances, and its end.
     fn end_batch(&mut self, batch: Batch, output: &mut impl Write) -> Result<(), AdapterErrorKind> {
         self.batch = None;
         self.bytes.clear();
-        for Reply { instance, result } in self.replies.drain(..) {
+        for InstanceOutput { instance, result } in self.outputs.drain(..) {
             let line = match result {
                 InstanceResult::Action(action) => instance::output(instance, action),
                 InstanceResult::Panicked(message) => Output::Panicked { instance, message },
@@ -156,19 +156,19 @@
     fn start_instance(&mut self, started: InstanceStarted, now: Micros) -> Result<(), AdapterErrorKind> {
         let id = started.instance;
         self.instances.insert(id, Instance::new(started, now)?);
-        self.drop_replies(id);
+        self.drop_outputs(id);
         Ok(())
     }
 
     fn remove_instance(&mut self, id: u64) -> Result<(), AdapterErrorKind> {
         self.instances.remove(&id).ok_or(AdapterErrorKind::UnknownInstance(id))?;
-        self.drop_replies(id);
+        self.drop_outputs(id);
         Ok(())
     }
 
     /// Drops what an instance did earlier in the batch, since it was killed.
-    fn drop_replies(&mut self, id: u64) {
-        self.replies.retain(|reply| reply.instance != id);
+    fn drop_outputs(&mut self, id: u64) {
+        self.outputs.retain(|output| output.instance != id);
     }
 
     fn instance(&mut self, id: u64) -> Result<&mut Instance, AdapterErrorKind> {
@@ -180,10 +180,10 @@
         let instance = self.instances.get_mut(&id).ok_or(AdapterErrorKind::UnknownInstance(id))?;
         let panic = instance.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            self.replies.push(Reply { instance: id, result: InstanceResult::Action(action) });
+            self.outputs.push(InstanceOutput { instance: id, result: InstanceResult::Action(action) });
         }
         if let Some(message) = panic {
-            self.replies.push(Reply { instance: id, result: InstanceResult::Panicked(message) });
+            self.outputs.push(InstanceOutput { instance: id, result: InstanceResult::Panicked(message) });
         }
         Ok(())
     }
