--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -33,8 +33,10 @@
 use crate::shutdown::ShutdownSchedule;
 use crate::stall::StallMonitor;
 
-/// How long to wait after a failed `accept`, and for an evicted connection to close.
+/// How long to wait after a failed `accept`.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// How long to wait for an evicted connection to close.
+const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// What the sessions need from the other parts of the node.
 pub(crate) struct ClientContext {
@@ -172,6 +174,6 @@
     async fn evict_connection(&self) {
         let session_ended = self.session_context.session_ended.notified();
         self.session_context.idle.evict_one(Instant::now());
-        let _ = timeout(ACCEPT_RETRY_INTERVAL, session_ended).await; // the caller checks the limit again
+        let _ = timeout(EVICTION_TIMEOUT, session_ended).await; // the caller checks the limit again
     }
 }
--- a/crates/node/src/clients/pending_replies.rs
+++ b/crates/node/src/clients/pending_replies.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::invariants::{ANSWER_SLACK, Invariant, Violations};
-use crate::metrics::InFlight;
+use crate::metrics::InFlightGuard;
 use crate::relay::{MemoryPermit, ValueStream};
 use crate::request::Response;
 
@@ -85,7 +85,7 @@
     pub(crate) _memory: RequestMemory,
     /// The memory of a value that is not small, occupied until it is no longer needed.
     pub(crate) _value_permit: Option<MemoryPermit>,
-    pub(crate) _in_flight: InFlight,
+    pub(crate) _in_flight: InFlightGuard,
 }
 
 /// A reply that the client waits for.
@@ -114,7 +114,7 @@
 }
 
 /// A reply that can be written.
-pub(crate) enum Reply {
+pub(crate) enum WritableReply {
     Frame(FrameReply),
     /// A value that is still arriving. Its request is open until it was written.
     Value(ValueStream, UnansweredRequest),
@@ -181,7 +181,7 @@
     /// # Cancel safety
     ///
     /// Cancel safe: no reply is lost.
-    pub(crate) async fn next(&mut self) -> Reply {
+    pub(crate) async fn next(&mut self) -> WritableReply {
         let response = match self.replies.front_mut() {
             Some(PendingReply::Request(request)) => {
                 Some((&mut request.response).await.unwrap_or(Response::Failed))
@@ -192,14 +192,14 @@
         };
         match (self.pop(), response.map(Encoded::from)) {
             (Some(PendingReply::Request(request)), Some(Encoded::Value(stream))) => {
-                Reply::Value(stream, request)
+                WritableReply::Value(stream, request)
             }
-            (Some(PendingReply::Value(stream, request)), _) => Reply::Value(stream, request),
+            (Some(PendingReply::Value(stream, request)), _) => WritableReply::Value(stream, request),
             (Some(PendingReply::Request(request)), Some(Encoded::Frame(frame))) => {
-                Reply::Frame(FrameReply { frame, deadline: Some(request.deadline) })
+                WritableReply::Frame(FrameReply { frame, deadline: Some(request.deadline) })
             }
             (Some(PendingReply::Ready(frame)), _) | (_, Some(Encoded::Frame(frame))) => {
-                Reply::Frame(FrameReply { frame, deadline: None })
+                WritableReply::Frame(FrameReply { frame, deadline: None })
             }
             (_, _) => pending().await,
         }
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -18,7 +18,7 @@
 };
 use crate::invariants::Invariant;
 use crate::message::{ExcessRequest, IncomingRequest, Message};
-use crate::metrics::InFlight;
+use crate::metrics::InFlightGuard;
 use crate::relay::MAX_FRAME_BYTES;
 use crate::request::ClientRequest;
 
@@ -120,7 +120,7 @@
         let open_id =
             OpenId::claim(&request.id, &self.context.open_ids).ok_or(ClientCommandError::IdInUse)?;
         let value_permit = if length >= SMALL_BUFFER_BYTES { self.buffer_permit.take() } else { None };
-        let in_flight = InFlight::new(&self.context.metrics);
+        let in_flight = InFlightGuard::new(&self.context.metrics);
         let memory = RequestMemory::add(REQUEST_OVERHEAD_BYTES + length, &self.context.request_memory);
         let id = RequestId(self.context.next_request_id.fetch_add(1, Ordering::Relaxed));
         self.record_arrival(&request);
--- a/crates/node/src/clients/session/replies.rs
+++ b/crates/node/src/clients/session/replies.rs
@@ -10,7 +10,7 @@
 
 use super::{Ending, Session};
 use crate::clients::disconnect::while_connected;
-use crate::clients::pending_replies::{FrameReply, Reply, ReplyDeadline};
+use crate::clients::pending_replies::{FrameReply, ReplyDeadline, WritableReply};
 use crate::relay::PROGRESS_TIMEOUT;
 
 /// How many bytes of replies are collected for one write before other sessions have their turn.
@@ -32,9 +32,9 @@
 
 impl Session {
     /// Writes a reply, and those after it that are ready, while the client is connected.
-    pub(super) async fn write_reply(&mut self, socket: &Socket, reply: Reply) -> io::Result<()> {
+    pub(super) async fn write_reply(&mut self, socket: &Socket, reply: WritableReply) -> io::Result<()> {
         match reply {
-            Reply::Frame(first) => {
+            WritableReply::Frame(first) => {
                 let batch = self.collect_batch(first);
                 let write = async { timeout(PROGRESS_TIMEOUT, socket.write_all(&batch.text)).await? };
                 while_connected(socket, &mut self.unread, write).await?;
@@ -43,7 +43,7 @@
                 }
             }
             // A large value takes as long as its client and its server need. The request is open until then.
-            Reply::Value(stream, _request) => {
+            WritableReply::Value(stream, _request) => {
                 while_connected(socket, &mut self.unread, stream.write_to(&mut { socket })).await?;
             }
         }
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use tracing::trace;
 
-use super::open_request::{Attempt, RunningAttempt};
+use super::open_request::{AttemptState, RunningAttempt};
 use super::{Driver, Timer};
 use crate::invariants::Invariant;
 use crate::message::{FinishedAttempt, Message};
@@ -58,7 +58,7 @@
             start: start.clone(),
         };
         let must_not_repeat = open.must_not_repeat();
-        open.attempts.push(Attempt { start, running: None });
+        open.attempts.push(AttemptState { start, running: None });
         if must_not_repeat {
             self.metrics.violations.record(Invariant::NoUnsafeRetry, &open.request.id);
             return self.report_end(attempt, AttemptOutcome::NOT_MADE);
--- a/crates/node/src/driver/control.rs
+++ b/crates/node/src/driver/control.rs
@@ -19,7 +19,7 @@
             }
             // The caller may have disconnected.
             Control::IsKnownServer { name, reply } => _ = reply.send(self.directory.is_known(&name)),
-            Control::Reload(document, reply) => {
+            Control::Reload { document, reply } => {
                 let updated = self.settings.updated_with(*document);
                 let shared = updated.map(|settings| self.apply_settings(settings));
                 self.decide();
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -40,7 +40,7 @@
 /// The longest timer. The queue panics at times of some years, which unusual settings could ask for.
 const MAX_TIMER: Duration = Duration::from_secs(86_400);
 /// How often idle connections are checked.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// How often the metrics that only the balancer knows are updated. They may be half a second old.
 const METRICS_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -58,7 +58,7 @@
 enum Timer {
     Balancer(TimerToken),
     AttemptTimeout(AttemptId),
-    Sweep,
+    CloseExpiredConnections,
     UpdateMetrics { due: Instant },
 }
 
@@ -147,7 +147,7 @@
     }
 
     fn initialize(&mut self, overrides: Overrides, known: EndpointList) {
-        self.timers.insert(Timer::Sweep, SWEEP_INTERVAL);
+        self.timers.insert(Timer::CloseExpiredConnections, IDLE_CHECK_INTERVAL);
         self.schedule_metrics_update();
         self.apply_overrides(overrides, None);
         self.apply_list_if_current(known);
@@ -222,9 +222,9 @@
         match timer {
             Timer::Balancer(token) => self.events.push_back(Event::Timer(token)),
             Timer::AttemptTimeout(attempt) => self.abandon(attempt, Outcome::TimedOut),
-            Timer::Sweep => {
+            Timer::CloseExpiredConnections => {
                 self.directory.close_expired(Instant::now());
-                self.timers.insert(Timer::Sweep, SWEEP_INTERVAL);
+                self.timers.insert(Timer::CloseExpiredConnections, IDLE_CHECK_INTERVAL);
             }
             Timer::UpdateMetrics { due } => {
                 self.metrics.loop_lag.record(due.elapsed());
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -24,7 +24,7 @@
     /// Where the final response goes; `None` once it was sent.
     pub(crate) response: Option<oneshot::Sender<Response>>,
     /// By attempt number, in the order in which they were started.
-    pub(crate) attempts: Vec<Attempt>,
+    pub(crate) attempts: Vec<AttemptState>,
     /// Whether the request may be repeated after it may have been executed.
     pub(crate) idempotency: Idempotency,
     /// Whether an attempt has ended that may have been executed.
@@ -36,9 +36,9 @@
     pub(crate) outcomes: Option<Arc<Outcomes>>,
 }
 
-/// An attempt of an open request.
+/// What the driver knows of an attempt of an open request, in flight or ended.
 #[derive(Default)]
-pub(crate) struct Attempt {
+pub(crate) struct AttemptState {
     /// When its first byte was written.
     pub(crate) start: SendStart,
     /// `None` once it has ended, or if it was never made.
@@ -63,7 +63,7 @@
 
     /// Whether another attempt is forbidden: the request must not be repeated, and may have been executed.
     pub(crate) fn must_not_repeat(&self) -> bool {
-        let may_run = |attempt: &Attempt| attempt.running.is_some() && attempt.start.is_set();
+        let may_run = |attempt: &AttemptState| attempt.running.is_some() && attempt.start.is_set();
         self.idempotency == Idempotency::NonIdempotent
             && (self.may_have_run || self.attempts.iter().any(may_run))
     }
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -44,7 +44,7 @@
     /// Asks whether there is a server of this name.
     IsKnownServer { name: String, reply: oneshot::Sender<bool> },
     /// New settings; the reply is what they mean for the other parts of the node.
-    Reload(Box<SettingsDocument>, oneshot::Sender<Result<SharedSettings, SettingsError>>),
+    Reload { document: Box<SettingsDocument>, reply: oneshot::Sender<Result<SharedSettings, SettingsError>> },
     /// The operators' overrides for servers, as they are now. The sender is notified once they are in force.
     Overrides { overrides: Overrides, applied: Option<oneshot::Sender<()>> },
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -177,17 +177,17 @@
 }
 
 /// A request in flight, counted until this is dropped.
-pub(crate) struct InFlight(Arc<Metrics>);
+pub(crate) struct InFlightGuard(Arc<Metrics>);
 
-impl InFlight {
+impl InFlightGuard {
     /// Counts a request.
-    pub(crate) fn new(metrics: &Arc<Metrics>) -> InFlight {
+    pub(crate) fn new(metrics: &Arc<Metrics>) -> InFlightGuard {
         metrics.in_flight.increment();
-        InFlight(metrics.clone())
+        InFlightGuard(metrics.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.decrement();
     }
--- a/crates/node/src/metrics/tests.rs
+++ b/crates/node/src/metrics/tests.rs
@@ -38,7 +38,7 @@
 #[test]
 fn a_request_is_in_flight_while_its_guard_lives() {
     let metrics = Arc::new(Metrics::default());
-    let guards = [(); 3].map(|()| InFlight::new(&metrics));
+    let guards = [(); 3].map(|()| InFlightGuard::new(&metrics));
     assert!(metrics.text().contains("svc_inflight 3\n"));
     drop(guards);
     assert!(metrics.text().contains("svc_inflight 0\n"));
--- a/crates/node/src/operator/handler.rs
+++ b/crates/node/src/operator/handler.rs
@@ -24,7 +24,7 @@
     /// The driver's control channel.
     pub(crate) control: mpsc::Sender<Control>,
     /// Where overrides are stored.
-    pub(crate) store: Arc<OverrideStore>,
+    pub(crate) override_store: Arc<OverrideStore>,
     /// The node's metrics.
     pub(crate) metrics: Arc<Metrics>,
     /// The membership, where it is enabled.
@@ -49,7 +49,7 @@
         if !known {
             return Err(HandlerError::UnknownServer(server));
         }
-        let overrides = self.store.set(server, disabled).await.map_err(HandlerError::NotStored)?;
+        let overrides = self.override_store.set(server, disabled).await.map_err(HandlerError::NotStored)?;
         self.request(|applied| Control::Overrides { overrides, applied: Some(applied) }).await
     }
 
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -88,8 +88,9 @@
     /// error leaves everything as it was.
     async fn try_reload(&mut self) -> Result<SharedSettings, ConfigError> {
         let (config, document) = retry_transient(|| self.source.read()).await?;
-        let (sender, answer) = oneshot::channel();
-        let sent = self.control.send(Control::Reload(Box::new(config.settings), sender)).await;
+        let (reply, answer) = oneshot::channel();
+        let control = Control::Reload { document: Box::new(config.settings), reply };
+        let sent = self.control.send(control).await;
         sent.map_err(|_| ConfigError::ShuttingDown)?;
         let settings = answer.await.map_err(|_| ConfigError::ShuttingDown)?.map_err(ConfigError::Settings)?;
         self.source.commit(document);
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -87,7 +87,7 @@
         handles.register_classes();
         let watch_requested = Arc::new(Notify::new());
         let endpoint_watcher = handles.endpoint_watcher(&config, watch_requested.clone());
-        let (store, overrides) = handles.start_override_store(&config).await;
+        let (override_store, overrides) = handles.start_override_store(&config).await;
         let context = handles.driver_context(&config, watch_requested, inbox, control_inbox);
         let stalls = context.stalls.clone();
         let client_context = handles.client_context(&config, &context);
@@ -98,7 +98,7 @@
         let membership = handles.start_membership(membership_config);
         let serving = Arc::new(AtomicBool::new(false));
         if let Some(addr) = operator {
-            handles.start_operator(addr, store, membership.clone(), serving.clone())?;
+            handles.start_operator(addr, override_store, membership.clone(), serving.clone())?;
         }
         let driver = tokio::spawn(driver.run());
         tokio::spawn(endpoint_watcher.run(address));
@@ -240,14 +240,14 @@
     fn start_operator(
         &self,
         addr: SocketAddr,
-        store: Arc<OverrideStore>,
+        override_store: Arc<OverrideStore>,
         membership: Option<Membership>,
         serving: Arc<AtomicBool>,
     ) -> io::Result<()> {
         let handler = NodeHandler {
             serving,
             control: self.control.clone(),
-            store,
+            override_store,
             metrics: self.metrics.clone(),
             membership,
         };
--- a/crates/node/src/upstream/start_times.rs
+++ b/crates/node/src/upstream/start_times.rs
@@ -22,7 +22,7 @@
     Update(Micros),
 }
 
-/// The usual delay after which a start has been reported, unless discovery was unavailable.
+/// A start is reported within this time, in microseconds, unless discovery was unavailable.
 const MAX_REPORT_DELAY: Micros = 60_000_000;
 
 /// The start times in one list.
