--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -160,7 +160,7 @@
     fn overrides(&self) -> Overrides {
         let applied = self.daemon.replica.shared().read();
         let convert = |(server, stored): (&String, &AdminOverride)| {
-            (server.clone(), Override { disabled: stored.out_of_service, since_ms: stored.since_ms })
+            (server.clone(), Override { disabled: stored.disabled, since_ms: stored.since_ms })
         };
         applied.state.overrides().iter().map(convert).collect()
     }
@@ -172,7 +172,7 @@
 
     fn set_override(&self, server: String, server_override: Override) -> BoxFuture<'_, Result<(), String>> {
         let admin_override =
-            AdminOverride { out_of_service: server_override.disabled, since_ms: server_override.since_ms };
+            AdminOverride { disabled: server_override.disabled, since_ms: server_override.since_ms };
         Box::pin(self.commit_override(server, admin_override))
     }
 
--- a/crates/cli/src/shared_state/subscriber.rs
+++ b/crates/cli/src/shared_state/subscriber.rs
@@ -69,7 +69,7 @@
             view.items().keys().filter(|key| matches!(key, ItemKey::Override(_))).collect();
         let convert = |key: &ItemKey| match view.item(key) {
             Some((_, Item::Override { server, admin_override: stored })) => {
-                Some((server, Override { disabled: stored.out_of_service, since_ms: stored.since_ms }))
+                Some((server, Override { disabled: stored.disabled, since_ms: stored.since_ms }))
             }
             _ => None,
         };
--- a/crates/store/src/feed/table.rs
+++ b/crates/store/src/feed/table.rs
@@ -136,7 +136,7 @@
         self.by_revision.insert((revision, key));
     }
 
-    /// Removes the overrides of servers that were returned to service long before this time.
+    /// Removes the overrides that enabled a server long before this time.
     fn remove_expired_overrides(&mut self, at_ms: u64) {
         let is_expired = |item: &EncodedItem| match Item::decode(&item.bytes) {
             Ok(Item::Override { admin_override, .. }) => admin_override.is_expired(at_ms),
--- a/crates/store/src/state/change.rs
+++ b/crates/store/src/state/change.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::State;
-use super::limits::RETURNED_OVERRIDE_RETENTION_MS;
+use super::limits::ENABLED_OVERRIDE_RETENTION_MS;
 
 /// A change, as a client proposes it.
 ///
@@ -68,16 +68,16 @@
 /// An operator's decision about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdminOverride {
-    /// Whether the server is taken out of service; otherwise it is returned to it.
-    pub out_of_service: bool,
+    /// Whether the server is disabled; otherwise it is enabled again.
+    pub disabled: bool,
     /// Since when, in ms of Unix time.
     pub since_ms: u64,
 }
 
 impl AdminOverride {
-    /// Whether it returned a server to service so long before a time, in ms of Unix time, that it has no effect any more.
+    /// Whether it enabled a server so long before a time, in ms of Unix time, that it has no effect any more.
     pub(crate) fn is_expired(&self, at_ms: u64) -> bool {
-        !self.out_of_service && at_ms.saturating_sub(self.since_ms) >= RETURNED_OVERRIDE_RETENTION_MS
+        !self.disabled && at_ms.saturating_sub(self.since_ms) >= ENABLED_OVERRIDE_RETENTION_MS
     }
 }
 
--- a/crates/store/src/state/limits.rs
+++ b/crates/store/src/state/limits.rs
@@ -12,8 +12,8 @@
 pub const MAX_TOTAL_DOCUMENT_BYTES: usize = 4 << 20;
 /// The most servers with an administrative override, and the most whose start time is recorded.
 pub const MAX_SERVERS: usize = 12_000;
-/// How long an override that returned a server to service is retained, in ms: the server has warmed up by then.
-pub const RETURNED_OVERRIDE_RETENTION_MS: u64 = 600_000;
+/// How long an override that enabled a server is retained, in ms: the server has warmed up by then.
+pub const ENABLED_OVERRIDE_RETENTION_MS: u64 = 600_000;
 /// The longest id of a server, in bytes.
 pub const MAX_SERVER_ID_BYTES: usize = 128;
 /// The longest key of a purge, in bytes.
--- a/crates/store/tests/compatibility/feed.rs
+++ b/crates/store/tests/compatibility/feed.rs
@@ -17,7 +17,7 @@
 
 fn items() -> Vec<(&'static str, Item)> {
     let (name, text, author) = ("config".into(), "text 2".into(), "alice".into());
-    let admin_override = AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 };
+    let admin_override = AdminOverride { disabled: true, since_ms: 1_700_000_000_003 };
     vec![
         ("document", Item::Document { name, text, author, at_ms: 1_700_000_000_001 }),
         ("list", Item::List { version: 9, text: OLD_LIST.into() }),
--- a/crates/store/tests/compatibility/history.rs
+++ b/crates/store/tests/compatibility/history.rs
@@ -41,8 +41,8 @@
     }
 }
 
-fn admin_override(server: &str, out_of_service: bool, since_ms: u64) -> Change {
-    Change::Override { server: server.into(), admin_override: AdminOverride { out_of_service, since_ms } }
+fn admin_override(server: &str, disabled: bool, since_ms: u64) -> Change {
+    Change::Override { server: server.into(), admin_override: AdminOverride { disabled, since_ms } }
 }
 
 /// Proposals by the index of their entry.
@@ -116,5 +116,5 @@
     assert_eq!(texts, ["text 1", "text 2"]);
     assert_eq!(state.list().map(|list| (list.version, list.learned_by)), Some((9, 2)));
     assert_eq!(state.started("s-1"), Some(1_700_000_000_002));
-    assert_eq!(state.overrides()["s-1"], AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 });
+    assert_eq!(state.overrides()["s-1"], AdminOverride { disabled: true, since_ms: 1_700_000_000_003 });
 }
--- a/crates/store/tests/compatibility/snapshot.rs
+++ b/crates/store/tests/compatibility/snapshot.rs
@@ -57,8 +57,8 @@
     let text = r#"[{"id":"s-1"},{"id":"s-2"}]"#.to_owned();
     assert_eq!(state.list(), Some(&ServerList { version: 9, text, learned_by: 2 }));
     let overrides = [
-        ("s-1".to_owned(), AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 }),
-        ("s-2".to_owned(), AdminOverride { out_of_service: false, since_ms: 1_700_000_000_004 }),
+        ("s-1".to_owned(), AdminOverride { disabled: true, since_ms: 1_700_000_000_003 }),
+        ("s-2".to_owned(), AdminOverride { disabled: false, since_ms: 1_700_000_000_004 }),
     ];
     assert_eq!(*state.overrides(), overrides.into());
     assert_eq!(state.started("s-1"), Some(1_700_000_000_002));
--- a/crates/store/tests/compatibility/subscriber.rs
+++ b/crates/store/tests/compatibility/subscriber.rs
@@ -20,7 +20,7 @@
     let (name, text, author) = ("config".into(), "text 2".into(), "alice".into());
     table.put(3, &Item::Document { name, text, author, at_ms: 1_700_000_000_001 });
     table.put(4, &Item::List { version: 9, text: r#"[{"id":"s-1"}]"#.into() });
-    let admin_override = AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 };
+    let admin_override = AdminOverride { disabled: true, since_ms: 1_700_000_000_003 };
     table.put(5, &Item::Override { server: "s-1".into(), admin_override });
     table
 }
@@ -55,7 +55,7 @@
     assert_eq!(read.item(&ItemKey::Document("config".into())), Some((3, document)));
     let list = Item::List { version: 9, text: r#"[{"id":"s-1"}]"#.into() };
     assert_eq!(read.item(&ItemKey::List), Some((4, list)));
-    let admin_override = AdminOverride { out_of_service: true, since_ms: 1_700_000_000_003 };
+    let admin_override = AdminOverride { disabled: true, since_ms: 1_700_000_000_003 };
     assert_eq!(
         read.item(&ItemKey::Override("s-1".into())),
         Some((5, Item::Override { server: "s-1".into(), admin_override }))
--- a/crates/store/tests/corpus.rs
+++ b/crates/store/tests/corpus.rs
@@ -24,7 +24,7 @@
 
 /// One change of each kind, as version 1 has them.
 fn changes() -> [Change; 3] {
-    let admin_override = AdminOverride { out_of_service: true, since_ms: 5 };
+    let admin_override = AdminOverride { disabled: true, since_ms: 5 };
     [
         Change::Document { name: "d".into(), text: "t".into(), author: "a".into(), at_ms: 7, after: Some(3) },
         Change::List { version: 9, text: "[]".into(), learned_by: 2, started: vec![("s-1".into(), 4)] },
--- a/crates/store/tests/feed_sim/cluster.rs
+++ b/crates/store/tests/feed_sim/cluster.rs
@@ -69,7 +69,7 @@
             }
             90..97 => Change::Item(self.list(rng)),
             _ => {
-                let admin_override = AdminOverride { out_of_service: rng.bool(), since_ms: at };
+                let admin_override = AdminOverride { disabled: rng.bool(), since_ms: at };
                 Change::Item(Item::Override { server: format!("s-{}", rng.u32(..20)), admin_override })
             }
         };
--- a/crates/store/tests/rules.rs
+++ b/crates/store/tests/rules.rs
@@ -221,9 +221,9 @@
         (0u8..4, 0..MAX_DOCUMENT_BYTES + 2, proptest::option::of(0u64..40))
             .prop_map(|(n, s, a)| document(n, s, a)),
         list,
-        (0u8..3, any::<bool>(), 0u64..9).prop_map(|(server, out_of_service, since_ms)| Change::Override {
+        (0u8..3, any::<bool>(), 0u64..9).prop_map(|(server, disabled, since_ms)| Change::Override {
             server: server.to_string(),
-            admin_override: AdminOverride { out_of_service, since_ms }
+            admin_override: AdminOverride { disabled, since_ms }
         }),
     ]
 }
@@ -267,7 +267,7 @@
     };
     let order = |server: String| Change::Override {
         server,
-        admin_override: AdminOverride { out_of_service: true, since_ms: 0 },
+        admin_override: AdminOverride { disabled: true, since_ms: 0 },
     };
     let too_long = propose(&mut state, order("s".repeat(MAX_SERVER_ID_BYTES + 1)));
     assert!(matches!(too_long, Reply::Rejected(Rejection::TooLong { max: 128, .. })), "{too_long:?}");
@@ -293,12 +293,10 @@
 #[test]
 fn returned_overrides_expire_and_bans_do_not() {
     let (mut state, mut sequence) = (State::default(), 0);
-    let mut order = |state: &mut State, server: &str, out_of_service, since_ms| {
+    let mut order = |state: &mut State, server: &str, disabled, since_ms| {
         sequence += 1;
-        let change = Change::Override {
-            server: server.into(),
-            admin_override: AdminOverride { out_of_service, since_ms },
-        };
+        let change =
+            Change::Override { server: server.into(), admin_override: AdminOverride { disabled, since_ms } };
         assert!(matches!(state.apply(sequence, Proposal { client: 1, sequence, change }), Reply::Applied(_)));
     };
     order(&mut state, "out", true, 0);
@@ -321,7 +319,7 @@
     let started = (0..MAX_SERVERS).map(|n| (id(n), u64::MAX)).collect();
     made(&mut state, Change::List { version: 1, text: "x".repeat(MAX_LIST_BYTES), learned_by: 1, started });
     for n in 0..MAX_SERVERS {
-        let admin_override = AdminOverride { out_of_service: true, since_ms: u64::MAX };
+        let admin_override = AdminOverride { disabled: true, since_ms: u64::MAX };
         made(&mut state, Change::Override { server: id(n), admin_override });
     }
     for n in 0..MAX_DOCUMENTS {
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -256,7 +256,7 @@
                 }
             }
             sequence += 1;
-            let admin_override = AdminOverride { out_of_service: true, since_ms: 0 };
+            let admin_override = AdminOverride { disabled: true, since_ms: 0 };
             let change = Change::Override { server: "s-1".into(), admin_override };
             let proposal = Proposal { client: u64::MAX, sequence, change };
             let until = Instant::now() + Duration::from_secs(5);
--- a/crates/store/tests/simulation.rs
+++ b/crates/store/tests/simulation.rs
@@ -64,7 +64,7 @@
         for client in 0..600 {
             let change = Change::Override {
                 server: "s-1".into(),
-                admin_override: AdminOverride { out_of_service: true, since_ms: 0 },
+                admin_override: AdminOverride { disabled: true, since_ms: 0 },
             };
             let proposal = Proposal { client, sequence: 1, change };
             refused += u32::from(
--- a/crates/store/tests/storage.rs
+++ b/crates/store/tests/storage.rs
@@ -34,7 +34,7 @@
 }
 
 fn entry(index: u64) -> Entry {
-    let admin_override = AdminOverride { out_of_service: true, since_ms: index };
+    let admin_override = AdminOverride { disabled: true, since_ms: index };
     let change = Change::Override { server: format!("s-{index}"), admin_override };
     let mut entry = Entry::from_app_data(Proposal { client: 1, sequence: index, change });
     entry.log_id = LogId::new(CommittedLeaderId::new(1, 1), index);
--- a/crates/store/tests/wire.rs
+++ b/crates/store/tests/wire.rs
@@ -170,7 +170,7 @@
 fn order(sequence: u64) -> Request {
     let change = Change::Override {
         server: "s-1".into(),
-        admin_override: AdminOverride { out_of_service: true, since_ms: sequence },
+        admin_override: AdminOverride { disabled: true, since_ms: sequence },
     };
     Request::Propose(Proposal { client: 5, sequence, change })
 }
