--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -8,7 +8,7 @@
 use stonefold_node::overrides::{Override, Overrides};
 use stonefold_node::shared::{BoxFuture, SharedState};
 use stonefold_proto::endpoints::EndpointList;
-use stonefold_store::daemon::Daemon;
+use stonefold_store::daemon::MemberDaemon;
 use stonefold_store::freshness::Verdict;
 use stonefold_store::state::{AdminOverride, Change, Proposal, Rejection, Reply};
 use tokio::time::{Instant, sleep};
@@ -47,7 +47,7 @@
 
 /// The state of a member's store.
 pub(crate) struct MemberState {
-    daemon: Daemon,
+    daemon: MemberDaemon,
     /// The applied log index at the last call of `changed`.
     seen_index: AtomicU64,
     queue: Mutex<PublishQueue>,
@@ -56,7 +56,7 @@
 
 impl MemberState {
     /// The state of a running store.
-    pub(crate) fn new(daemon: Daemon) -> Arc<MemberState> {
+    pub(crate) fn new(daemon: MemberDaemon) -> Arc<MemberState> {
         Arc::new_cyclic(|weak_self| MemberState {
             daemon,
             seen_index: AtomicU64::new(0),
--- a/crates/cli/src/shared_state/subscriber.rs
+++ b/crates/cli/src/shared_state/subscriber.rs
@@ -8,7 +8,7 @@
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::subscriber::Event;
-use stonefold_store::follower::{self, Follower, FollowerError, Settings};
+use stonefold_store::follower::{self, Settings, SubscriberDaemon, SubscriberDaemonError};
 use stonefold_store::freshness::{Freshness, Verdict};
 use tracing::debug;
 
@@ -16,7 +16,7 @@
 
 /// The state of a subscriber.
 pub(crate) struct SubscriberState {
-    follower: Follower,
+    daemon: SubscriberDaemon,
     /// One more than the count of changes at the last call of `changed`; 0 before the first.
     seen_changes: AtomicU64,
     /// The versions in use. Every list that the subscriber holds is committed.
@@ -28,16 +28,16 @@
     ///
     /// # Errors
     /// If its folder, key or addresses can't be used.
-    pub(crate) fn start(settings: Settings) -> Result<Arc<SubscriberState>, FollowerError> {
-        let follower = follower::start(settings, Box::new(log_purge))?;
-        follower.wait();
-        let freshness = Mutex::new(Freshness::new(0, 0, follower.list_in_use));
-        Ok(Arc::new(SubscriberState { follower, seen_changes: AtomicU64::new(0), freshness }))
+    pub(crate) fn start(settings: Settings) -> Result<Arc<SubscriberState>, SubscriberDaemonError> {
+        let daemon = follower::start(settings, Box::new(log_purge))?;
+        daemon.wait();
+        let freshness = Mutex::new(Freshness::new(0, 0, daemon.list_in_use));
+        Ok(Arc::new(SubscriberState { daemon, seen_changes: AtomicU64::new(0), freshness }))
     }
 
     fn with_freshness<R>(&self, work: impl FnOnce(&mut Freshness) -> R) -> R {
         let mut freshness = self.freshness.lock().unwrap_or_else(PoisonError::into_inner);
-        freshness.list_committed(self.follower.feed.view().list_version());
+        freshness.list_committed(self.daemon.feed.view().list_version());
         work(&mut freshness)
     }
 }
@@ -49,7 +49,7 @@
 
 impl SharedConfig for SubscriberState {
     fn config(&self) -> Option<ConfigRevision> {
-        match self.follower.feed.view().item(&ItemKey::Document(CONFIG_DOCUMENT.into())) {
+        match self.daemon.feed.view().item(&ItemKey::Document(CONFIG_DOCUMENT.into())) {
             Some((revision, Item::Document { text, .. })) => Some(ConfigRevision { revision, text }),
             _ => None,
         }
@@ -58,13 +58,13 @@
 
 impl SharedState for SubscriberState {
     fn ready(&self) -> BoxFuture<'_, ()> {
-        let mut ready = self.follower.ready.clone();
+        let mut ready = self.daemon.ready.clone();
         // An error means that the subscriber has ended, which must not block the node.
         Box::pin(async move { _ = ready.wait_for(|ready| *ready).await })
     }
 
     fn overrides(&self) -> Overrides {
-        let view = self.follower.feed.view();
+        let view = self.daemon.feed.view();
         let keys: Vec<&ItemKey> =
             view.items().keys().filter(|key| matches!(key, ItemKey::Override(_))).collect();
         let convert = |key: &ItemKey| match view.item(key) {
@@ -78,7 +78,7 @@
 
     fn changed(&self) -> bool {
         // One more than the count, so that the first call returns true.
-        let changes = *self.follower.feed.view_changes().borrow() + 1;
+        let changes = *self.daemon.feed.view_changes().borrow() + 1;
         self.seen_changes.swap(changes, Ordering::Relaxed) != changes
     }
 
@@ -90,7 +90,7 @@
 
     fn newer_list(&self) -> Option<EndpointList> {
         let in_use = self.with_freshness(|freshness| freshness.in_use());
-        let view = self.follower.feed.view();
+        let view = self.daemon.feed.view();
         if view.list_version() <= in_use.list {
             return None;
         }
@@ -103,7 +103,7 @@
     fn adopt_list(&self, version: u64) -> Result<(), u64> {
         match self.with_freshness(|freshness| freshness.use_list(version)) {
             Verdict::Newer | Verdict::Current => {
-                self.follower.feed.use_list(version);
+                self.daemon.feed.use_list(version);
                 Ok(())
             }
             Verdict::Stale { known } => Err(known),
@@ -115,7 +115,7 @@
 
     fn config_after(&self, revision: u64) -> BoxFuture<'_, u64> {
         Box::pin(async move {
-            let mut changes = self.follower.feed.view_changes();
+            let mut changes = self.daemon.feed.view_changes();
             loop {
                 if let Some(latest) = self.config().filter(|latest| latest.revision > revision) {
                     return latest.revision;
--- a/crates/store/src/daemon.rs
+++ b/crates/store/src/daemon.rs
@@ -36,7 +36,7 @@
 
 /// Why a node's member of the store can't start.
 #[derive(Debug, thiserror::Error)]
-pub enum DaemonError {
+pub enum MemberDaemonError {
     /// The address is no loopback address.
     #[error("{0} is no loopback address: the store listens on those alone")]
     NotLoopback(SocketAddr),
@@ -58,7 +58,7 @@
 }
 
 /// A running member of the store, which stops when this is dropped.
-pub struct Daemon {
+pub struct MemberDaemon {
     /// The member's replica.
     pub replica: Replica<Tcp>,
     /// Whether the startup is complete: what is committed is known, or the startup has timed out.
@@ -66,7 +66,7 @@
     _stop: DropGuard,
 }
 
-impl Daemon {
+impl MemberDaemon {
     /// Blocks until the startup is complete, or the member has stopped.
     pub fn wait(&self) {
         block_until_ready(&self.ready);
@@ -77,19 +77,19 @@
 ///
 /// # Errors
 /// If its folder, key or address can't be used. Nothing is left running then.
-pub fn start(settings: Settings) -> Result<Daemon, DaemonError> {
+pub fn start(settings: Settings) -> Result<MemberDaemon, MemberDaemonError> {
     if !settings.listen.ip().is_loopback() {
-        return Err(DaemonError::NotLoopback(settings.listen));
+        return Err(MemberDaemonError::NotLoopback(settings.listen));
     }
     let (started, starting) = mpsc::sync_channel(1);
     let (ready_sender, ready) = watch::channel(false);
     let stop = CancellationToken::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(DaemonError::Thread)?;
+    let runtime = runtime.map_err(MemberDaemonError::Thread)?;
     let stopped = stop.clone();
     let run = move || {
         runtime.block_on(async move {
-            match Member::start(settings).await {
+            match MemberThread::start(settings).await {
                 Ok(member) => {
                     let _ = started.send(Ok(member.replica.clone())); // it is received below
                     member.run(ready_sender, stopped).await;
@@ -98,36 +98,37 @@
             }
         });
     };
-    spawn(run).map_err(DaemonError::Thread)?;
-    let ended = |_| DaemonError::Thread(io::Error::other("it ended at its start"));
+    spawn(run).map_err(MemberDaemonError::Thread)?;
+    let ended = |_| MemberDaemonError::Thread(io::Error::other("it ended at its start"));
     let replica = starting.recv().map_err(ended)??;
-    Ok(Daemon { replica, ready, _stop: stop.drop_guard() })
+    Ok(MemberDaemon { replica, ready, _stop: stop.drop_guard() })
 }
 
 /// The member as its thread runs it.
-struct Member {
+struct MemberThread {
     replica: Replica<Tcp>,
     listener: TcpListener,
     tcp: Tcp,
     settings: Settings,
 }
 
-impl Member {
-    async fn start(settings: Settings) -> Result<Member, DaemonError> {
+impl MemberThread {
+    async fn start(settings: Settings) -> Result<MemberThread, MemberDaemonError> {
         let keys = Keys::read(&settings.key_file)?;
         let disk = Disk::open(&settings.dir)?;
         let addr = settings.listen;
-        let listener = TcpListener::bind(addr).await.map_err(|error| DaemonError::Listen(addr, error))?;
+        let listener =
+            TcpListener::bind(addr).await.map_err(|error| MemberDaemonError::Listen(addr, error))?;
         let identity = disk.identity();
         let tcp = Tcp::member(keys, identity.cluster, identity.member, addr.to_string());
         let options = Options { startup_timeout: settings.startup_timeout, ..Options::new(addr.to_string()) };
         let replica = Replica::start(disk, options, tcp.clone()).await?;
         info!(event = "store_started", member = identity.member, at = %addr, "the store's replica runs");
-        Ok(Member { replica, listener, tcp, settings })
+        Ok(MemberThread { replica, listener, tcp, settings })
     }
 
     async fn run(self, ready: watch::Sender<bool>, stop: CancellationToken) {
-        let Member { replica, listener, tcp, settings } = self;
+        let MemberThread { replica, listener, tcp, settings } = self;
         let server = tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
         let confirmation = wait_for_startup(&replica, settings.startup_timeout).await;
         let is_confirmed = replica.freshness(|freshness, _| freshness.is_confirmed());
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -1,4 +1,5 @@
-//! A subscriber beside a node, or a relay, on a thread of its own.
+//! A subscriber beside a node, or a relay, on a thread of its own. It is no follower in Raft's sense: it never votes.
+//! The module's name is the target of the thread's log events, and stays for those who filter by it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -41,7 +42,7 @@
 
 /// Why a subscriber can't start.
 #[derive(Debug, thiserror::Error)]
-pub enum FollowerError {
+pub enum SubscriberDaemonError {
     /// The address is no loopback address.
     #[error("{0} is no loopback address: the store listens on those alone")]
     NotLoopback(SocketAddr),
@@ -60,7 +61,7 @@
 }
 
 /// A running subscriber, which stops when this is dropped.
-pub struct Follower {
+pub struct SubscriberDaemon {
     /// The state that it follows.
     pub feed: Feed,
     /// Whether the startup is complete: what is committed is known, or the startup has timed out.
@@ -70,7 +71,7 @@
     _stop: DropGuard,
 }
 
-impl Follower {
+impl SubscriberDaemon {
     /// Blocks until the startup is complete, or the subscriber has stopped.
     pub fn wait(&self) {
         block_until_ready(&self.ready);
@@ -81,12 +82,12 @@
 ///
 /// # Errors
 /// If its folder, key or address can't be used. Nothing is left running then.
-pub fn start(settings: Settings, on_purge: OnPurge) -> Result<Follower, FollowerError> {
+pub fn start(settings: Settings, on_purge: OnPurge) -> Result<SubscriberDaemon, SubscriberDaemonError> {
     if let Some(listen) = settings.listen.filter(|listen| !listen.ip().is_loopback()) {
-        return Err(FollowerError::NotLoopback(listen));
+        return Err(SubscriberDaemonError::NotLoopback(listen));
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(FollowerError::Thread)?;
+    let runtime = runtime.map_err(SubscriberDaemonError::Thread)?;
     let keys = Keys::read(&settings.key_file)?;
     let tcp = Tcp::subscriber(keys, settings.cluster);
     let (folder, table) = SubscriberFolder::open(&settings.dir, settings.cluster)?;
@@ -96,13 +97,14 @@
     let feed = Feed::new(settings.cluster, Subscriber::new(table, selector));
     let stop = CancellationToken::new();
     let (ready_sender, ready) = watch::channel(false);
-    let thread = Thread { settings, feed: feed.clone(), tcp, folder, listener, stop: stop.clone() };
-    spawn(move || runtime.block_on(thread.run(on_purge, ready_sender))).map_err(FollowerError::Thread)?;
-    Ok(Follower { feed, ready, list_in_use, _stop: stop.drop_guard() })
+    let thread = SubscriberThread { settings, feed: feed.clone(), tcp, folder, listener, stop: stop.clone() };
+    spawn(move || runtime.block_on(thread.run(on_purge, ready_sender)))
+        .map_err(SubscriberDaemonError::Thread)?;
+    Ok(SubscriberDaemon { feed, ready, list_in_use, _stop: stop.drop_guard() })
 }
 
-fn bind(runtime: &Runtime, addr: SocketAddr) -> Result<TcpListener, FollowerError> {
-    runtime.block_on(TcpListener::bind(addr)).map_err(|error| FollowerError::Listen(addr, error))
+fn bind(runtime: &Runtime, addr: SocketAddr) -> Result<TcpListener, SubscriberDaemonError> {
+    runtime.block_on(TcpListener::bind(addr)).map_err(|error| SubscriberDaemonError::Listen(addr, error))
 }
 
 fn publishers(settings: &Settings) -> Vec<Vec<String>> {
@@ -111,7 +113,7 @@
 }
 
 /// The subscriber as its thread runs it.
-struct Thread {
+struct SubscriberThread {
     settings: Settings,
     feed: Feed,
     tcp: Tcp,
@@ -120,9 +122,9 @@
     stop: CancellationToken,
 }
 
-impl Thread {
+impl SubscriberThread {
     async fn run(self, on_purge: OnPurge, ready: watch::Sender<bool>) {
-        let Thread { settings, feed, tcp, folder, listener, stop } = self;
+        let SubscriberThread { settings, feed, tcp, folder, listener, stop } = self;
         if let Some(listener) = listener {
             let addr = listener.local_addr().ok();
             info!(
