--- a/crates/store/src/disk/mod.rs
+++ b/crates/store/src/disk/mod.rs
@@ -28,12 +28,19 @@
 const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 /// Log entries by their index.
 const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// The [`FORMAT_VERSION`] of the file.
 const KEY_FORMAT: &str = "format";
+/// The [`Identity`].
 const KEY_IDENTITY: &str = "identity";
+/// The vote in the current term.
 const KEY_VOTE: &str = "vote";
+/// The last entry known to be committed.
 const KEY_COMMITTED: &str = "committed";
+/// The last entry that log compaction has removed. Unrelated to [`Change::Purge`](crate::state::Change::Purge).
 const KEY_PURGED: &str = "purged";
+/// Which entries the latest snapshot covers.
 const KEY_SNAPSHOT_META: &str = "snapshot_meta";
+/// The latest snapshot, sealed.
 const KEY_SNAPSHOT: &str = "snapshot";
 /// What errors call an entry.
 const LOG_ENTRY: &str = "a log entry";
--- a/crates/store/src/feed/delta.rs
+++ b/crates/store/src/feed/delta.rs
@@ -1,5 +1,5 @@
-//! The difference between two texts. Texts are compared by pieces that end at each `}`, so that in a server list a piece
-//! is an entry. The difference of any two texts can be expressed; for some of them it is not short.
+//! The difference between two texts. Texts are compared by pieces that end at each `}`, so that in an endpoint list a
+//! piece is an entry. The difference of any two texts can be expressed; for some of them it is not short.
 
 use std::collections::HashMap;
 
--- a/crates/store/src/feed/frame.rs
+++ b/crates/store/src/feed/frame.rs
@@ -27,7 +27,7 @@
 pub enum ItemKey {
     /// A document, by its name.
     Document(String),
-    /// The server list.
+    /// The endpoint list.
     List,
     /// An administrative override, by its server.
     Override(String),
@@ -47,14 +47,14 @@
         /// When it was written, in ms of Unix time by the author's clock.
         at_ms: u64,
     },
-    /// The complete server list.
+    /// The complete endpoint list.
     List {
         /// Discovery's version.
         version: u64,
         /// The list as it was received.
         text: String,
     },
-    /// The server list, for a subscriber that has an older one.
+    /// The endpoint list, for a subscriber that has an older one.
     ListDelta {
         /// The version that the subscriber needs to have.
         from: u64,
--- a/crates/store/src/feed/subscriber/receive.rs
+++ b/crates/store/src/feed/subscriber/receive.rs
@@ -93,9 +93,9 @@
             _ => 0,
         };
         let position = checked.last().map_or(position, |last| last.revision);
-        let held = position.max(self.table.revision() + 1);
-        if revision < held {
-            return Err(ReceiveError::OutOfOrder { what: "record", found: revision, held });
+        let min_revision = position.max(self.table.revision() + 1);
+        if revision < min_revision {
+            return Err(ReceiveError::OutOfOrder { what: "record", found: revision, held: min_revision });
         }
         check_not_ahead("record", revision, publisher.head_revision)?;
         let mut item = Item::decode(bytes)?;
--- a/crates/store/src/freshness.rs
+++ b/crates/store/src/freshness.rs
@@ -17,9 +17,9 @@
     pub config: u64,
 }
 
-/// An index that has to be applied before the node counts as confirmed.
+/// A confirmation by the leader that takes effect once its index is applied here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct ReadIndex {
+struct PendingConfirmation {
     index: u64,
     requested_at: Millis,
 }
@@ -37,7 +37,7 @@
     /// The latest time at which everything that was committed then is known to be applied now.
     confirmed_at: Option<Millis>,
     started_at: Millis,
-    pending: Option<ReadIndex>,
+    pending: Option<PendingConfirmation>,
 }
 
 /// Whether a version may be used.
@@ -99,11 +99,11 @@
     /// Notes that everything up to this index is committed, in response to a request that was sent at this time.
     pub fn read_index_received(&mut self, requested_at: Millis, index: u64) {
         self.pending = Some(match self.pending {
-            Some(before) => ReadIndex {
+            Some(before) => PendingConfirmation {
                 index: before.index.max(index),
                 requested_at: before.requested_at.max(requested_at),
             },
-            None => ReadIndex { index, requested_at },
+            None => PendingConfirmation { index, requested_at },
         });
     }
 
--- a/crates/store/src/state/change.rs
+++ b/crates/store/src/state/change.rs
@@ -34,7 +34,7 @@
         /// The revision that it has to follow, 0 for a new document. With `None` it follows any.
         after: Option<u64>,
     },
-    /// A server list, as a node received it from discovery.
+    /// An endpoint list, as a node received it from discovery.
     List {
         /// Discovery's version.
         version: u64,
--- a/crates/store/src/state/limits.rs
+++ b/crates/store/src/state/limits.rs
@@ -2,7 +2,7 @@
 
 /// The longest text of a document, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 256 << 10;
-/// The longest text of a server list, in bytes.
+/// The longest text of an endpoint list, in bytes.
 pub const MAX_LIST_BYTES: usize = 2 << 20;
 /// The most documents.
 pub const MAX_DOCUMENTS: usize = 1_000;
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -27,7 +27,7 @@
     pub at_ms: u64,
 }
 
-/// A server list.
+/// An endpoint list, as discovery sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerList {
     /// Discovery's version.
@@ -74,7 +74,7 @@
         self.documents.keys().map(String::as_str)
     }
 
-    /// The latest server list.
+    /// The latest endpoint list.
     pub fn list(&self) -> Option<&ServerList> {
         self.list.as_ref()
     }
@@ -142,6 +142,8 @@
         // By the new override's own time, so that all replicas drop the same ones.
         self.overrides.retain(|_, old| !old.is_expired(new.since_ms));
         let added = usize::from(!self.overrides.contains_key(&server));
+        // The text is a part of the replicated reply, which replicas of all versions must store alike: an earlier word for
+        // overrides stays in it.
         check_count("orders", self.overrides.len() + added, MAX_SERVERS)?;
         self.overrides.insert(server, new);
         Ok(index)
--- a/crates/store/src/wire/connection.rs
+++ b/crates/store/src/wire/connection.rs
@@ -19,7 +19,8 @@
 use crate::feed::frame::FrameError;
 use crate::message::Introduction;
 
-/// How long a handshake, or one step of it, may take.
+/// How long a handshake may take, and each message by which a session begins: an introduction, a subscriber's hello. A
+/// subscriber's acknowledgement has to be sent within it too.
 pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// What errors call an introduction.
 pub(super) const INTRODUCTION: &str = "an introduction";
@@ -42,6 +43,7 @@
     #[error("refused: {0}")]
     Rejected(String),
     #[error("no proof within {} s", HANDSHAKE_TIMEOUT.as_secs())]
+    /// A step bounded by [`HANDSHAKE_TIMEOUT`] took longer; the other side may be authenticated already.
     HandshakeTimeout,
 }
 
--- a/crates/store/src/wire/follow.rs
+++ b/crates/store/src/wire/follow.rs
@@ -60,7 +60,10 @@
     feed.with_subscriber(|subscriber, now| subscriber.on_closed(now));
     match result {
         Ok(()) => {
-            debug!(event = "publisher_disconnected", addr, "the subscriber connects to another publisher");
+            debug!(
+                event = "publisher_disconnected",
+                addr, "the session is over; a publisher is selected again"
+            );
         }
         Err(error) => log_lost_publisher(feed, addr, &error),
     }
@@ -138,7 +141,7 @@
                     event = "publisher_disconnected",
                     addr,
                     ?reason,
-                    "the connection to a publisher is closed"
+                    "the subscriber closes the connection to a publisher"
                 );
                 return Ok(());
             }
--- a/crates/store/src/wire/server.rs
+++ b/crates/store/src/wire/server.rs
@@ -120,8 +120,9 @@
         let Err(error) = served else { return };
         self.tcp.count_rejected_caller();
         let mut limiter = lock(&self.limiter);
-        // Only callers without a key count towards a ban. A removed member still has it and reconnects again and again;
-        // the other members at its address must not be banned for it.
+        // An authenticated caller that is not admitted doesn't count towards a ban: a removed member still has the key and
+        // reconnects again and again, and the other members at its address must not be banned for it. A caller that is
+        // silent for too long counts, authenticated or not.
         if matches!(error, WireError::Handshake(_) | WireError::HandshakeTimeout) {
             limiter.on_failure(from.ip(), self.now_ms());
         }
