--- a/crates/cli/src/commands/store/snapshot.rs
+++ b/crates/cli/src/commands/store/snapshot.rs
@@ -12,7 +12,7 @@
 use crate::args::StoreClientArgs;
 use crate::failure::Failure;
 
-/// Writes all committed state to a new file.
+/// Writes to a new file what the addressed member has applied; a member that lags lacks the latest changes.
 pub(super) async fn export(file: &Path, store: &StoreClientArgs) -> Result<(), Failure> {
     let sealed = client(store)?.export_snapshot().await.map_err(Failure::failed)?;
     let failed = |error: io::Error| Failure::failed(format!("{}: {error}", file.display()));
--- a/crates/membership/src/detector/indirect.rs
+++ b/crates/membership/src/detector/indirect.rs
@@ -26,11 +26,11 @@
     pub(super) fn request_indirect_probes(&mut self, probe: u32, target: MemberId, out: &mut Vec<Output>) {
         let Some(address) = self.member(target).map(|member| member.profile.address) else { return };
         let is_alive = |id: &MemberId| self.member(*id).is_some_and(|member| member.state == State::Alive);
-        let mut helpers: Vec<MemberId> =
+        let mut candidates: Vec<MemberId> =
             self.table.live().filter(|id| *id != target && is_alive(id)).collect();
-        for _ in 0..self.settings.indirect_probes.min(helpers.len()) {
-            let helper = helpers.swap_remove(self.rng.usize(..helpers.len()));
-            self.send_to(helper, Body::PingRequest { probe, target, address }, Vec::new(), out);
+        for _ in 0..self.settings.indirect_probes.min(candidates.len()) {
+            let intermediary = candidates.swap_remove(self.rng.usize(..candidates.len()));
+            self.send_to(intermediary, Body::PingRequest { probe, target, address }, Vec::new(), out);
         }
     }
 
--- a/crates/membership/src/detector/receiving.rs
+++ b/crates/membership/src/detector/receiving.rs
@@ -48,7 +48,7 @@
         true
     }
 
-    /// Answers a message whose updates were applied.
+    /// Answers a message whose updates were applied. Then a synchronisation begins if the sender's view differs.
     fn answer(&mut self, now: Micros, sender: Sender, body: Body, out: &mut Vec<Output>) {
         let Sender { id: from, address, digest } = sender;
         match body {
--- a/crates/membership/src/detector/updates.rs
+++ b/crates/membership/src/detector/updates.rs
@@ -1,7 +1,8 @@
 //! Updates about other members, and what follows from them.
 //!
 //! A claim about an older incarnation never wins. What a member states about itself (alive, left) is accepted from
-//! anybody who forwards it; that it failed is not, see [`suspecting`](super::suspecting).
+//! anybody who forwards it. That it failed is accepted only of a member that was not known; of a known one it begins or
+//! confirms a suspicion, see [`suspecting`](super::suspecting).
 
 use super::suspecting::Accusation;
 use super::{Detector, Event, Output};
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,5 +1,4 @@
-//! The messages between nodes. Their encoding depends on the order of
-//! fields and variants, which must not change.
+//! The messages between nodes. Their encoding depends on the order of fields and variants, which must not change.
 
 use std::net::SocketAddr;
 
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -99,7 +99,8 @@
         .await
     }
 
-    /// The leader's latest revision of a document, or all that are retained.
+    /// The leader's latest revision of a document, or all that are retained. A leader that takes longer than the request
+    /// timeout to apply what is committed answers with what it has applied by then.
     ///
     /// # Errors
     /// If there is no leader.
@@ -131,7 +132,7 @@
         }
     }
 
-    /// A sealed snapshot of the member that is asked first.
+    /// A sealed snapshot of what the member that is asked first has applied. It need not be the leader, and may lag.
     ///
     /// # Errors
     /// If it doesn't answer.
