--- a/crates/store/src/feed/frame.rs
+++ b/crates/store/src/feed/frame.rs
@@ -177,12 +177,13 @@
 /// Why a publisher ends a session, or doesn't begin one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum SessionRejection {
-    /// The subscriber is ahead of the publisher: a relay that lags, or a revision that never was.
+    /// The subscriber is ahead of the publisher, which lags or has another state. The numbers are revisions, or those of the
+    /// last purges, which the message calls revisions too.
     #[error("revision {theirs} is from the future: the publisher is at {ours}")]
     Ahead {
-        /// The subscriber's revision.
+        /// The subscriber's revision or last purge.
         theirs: u64,
-        /// The publisher's revision.
+        /// The publisher's revision or last purge.
         ours: u64,
     },
     /// The publisher no longer knows all purges that the subscriber lacks.
--- a/crates/store/src/feed/table.rs
+++ b/crates/store/src/feed/table.rs
@@ -206,7 +206,7 @@
 /// The items that a member's applied state has changed after a revision, with their revisions.
 fn changed_items(after: u64, applied: &AppliedState) -> Vec<(u64, Item)> {
     let (state, changes) = (&applied.state, &applied.changes);
-    let documents = state.names().filter_map(|name| {
+    let documents = state.document_names().filter_map(|name| {
         let latest = state.document(name).filter(|latest| latest.revision > after)?;
         let (name, text, author) = (name.to_owned(), latest.text.clone(), latest.author.clone());
         Some((latest.revision, Item::Document { name, text, author, at_ms: latest.at_ms }))
--- a/crates/store/src/replica/membership.rs
+++ b/crates/store/src/replica/membership.rs
@@ -23,7 +23,7 @@
     /// Adds a member: as a learner first, then as a voter once it has caught up.
     pub(super) async fn add_member(&self, member: MemberId, addr: String) -> Result<(), RequestError> {
         self.read_index().await?; // only the leader knows the members for certain
-        members::check_add(member, &addr, &self.members(), self.shared.read().state.removed())
+        members::check_add(member, &addr, &self.members(), self.shared.read().state.removed_members())
             .map_err(rejected)?;
         let added = self.raft.add_learner(member, BasicNode::new(&addr), false).await;
         let index = added.map_err(change_error)?.log_id.index;
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -52,6 +52,7 @@
     documents: BTreeMap<String, VecDeque<Revision>>,
     list: Option<ServerList>,
     overrides: BTreeMap<String, AdminOverride>,
+    /// When servers were last seen to start, in ms of Unix time.
     started: BTreeMap<String, u64>,
     clients: BTreeMap<u64, LastProposal>,
     /// Members that were removed: their ids are never reused.
@@ -70,7 +71,7 @@
     }
 
     /// The names of the documents.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
+    pub fn document_names(&self) -> impl Iterator<Item = &str> {
         self.documents.keys().map(String::as_str)
     }
 
@@ -85,12 +86,12 @@
     }
 
     /// When a server was last seen to start, in ms of Unix time.
-    pub fn started(&self, server: &str) -> Option<u64> {
+    pub fn started_at(&self, server: &str) -> Option<u64> {
         self.started.get(server).copied()
     }
 
-    /// Members that were removed.
-    pub fn removed(&self) -> &BTreeSet<u64> {
+    /// The ids of members that were removed, which are never reused.
+    pub fn removed_members(&self) -> &BTreeSet<u64> {
         &self.removed
     }
 
--- a/crates/store/tests/compatibility/history.rs
+++ b/crates/store/tests/compatibility/history.rs
@@ -115,6 +115,6 @@
     let texts: Vec<&str> = state.history("config").map(|revision| revision.text.as_str()).collect();
     assert_eq!(texts, ["text 1", "text 2"]);
     assert_eq!(state.list().map(|list| (list.version, list.learned_by)), Some((9, 2)));
-    assert_eq!(state.started("s-1"), Some(1_700_000_000_002));
+    assert_eq!(state.started_at("s-1"), Some(1_700_000_000_002));
     assert_eq!(state.overrides()["s-1"], AdminOverride { disabled: true, since_ms: 1_700_000_000_003 });
 }
--- a/crates/store/tests/compatibility/snapshot.rs
+++ b/crates/store/tests/compatibility/snapshot.rs
@@ -61,8 +61,8 @@
         ("s-2".to_owned(), AdminOverride { disabled: false, since_ms: 1_700_000_000_004 }),
     ];
     assert_eq!(*state.overrides(), overrides.into());
-    assert_eq!(state.started("s-1"), Some(1_700_000_000_002));
-    assert_eq!(*state.removed(), [3].into());
+    assert_eq!(state.started_at("s-1"), Some(1_700_000_000_002));
+    assert_eq!(*state.removed_members(), [3].into());
     let changes = &applied.changes;
     assert_eq!((changes.list(), changes.admin_override("s-1"), changes.admin_override("s-2")), (4, 5, 9));
     assert_eq!((changes.last_purge(), changes.last_dropped_purge()), (1, 0));
--- a/crates/store/tests/rules.rs
+++ b/crates/store/tests/rules.rs
@@ -246,12 +246,12 @@
             prop_assert_eq!(&reply, &state.apply(index + 1_000, Proposal { client, sequence, change: change.clone() }));
             prop_assert_eq!(&state, &done);
             let version = |state: &State| state.list().map_or(0, |list| list.version);
-            prop_assert!(version(&state) >= version(&before) && state.started("s") >= before.started("s"));
+            prop_assert!(version(&state) >= version(&before) && state.started_at("s") >= before.started_at("s"));
             if let (Change::Document { name, after: Some(after), .. }, Reply::Applied(_)) = (&change, &reply) {
                 prop_assert_eq!(before.document(name).map_or(0, |latest| latest.revision), *after);
             }
-            let texts: usize = state.names().flat_map(|name| state.history(name)).map(|r| r.text.len()).sum();
-            prop_assert!(texts <= MAX_TOTAL_DOCUMENT_BYTES && state.names().all(|name| state.history(name).count() <= MAX_REVISIONS_PER_DOCUMENT));
+            let texts: usize = state.document_names().flat_map(|name| state.history(name)).map(|r| r.text.len()).sum();
+            prop_assert!(texts <= MAX_TOTAL_DOCUMENT_BYTES && state.document_names().all(|name| state.history(name).count() <= MAX_REVISIONS_PER_DOCUMENT));
         }
         prop_assert_eq!(state, twin);
     }
@@ -283,7 +283,7 @@
         matches!(propose(&mut state, document(0, 1, None)), Reply::Applied(_)),
         "a smaller one in its place"
     );
-    assert_eq!(state.names().count(), MAX_TOTAL_DOCUMENT_BYTES / MAX_DOCUMENT_BYTES);
+    assert_eq!(state.document_names().count(), MAX_TOTAL_DOCUMENT_BYTES / MAX_DOCUMENT_BYTES);
     // An earlier proposal of a client that has gone on is not carried out late.
     let late = state.apply(900, Proposal { client: 1, sequence: 1, change: order("late".into()) });
     assert!(matches!(late, Reply::Rejected(Rejection::Superseded { .. })), "{late:?}");
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -226,7 +226,7 @@
         let known: Vec<_> = self.slots.iter().filter_map(|&member| self.net.replica(member)).collect();
         for slot in 0..self.slots.len() {
             let member = self.slots[slot];
-            if known.iter().any(|replica| replica.shared().read().state.removed().contains(&member)) {
+            if known.iter().any(|replica| replica.shared().read().state.removed_members().contains(&member)) {
                 self.kill(member).await;
                 let new = self.disks.keys().last().unwrap() + 1;
                 self.disks.insert(new, MemoryDisk::default());
