--- a/crates/membership/src/detector/event.rs
+++ b/crates/membership/src/detector/event.rs
@@ -93,7 +93,7 @@
 
 /// Messages and updates that were dropped, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
+pub struct DropCounters {
     /// Messages that were received before.
     pub replayed: u64,
     /// Claims about an incarnation too far in the future.
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -21,7 +21,7 @@
 use crate::probe::Probe;
 use crate::settings::Settings;
 use crate::table::Table;
-pub use event::{Counters, Event, Output};
+pub use event::{DropCounters, Event, Output};
 use indirect::RelayedPing;
 use local_health::LocalHealth;
 
@@ -71,7 +71,7 @@
     /// Whether a later process has taken this one's name.
     superseded: bool,
     leaving: bool,
-    counters: Counters,
+    counters: DropCounters,
 }
 
 impl Detector {
@@ -115,7 +115,7 @@
             next_reported_failure: unix_ms,
             superseded: false,
             leaving: false,
-            counters: Counters::default(),
+            counters: DropCounters::default(),
         }
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Messages and updates that were dropped so far.
-    pub fn counters(&self) -> Counters {
+    pub fn counters(&self) -> DropCounters {
         self.counters
     }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -22,7 +22,7 @@
 mod table;
 
 pub use codec::{Codec, CodecError, KEY_LEN, MAX_DATAGRAM};
-pub use detector::{Counters, Detector, Event, Output};
+pub use detector::{Detector, DropCounters, Event, Output};
 pub use member::{Member, MemberId, Profile, Reachability, State};
 pub use message::{Body, Claim, Message, Update};
 pub use settings::Settings;
--- a/crates/node/src/metrics/membership.rs
+++ b/crates/node/src/metrics/membership.rs
@@ -1,6 +1,6 @@
 //! Metrics of the membership, shown where it is enabled.
 
-use stonefold_membership::{CodecError, Counters, Member, Reachability, State};
+use stonefold_membership::{CodecError, DropCounters, Member, Reachability, State};
 
 use super::prometheus::{write_labelled, write_value};
 use crate::counter::Counter;
@@ -68,8 +68,8 @@
     }
 
     /// Takes over what the detector has dropped so far.
-    pub(crate) fn set_dropped(&self, counters: Counters) {
-        let Counters { replayed, far_future, stale, members_full, .. } = counters;
+    pub(crate) fn set_dropped(&self, counters: DropCounters) {
+        let DropCounters { replayed, far_future, stale, members_full, .. } = counters;
         for (counter, value) in self.dropped.iter().zip([replayed, far_future, stale, members_full]) {
             counter.set(value);
         }
