--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,4 +1,5 @@
-//! Messages as authenticated datagrams: version, cluster, key id, body, truncated HMAC-SHA256 (RFC 2104).
+//! Encodes messages as authenticated datagrams: version, cluster id, key id, encoded message, truncated HMAC-SHA256
+//! (RFC 2104).
 
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
@@ -10,7 +11,7 @@
 pub const MAX_DATAGRAM: usize = 1_200;
 /// The length of a key, in bytes.
 pub const KEY_LEN: usize = 32;
-/// The version that is written and read.
+/// The version of the format, the only one that is written and accepted.
 const VERSION: u8 = 1;
 /// The length of a cluster's id in a datagram, in bytes.
 const CLUSTER_ID_LEN: usize = 8;
@@ -18,41 +19,41 @@
 const KEY_ID_LEN: usize = 2;
 /// The length of the truncated authentication code, in bytes.
 const MAC_LEN: usize = 16;
-/// Where the cluster's id ends in a datagram, in bytes from its start.
+/// The offset of the end of the cluster's id in a datagram, in bytes.
 const CLUSTER_ID_END: usize = 1 + CLUSTER_ID_LEN;
-/// The length of what stands before the body, in bytes.
+/// The length of the header, which precedes the encoded message, in bytes.
 const HEADER_LEN: usize = CLUSTER_ID_END + KEY_ID_LEN;
 
-/// Why a datagram is rejected. Nothing of it is applied.
+/// Why a datagram is rejected as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
     /// It is shorter than any message, or truncated.
-    #[error("too short or cut off")]
+    #[error("datagram is too short or truncated")]
     TooShort,
     /// It is longer than [`MAX_DATAGRAM`].
-    #[error("over {MAX_DATAGRAM} bytes")]
+    #[error("datagram is longer than {MAX_DATAGRAM} bytes")]
     TooLong,
-    /// Its sender speaks another version of the protocol.
-    #[error("of another version")]
+    /// It has another version of the format.
+    #[error("datagram has another protocol version")]
     UnknownVersion,
     /// It belongs to another cluster.
-    #[error("of another cluster")]
+    #[error("datagram belongs to another cluster")]
     WrongCluster,
-    /// Its key is not accepted here.
-    #[error("under an unknown key")]
+    /// It is signed with a key that this node does not have.
+    #[error("datagram is signed with an unknown key")]
     UnknownKey,
     /// Its authentication code is wrong.
-    #[error("not authentic")]
+    #[error("authentication code of the datagram is wrong")]
     BadMac,
     /// It is authentic, but does not decode to a message.
-    #[error("not a message")]
+    #[error("datagram does not decode to a message")]
     Malformed,
     /// A name is too long, or does not hash to its member's id.
-    #[error("a name that is too long or of another member")]
+    #[error("member name is too long or does not match the member id")]
     BadName,
 }
 
-/// A key and the id by which datagrams name it.
+/// A key and the id that identifies it in datagrams.
 #[derive(Clone)]
 struct Key {
     id: [u8; KEY_ID_LEN],
@@ -75,22 +76,22 @@
 #[derive(Clone)]
 pub struct Codec {
     cluster_id: [u8; CLUSTER_ID_LEN],
-    /// The first signs, all are accepted.
+    /// The first one signs; all are accepted.
     keys: Vec<Key>,
 }
 
 impl Codec {
-    /// A codec for a cluster. The first key signs; the others are accepted too, for key rotation.
+    /// Creates the codec of a cluster. The first key signs; the others are accepted too, for key rotation.
     ///
     /// # Panics
-    /// Without a key.
+    /// If there is no key.
     pub fn new(cluster: &str, keys: &[[u8; KEY_LEN]]) -> Codec {
-        assert!(!keys.is_empty(), "at least one key");
+        assert!(!keys.is_empty(), "a codec needs at least one key");
         let cluster_id = labelled_hash(b"stonefold cluster", cluster.as_bytes());
         Codec { cluster_id, keys: keys.iter().map(Key::new).collect() }
     }
 
-    /// A message as a datagram; `None` if it is longer than [`MAX_DATAGRAM`].
+    /// Encodes a message as a datagram; `None` if that would be longer than [`MAX_DATAGRAM`].
     pub fn encode(&self, message: &Message) -> Option<Vec<u8>> {
         let key = &self.keys[0];
         let mut header = vec![VERSION];
@@ -102,10 +103,10 @@
         (bytes.len() <= MAX_DATAGRAM).then_some(bytes)
     }
 
-    /// The message of a datagram.
+    /// Decodes a datagram and checks its authentication code.
     ///
     /// # Errors
-    /// If the datagram is malformed, not authentic, or not of this cluster and version.
+    /// Fails if the datagram is malformed, not authentic, or not of this cluster and version.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, CodecError> {
         if bytes.len() > MAX_DATAGRAM {
             return Err(CodecError::TooLong);
@@ -132,7 +133,7 @@
     }
 }
 
-/// The first bytes of a SHA-256 over a label and a value.
+/// The first bytes of the SHA-256 of a label followed by a value.
 fn labelled_hash<const LEN: usize>(label: &[u8], value: &[u8]) -> [u8; LEN] {
     let hash = Sha256::new().chain_update(label).chain_update(value).finalize();
     let mut first = [0; LEN];
@@ -140,7 +141,7 @@
     first
 }
 
-/// Whether an update's profile, if it has one, is that of the member which it names.
+/// Whether the name in an update's profile, if it has one, hashes to the update's member id and is not too long.
 fn has_valid_name(update: &Update) -> bool {
     update
         .claim
--- a/crates/membership/src/detector/anti_entropy.rs
+++ b/crates/membership/src/detector/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: views that differ are compared by the digests of their buckets, and the differing buckets exchanged.
+//! Anti-entropy: nodes whose views differ compare the digests of their buckets and exchange the records of the buckets
+//! that differ.
 
 use std::net::SocketAddr;
 
@@ -9,11 +10,11 @@
 use crate::message::{Body, Claim, Update};
 use crate::table::{BUCKETS, bucket};
 
-/// Messages with records that answer one comparison at most.
+/// The most messages with records that are sent in answer to the digests of another member.
 const MAX_RECORD_MESSAGES: usize = 3;
 
 impl Detector {
-    /// A hash of the whole view.
+    /// A hash of this node's whole view of the members.
     pub(super) fn view_digest(&self) -> u32 {
         let buckets = self.bucket_digests();
         buckets.iter().fold(0, |digest: u32, bucket| digest.rotate_left(1) ^ bucket)
@@ -23,7 +24,8 @@
         self.table.digests_with(self.id, &self.local)
     }
 
-    /// Sends this node's digests to a member whose view differs, at most once in a while.
+    /// Sends this node's digests to a member whose view differs, at most once per
+    /// [`sync_interval`](crate::Settings::sync_interval).
     pub(super) fn start_sync_if_different(
         &mut self,
         now: Micros,
@@ -39,7 +41,9 @@
         self.send(address, Body::SyncDigests { buckets, reply: true }, Vec::new(), out);
     }
 
-    /// Sends the records of the buckets that differ, in a random order, and if wanted this node's digests.
+    /// Sends the records of the buckets that differ and, if `reply` is set, this node's digests.
+    ///
+    /// The order of the records is random, because those beyond [`MAX_RECORD_MESSAGES`] messages are left out.
     pub(super) fn synchronise(
         &mut self,
         address: SocketAddr,
@@ -90,7 +94,7 @@
     }
 }
 
-/// A member as this node knows it.
+/// A member's record as an update for other nodes. Suspicions are left out: a suspect is stated to be alive.
 fn record(id: MemberId, member: &Member, by: MemberId) -> Update {
     let profile = member.profile.clone();
     let claim = match member.state {
@@ -101,7 +105,7 @@
     Update { id, incarnation: member.incarnation, claim }
 }
 
-/// Takes the first records, as many as fit in one message.
+/// Takes the first records off the list, as many as fit in one message.
 fn take_page(records: &mut Vec<Update>) -> Vec<Update> {
     let mut bytes = 0;
     let fitting = records.iter().take_while(|record| {
--- a/crates/membership/src/detector/dissemination.rs
+++ b/crates/membership/src/detector/dissemination.rs
@@ -1,4 +1,4 @@
-//! Sending: gossip of queued updates, updates piggybacked on other messages, and the announcement of a leave.
+//! Sending of messages: gossip of queued updates, updates piggybacked on other messages, joins and leaves.
 
 use std::net::SocketAddr;
 
@@ -7,11 +7,11 @@
 use crate::member::MemberId;
 use crate::message::{Body, Claim, Message, Update};
 
-/// Queued updates that are piggybacked on a ping, its answer or a ping request.
+/// The most queued updates that are piggybacked on a ping, its answer or a ping request.
 const PIGGYBACKED_UPDATES: usize = 3;
-/// The bytes of updates in one message at most; the rest of a datagram is for the message's own fields.
+/// The most bytes of updates in one message. The rest of a datagram is for the message's other fields.
 pub(super) const MAX_UPDATE_BYTES: usize = 1_000;
-/// The most bytes that an update takes beside a member's name.
+/// The most bytes that an update takes besides the member's name.
 const UPDATE_OVERHEAD: usize = 64;
 
 impl Detector {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Asks the seeds for members while no other member is known.
+    /// Sends a join to all seeds, if no other live member is known.
     pub(super) fn join_if_isolated(&mut self, out: &mut Vec<Output>) {
         if self.table.live().next().is_some() {
             return;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends this node's leave to random members, which gossip it on.
+    /// Announces that this node leaves to some random members, which gossip it further.
     pub(super) fn announce_leave(&mut self, out: &mut Vec<Output>) {
         let update = self.own_update();
         let mut members: Vec<MemberId> = self.table.live().collect();
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What this node claims about itself.
+    /// This node's claim about itself: that it is alive or has left.
     pub(super) fn own_update(&self) -> Update {
         let profile = self.local.profile.clone();
         let claim = if self.leaving { Claim::Left(profile) } else { Claim::Alive(profile) };
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends a message. Updates that don't fit in a datagram are left out.
+    /// Sends a message. Updates beyond [`MAX_UPDATE_BYTES`] are left out.
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
--- a/crates/membership/src/detector/event.rs
+++ b/crates/membership/src/detector/event.rs
@@ -1,4 +1,4 @@
-//! What a detector asks for and reports.
+//! The outputs of a detector: messages to send, events, and counters.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use crate::member::{MemberId, Reachability};
 use crate::message::Message;
 
-/// What a detector asks for, in order.
+/// An output of a detector. The caller handles the outputs in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message.
@@ -16,11 +16,11 @@
         /// The message.
         message: Message,
     },
-    /// The node's view has changed.
+    /// Report an event.
     Event(Event),
 }
 
-/// A change in a node's view.
+/// A change in a node's view of the members, or an incident at the node itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member that was not known has joined.
@@ -28,14 +28,14 @@
         /// Its name.
         name: String,
     },
-    /// A member did not answer somebody's probe.
+    /// A member did not answer a probe of this node or of another one.
     Suspected {
         /// Its name.
         name: String,
         /// The member that suspects it.
         by: MemberId,
     },
-    /// A suspicion has ended: the member refuted it, or answered a probe.
+    /// A suspicion has ended, because the member refuted it or is known to be alive.
     Refuted {
         /// Its name.
         name: String,
@@ -47,7 +47,7 @@
         /// The members that suspected it.
         suspected_by: Vec<MemberId>,
     },
-    /// A failed or left member is back.
+    /// A member that had failed or left is back.
     Returned {
         /// Its name.
         name: String,
@@ -62,7 +62,7 @@
         /// Its name.
         name: String,
     },
-    /// Whether a live member answers this node has changed.
+    /// The reachability of a live member from this node has changed.
     ReachabilityChanged {
         /// Its name.
         name: String,
@@ -74,33 +74,33 @@
         /// Its name.
         name: String,
     },
-    /// Another member has declared this node failed; it has refuted that.
+    /// Another member has declared this node failed. This node has refuted that.
     DeclaredFailed {
         /// The member that declared it.
         by: MemberId,
     },
-    /// This process was paused, or its timers were late. No member is suspected for that time.
+    /// This process was paused, or its timers were late. Answers missing in that time cause no suspicion.
     Paused {
         /// For how long.
         duration: Micros,
     },
     /// A later process runs under this node's name. This one no longer takes part.
     NameConflict {
-        /// The other process's address.
+        /// The address of the other process.
         address: SocketAddr,
     },
 }
 
-/// Messages and updates that were dropped, by reason.
+/// How many messages and updates were dropped, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounters {
-    /// Messages that were received before.
+    /// Messages that had been received before.
     pub replayed: u64,
     /// Claims about an incarnation too far in the future.
     pub far_future: u64,
     /// Claims about an outdated incarnation.
     pub stale: u64,
-    /// New members beyond the bound.
+    /// New members beyond [`Settings::max_members`](crate::Settings::max_members).
     pub members_full: u64,
     /// Synchronisation digests of the wrong length.
     pub malformed: u64,
--- a/crates/membership/src/detector/indirect.rs
+++ b/crates/membership/src/detector/indirect.rs
@@ -1,4 +1,4 @@
-//! Indirect probes: asking other members to ping a target, and pinging for them.
+//! Indirect probes: asking other members to ping a target, and pinging targets for other members.
 
 use std::net::SocketAddr;
 
@@ -7,17 +7,17 @@
 use crate::member::{MemberId, State};
 use crate::message::Body;
 
-/// Relayed pings that are remembered; the oldest are dropped.
+/// The most relayed pings whose answers are awaited; beyond that the oldest is forgotten.
 const MAX_RELAYED_PINGS: usize = 64;
 
 /// A ping that this node has sent for another member.
 #[derive(Debug)]
 pub(super) struct RelayedPing {
-    /// This node's number of it.
+    /// The number of the ping at this node.
     number: u32,
-    /// The probe's number at the member that asked for it.
+    /// The number of the probe at the requester.
     requested_probe: u32,
-    /// The address of that member.
+    /// The address of the member that asked for the ping.
     requester: SocketAddr,
 }
 
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Pings a target for the member that asked for it. `address` is the target's, as that member knows it.
+    /// Pings a target for the requester. `address` is the target's as the requester knows it; it is used only if this
+    /// node does not know the target.
     pub(super) fn relay_ping(
         &mut self,
         requested_probe: u32,
@@ -52,14 +53,14 @@
         self.send(address, Body::Ping { probe: number }, Vec::new(), out);
     }
 
-    /// Forwards the answer to a relayed ping to the member that asked for it.
+    /// Forwards the answer to a relayed ping to the requester.
     pub(super) fn forward_ack(&mut self, number: u32, out: &mut Vec<Output>) {
         let Some(index) = self.relayed_pings.iter().position(|ping| ping.number == number) else { return };
         let Some(ping) = self.relayed_pings.remove(index) else { return };
         self.send(ping.requester, Body::IndirectAck { probe: ping.requested_probe }, Vec::new(), out);
     }
 
-    /// Notes that a target has answered a member that was asked to ping it.
+    /// Records that the target of a probe has answered another member, which pinged it for this node.
     pub(super) fn on_indirect_ack(&mut self, number: u32, now: Micros) {
         if let Some(probe) = self.probes.get_mut(&number) {
             probe.indirectly_acked = true;
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -1,4 +1,4 @@
-//! The protocol's state machine: messages and the time in, messages and events out.
+//! The state machine of the protocol: it takes messages and the time, and returns messages and events.
 
 mod anti_entropy;
 mod dissemination;
@@ -15,17 +15,17 @@
 use std::net::SocketAddr;
 
 use crate::Micros;
-use crate::gossip::Gossip;
+use crate::gossip::GossipQueue;
 use crate::member::{Member, MemberId, Profile, Reachability, State};
 use crate::message::Message;
 use crate::probe::Probe;
 use crate::settings::Settings;
-use crate::table::Table;
+use crate::table::MemberTable;
 pub use event::{DropCounters, Event, Output};
 use indirect::RelayedPing;
 use local_health::LocalHealth;
 
-/// When the next of each periodic activity is due.
+/// When each periodic activity is due next.
 #[derive(Debug)]
 struct Schedule {
     probe: Micros,
@@ -35,12 +35,12 @@
     reap: Micros,
 }
 
-/// The start of this process, by two clocks.
+/// When this process started, by two clocks.
 #[derive(Clone, Copy, Debug)]
 struct StartTime {
-    /// Unix time, in milliseconds.
+    /// By the machine's clock: Unix time, in milliseconds.
     unix_ms: u64,
-    /// The detector's clock.
+    /// By the detector's monotonic clock.
     at: Micros,
 }
 
@@ -48,35 +48,44 @@
 #[derive(Debug)]
 pub struct Detector {
     settings: Settings,
+    /// This node's own id.
     id: MemberId,
+    /// This node's own record.
     local: Member,
     started: StartTime,
+    /// Addresses to join through, without this node's own.
     seeds: Vec<SocketAddr>,
     rng: fastrand::Rng,
-    table: Table,
+    table: MemberTable,
+    /// The members in state [`State::Suspect`].
     suspects: BTreeSet<MemberId>,
-    gossip: Gossip,
+    gossip: GossipQueue,
+    /// Probes in progress, by number.
     probes: BTreeMap<u32, Probe>,
-    /// Members in the order in which they are probed.
+    /// Members still to be probed in this round, in order.
     probe_order: VecDeque<MemberId>,
     relayed_pings: VecDeque<RelayedPing>,
+    /// The sequence number of the message that was sent last.
     sequence: u64,
     next_probe_number: u32,
     schedule: Schedule,
-    /// When the caller was last asked to call again.
+    /// The latest time for the next call of `on_timer`, as last stated to the caller.
     wakeup: Micros,
     local_health: LocalHealth,
-    /// Declarations that this node failed are reported from this incarnation on.
+    /// The lowest incarnation in which a declaration that this node failed is reported, so that each failure is
+    /// reported once.
     next_reported_failure: u64,
-    /// Whether a later process has taken this one's name.
+    /// Whether a later process runs under this node's name, so that this one no longer takes part.
     superseded: bool,
     leaving: bool,
     counters: DropCounters,
 }
 
 impl Detector {
-    /// A node that starts now. `unix_ms` is the time by the machine's clock, in milliseconds; `seeds` are addresses of
-    /// members to join through, its own may be among them; `seed` determines every random choice.
+    /// Creates the detector of a node that starts now.
+    ///
+    /// `unix_ms` is the time by the machine's clock, in milliseconds. `seeds` are addresses of members to join through;
+    /// the node's own may be among them. `seed` determines every random choice.
     pub fn new(
         settings: Settings,
         profile: Profile,
@@ -86,10 +95,10 @@
         seed: u64,
     ) -> Detector {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let spread = rng.u64(0..=settings.probe_interval);
+        let recovery_probe_delay = rng.u64(0..=settings.probe_interval);
         let schedule = Schedule {
             probe: now,
-            recovery_probe: now + spread,
+            recovery_probe: now + recovery_probe_delay,
             gossip: now,
             sync: now,
             reap: now + settings.probe_interval,
@@ -101,9 +110,9 @@
             local: local_member(profile, unix_ms, now),
             started: StartTime { unix_ms, at: now },
             rng,
-            table: Table::new(),
+            table: MemberTable::new(),
             suspects: BTreeSet::new(),
-            gossip: Gossip::default(),
+            gossip: GossipQueue::default(),
             probes: BTreeMap::new(),
             probe_order: VecDeque::new(),
             relayed_pings: VecDeque::new(),
@@ -119,7 +128,7 @@
         }
     }
 
-    /// This node.
+    /// This node's own record.
     pub fn local_member(&self) -> &Member {
         &self.local
     }
@@ -134,18 +143,20 @@
         self.table.get(id).map(|entry| &entry.member)
     }
 
-    /// Messages and updates that were dropped so far.
+    /// How many messages and updates were dropped so far, by reason.
     pub fn counters(&self) -> DropCounters {
         self.counters
     }
 
-    /// When [`on_timer`](Detector::on_timer) has to be called at the latest. Changes with every call.
+    /// The latest time for the next call of [`on_timer`](Detector::on_timer). It may change with every other call.
     pub fn wakeup(&self) -> Micros {
         self.wakeup
     }
 
-    /// Handles the passing of time. A call that is later than [`wakeup`](Detector::wakeup) by more than
-    /// [`Settings::pause_threshold`] shows that the process was paused.
+    /// Does everything that is due by now.
+    ///
+    /// A call that comes more than [`Settings::pause_threshold`] after [`wakeup`](Detector::wakeup) shows that the
+    /// process was paused.
     pub fn on_timer(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.detect_pause(now, out);
         if self.leaving || self.superseded {
@@ -167,7 +178,7 @@
         self.wakeup = self.next_wakeup(now);
     }
 
-    /// Handles a message from this address.
+    /// Handles a message that was received from the address `from`.
     pub fn on_message(&mut self, now: Micros, from: SocketAddr, message: Message, out: &mut Vec<Output>) {
         self.detect_pause(now, out);
         if self.receive(now, from, message, out) {
@@ -175,7 +186,9 @@
         }
     }
 
-    /// Leaves the cluster: announces it to some members. Nothing but this may be called afterwards.
+    /// Leaves the cluster and announces that to some members.
+    ///
+    /// Afterwards the detector neither probes nor answers.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.leaving = true;
         self.local.state = State::Left;
@@ -183,7 +196,7 @@
         self.wakeup = now + self.settings.probe_interval;
     }
 
-    /// Live members, this node included.
+    /// The number of live members, this node included.
     fn cluster_size(&self) -> usize {
         self.table.live().count() + 1
     }
@@ -196,17 +209,21 @@
         if let Some(at) = self.probes.values().map(|probe| probe.next_step).min() {
             next = next.min(at);
         }
+        // The expiry of a suspicion changes with its confirmations and with the size of the cluster, so it is polled.
         if !self.suspects.is_empty() {
             next = next.min(now + self.settings.gossip_interval);
         }
         next.max(now + 1)
     }
 
-    /// After a pause of this process the silence of others proves nothing: suspicions last longer by the pause, probes
-    /// in progress are dropped, and no member is declared failed until a ping was answered again.
+    /// Checks whether this process was paused since the last wakeup, and handles the pause.
+    ///
+    /// A paused process receives no answers, so missing answers are no evidence against other members. Suspicions are
+    /// extended by the pause, probes in progress are dropped, and no member is declared failed until a ping of this
+    /// node is answered again.
     fn detect_pause(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let late = now.saturating_sub(self.wakeup);
-        if late <= self.settings.pause_threshold {
+        let lateness = now.saturating_sub(self.wakeup);
+        if lateness <= self.settings.pause_threshold {
             return;
         }
         self.wakeup = now;
@@ -215,15 +232,16 @@
         self.relayed_pings.clear();
         for id in &self.suspects {
             if let Some(suspicion) = self.table.get_mut(*id).and_then(|entry| entry.suspicion.as_mut()) {
-                let extended = suspicion.since + late;
+                let extended = suspicion.since + lateness;
                 suspicion.restart(extended);
             }
         }
-        out.push(Output::Event(Event::Paused { duration: late }));
+        out.push(Output::Event(Event::Paused { duration: lateness }));
     }
 }
 
-/// This node as a member. Its incarnation starts at its Unix time, so that it is higher than its predecessor's.
+/// This node's own record. Its incarnation starts at the Unix time of its start, so that it is higher than the
+/// incarnation of the process that ran before under this name.
 fn local_member(profile: Profile, unix_ms: u64, now: Micros) -> Member {
     Member {
         profile,
--- a/crates/membership/src/detector/probing.rs
+++ b/crates/membership/src/detector/probing.rs
@@ -1,17 +1,18 @@
-//! Probes: which member is probed when, and what follows from an answer or a timeout.
+//! Probes: which member is probed when, and how an answer or a timeout is handled.
 
 use super::{Detector, Event, Output};
 use crate::Micros;
 use crate::member::{MemberId, Reachability, State};
 use crate::message::Body;
 use crate::probe::{Probe, Purpose, Step};
-use crate::table::{Entry, ReachabilityReport};
+use crate::table::{MemberEntry, ReachabilityReport};
 
-/// Probes in a row that only others have seen answered, before a member counts as unreachable from here.
+/// After this many consecutive probes without a direct answer, a member that is known to be alive counts as reachable
+/// only through other members.
 const UNREACHABLE_AFTER_PROBES: u32 = 2;
 
 impl Detector {
-    /// Starts the probe of this protocol period, and now and then one of a failed member.
+    /// Starts the probe of this protocol period, and at random intervals one of a failed member, which may be back.
     pub(super) fn start_due_probes(&mut self, now: Micros) {
         if now >= self.schedule.probe {
             self.schedule.probe = now + self.settings.probe_interval;
@@ -22,7 +23,7 @@
         if now >= self.schedule.recovery_probe {
             let interval = self.settings.recovery_probe_interval;
             self.schedule.recovery_probe = now + interval / 2 + self.rng.u64(0..=interval);
-            let is_failed = |entry: &Entry| entry.member.state == State::Failed;
+            let is_failed = |entry: &MemberEntry| entry.member.state == State::Failed;
             let failed: Vec<MemberId> =
                 self.table.iter().filter(|(_, entry)| is_failed(entry)).map(|(id, _)| *id).collect();
             if !failed.is_empty() {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The next live member in round-robin order, which is shuffled after each round.
+    /// The next live member to probe. The members are probed in rounds, each in a new random order.
     fn next_in_probe_order(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
             while let Some(id) = self.probe_order.pop_front() {
@@ -52,14 +53,14 @@
         self.probes.insert(number, Probe::new(target, purpose, now, &self.settings));
     }
 
-    /// A number for the next probe or relayed ping; never 0.
+    /// A number for the next probe or relayed ping. The two share one sequence, which leaves out 0.
     pub(super) fn take_probe_number(&mut self) -> u32 {
         let number = self.next_probe_number;
         self.next_probe_number = number.wrapping_add(1).max(1);
         number
     }
 
-    /// Sends the pings that are due, and ends probes that have timed out.
+    /// Sends the pings that are due, and ends the probes that have timed out.
     pub(super) fn step_probes(&mut self, now: Micros, out: &mut Vec<Output>) {
         let due = |(number, probe): (&u32, &Probe)| (probe.next_step <= now).then_some(*number);
         let due: Vec<u32> = self.probes.iter().filter_map(due).collect();
@@ -83,19 +84,20 @@
         }
     }
 
-    /// Pings a member. The ping carries what is claimed against the member, so that it can refute that at once.
+    /// Pings a member. The ping carries the claims against the member, so that it can refute them at once.
     fn ping(&mut self, probe: u32, target: MemberId, out: &mut Vec<Output>) {
         let updates = self.updates_to_refute(target);
         self.send_to(target, Body::Ping { probe }, updates, out);
     }
 
-    /// Handles a probe whose target has not answered this node.
+    /// Handles the end of a probe whose target has not answered this node.
     fn on_probe_timeout(&mut self, probe: Probe, now: Micros, out: &mut Vec<Output>) {
         let id = probe.target;
         if probe.indirectly_acked {
-            self.on_indirect_answer_only(id, probe.purpose, now, out);
+            self.on_alive_without_direct_ack(id, probe.purpose, now, out);
             return;
         }
+        // The silence of a member that has failed is expected, and shows nothing about this node's health.
         if probe.purpose == Purpose::Recovery {
             return;
         }
@@ -107,8 +109,9 @@
         }
     }
 
-    /// Handles a probe whose target has answered other members, and not this node.
-    pub(super) fn on_indirect_answer_only(
+    /// Handles a probe whose target has not answered this node, but is known to be alive, because it has answered other
+    /// members or has sent messages to this node.
+    pub(super) fn on_alive_without_direct_ack(
         &mut self,
         id: MemberId,
         purpose: Purpose,
@@ -121,11 +124,11 @@
         if entry.indirect_only_probes >= UNREACHABLE_AFTER_PROBES {
             self.set_reachability(id, Reachability::IndirectOnly, now, out);
         } else if purpose == Purpose::Periodic {
-            self.probe_order.push_front(id); // probed again next: a single miss may be packet loss
+            self.probe_order.push_front(id); // probe it again next: one missing answer may be packet loss
         }
     }
 
-    /// Handles a target's own answer to a ping.
+    /// Handles an answer to a ping. It counts only if it comes from the target of the probe with this number.
     pub(super) fn on_ack(&mut self, number: u32, from: MemberId, now: Micros, out: &mut Vec<Output>) {
         if self.probes.get(&number).is_none_or(|probe| probe.target != from) {
             return;
@@ -140,7 +143,7 @@
         self.set_reachability(from, Reachability::Direct, now, out);
     }
 
-    /// Records a member's reachability. A change is reported at most once in
+    /// Records a member's reachability. A member's changes are reported at most once per
     /// [`Settings::reachability_interval`](crate::Settings::reachability_interval).
     fn set_reachability(
         &mut self,
@@ -152,12 +155,12 @@
         let interval = self.settings.reachability_interval;
         let Some(entry) = self.table.get_mut(id) else { return };
         entry.member.reachability = reachability;
-        let report = match entry.last_report {
+        let report = match entry.last_reachability_report {
             None => reachability == Reachability::IndirectOnly,
             Some(last) => last.reachability != reachability && now >= last.at + interval,
         };
         if report {
-            entry.last_report = Some(ReachabilityReport { reachability, at: now });
+            entry.last_reachability_report = Some(ReachabilityReport { reachability, at: now });
             let name = entry.member.profile.name.clone();
             out.push(Output::Event(Event::ReachabilityChanged { name, reachability }));
         }
--- a/crates/membership/src/detector/receiving.rs
+++ b/crates/membership/src/detector/receiving.rs
@@ -1,4 +1,4 @@
-//! Handling of received messages: replay detection, their updates, and answers.
+//! Handling of received messages: replay detection, the updates they carry, and answers.
 
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
         message: Message,
         out: &mut Vec<Output>,
     ) -> bool {
-        // A seed address may be this node's own.
+        // A node may send messages to itself: a seed address may lead back to it.
         if message.from == self.id && message.instance == self.local.profile.instance {
             return false;
         }
@@ -48,7 +48,7 @@
         true
     }
 
-    /// Answers a message whose updates were applied. Then a synchronisation begins if the sender's view differs.
+    /// Answers a message whose updates were applied, and starts a synchronisation if the sender's view differs.
     fn answer(&mut self, now: Micros, sender: Sender, body: Body, out: &mut Vec<Output>) {
         let Sender { id: from, address, digest } = sender;
         match body {
@@ -74,26 +74,26 @@
         self.start_sync_if_different(now, address, digest, out);
     }
 
-    /// What this node believes of a member that the member should refute or know; for an unknown member, this node's
-    /// own record.
+    /// The claims against a member that the member should learn of, so that it can refute them; for an unknown member,
+    /// this node's own record.
     ///
     /// A member that has returned from failure is notified of the failure until it has answered a ping that carried the
-    /// notice, since datagrams get lost, most of all those to a process that was stopped and whose socket buffer is full.
+    /// notice, since datagrams get lost, above all those to a process that was stopped and whose socket buffer is full.
     pub(super) fn updates_to_refute(&self, id: MemberId) -> Vec<Update> {
         let (by, own) = (self.id, self.own_update());
         let Some(entry) = self.table.get(id) else { return vec![own] };
         let profile = || entry.member.profile.clone();
-        let of_state = match entry.member.state {
+        let accusation = match entry.member.state {
             State::Suspect => Some(Claim::Suspect { by }),
             State::Failed => Some(Claim::Failed { by, profile: profile() }),
             State::Alive | State::Left => None,
         };
-        let state = of_state.map(|claim| Update { id, incarnation: entry.member.incarnation, claim });
+        let accusation = accusation.map(|claim| Update { id, incarnation: entry.member.incarnation, claim });
         let notice = entry.failure_notice.filter(|_| entry.member.is_live()).map(|notice| Update {
             id,
             incarnation: notice.incarnation,
             claim: Claim::Failed { by, profile: profile() },
         });
-        state.into_iter().chain(notice).collect()
+        accusation.into_iter().chain(notice).collect()
     }
 }
--- a/crates/membership/src/detector/refutation.rs
+++ b/crates/membership/src/detector/refutation.rs
@@ -1,4 +1,5 @@
-//! Updates about this node: refutation by a higher incarnation, and conflicts with another process of its name.
+//! Handling of updates about this node: refutation by a higher incarnation, and conflicts with another process that
+//! runs under its name.
 
 use super::{Detector, Event, Output};
 use crate::Micros;
@@ -25,7 +26,7 @@
             if profile.instance == own_instance {
                 return;
             }
-            // Two processes that started in the same millisecond: the one with the higher instance goes on.
+            // Of two processes that started in the same millisecond, the one with the higher instance keeps the name.
             let started_together = update.incarnation == self.local.incarnation;
             if started_together && profile.instance < own_instance {
                 return;
@@ -33,18 +34,19 @@
             if started_together || self.is_past_startup_grace(now) {
                 return self.yield_name(profile, out);
             }
-            // The record of this process's predecessor, whose clock was ahead.
+            // The record is that of this process's predecessor, whose clock was ahead. It is refuted.
         }
         self.local.incarnation = update.incarnation + 1;
         let refutation = self.own_update();
         self.gossip.push(refutation);
     }
 
+    /// Whether this process has run for so long that a record of its name can no longer be its predecessor's.
     fn is_past_startup_grace(&self, now: Micros) -> bool {
         now.saturating_sub(self.started.at) > self.settings.startup_grace
     }
 
-    /// Stops taking part, since a later process runs under this node's name.
+    /// Stops taking part, because a later process runs under this node's name.
     fn yield_name(&mut self, other: &Profile, out: &mut Vec<Output>) {
         self.superseded = true;
         self.probes.clear();
--- a/crates/membership/src/detector/suspecting.rs
+++ b/crates/membership/src/detector/suspecting.rs
@@ -1,5 +1,7 @@
-//! Suspicions: how they begin, are confirmed, expire and end. Only this node's own confirming probe declares a member
-//! failed; claims of other members begin or confirm a suspicion.
+//! Suspicions: how they begin, are confirmed, expire and end.
+//!
+//! A member is declared failed only after it has not answered this node's own confirming probe. Claims of other members
+//! begin or confirm a suspicion.
 
 use super::{Detector, Event, Output};
 use crate::Micros;
@@ -8,17 +10,18 @@
 use crate::probe::Purpose;
 use crate::suspicion::Suspicion;
 
-/// A claim that a member did not answer.
+/// A claim that a member did not answer a probe.
 pub(super) struct Accusation {
     pub(super) by: MemberId,
-    /// Whether the member was declared failed, or is only suspected.
-    pub(super) failed: bool,
-    /// Whether the claim is to be disseminated if it is new.
+    /// Whether the claim is that the member failed; otherwise that it is suspected.
+    pub(super) declared_failed: bool,
+    /// Whether to gossip the claim if it is new.
     pub(super) disseminate: bool,
 }
 
 impl Detector {
-    /// Starts the confirming probes of members whose suspicion has expired, within the limit of concurrent ones.
+    /// Starts the confirming probes of members whose suspicion has expired, at most
+    /// [`max_confirming_probes`](crate::Settings::max_confirming_probes) at once.
     pub(super) fn confirm_expired_suspicions(&mut self, now: Micros) {
         let running = self.probes.values().filter(|probe| probe.purpose == Purpose::Confirming).count();
         let free = self.settings.max_confirming_probes.saturating_sub(running);
@@ -29,7 +32,7 @@
         let is_expired = |id: &&MemberId| {
             let suspicion = self.table.get(**id).and_then(|entry| entry.suspicion.as_ref());
             suspicion.is_some_and(|suspicion| {
-                !suspicion.confirming && suspicion.expires(cluster_size, &self.settings) <= now
+                !suspicion.confirming && suspicion.expires_at(cluster_size, &self.settings) <= now
             })
         };
         let expired: Vec<MemberId> = self.suspects.iter().filter(is_expired).take(free).copied().collect();
@@ -45,13 +48,13 @@
     pub(super) fn suspect(&mut self, id: MemberId, now: Micros, out: &mut Vec<Output>) {
         let Some(incarnation) = self.member(id).map(|member| member.incarnation) else { return };
         let by = self.id;
-        let accusation = Accusation { by, failed: false, disseminate: true };
+        let accusation = Accusation { by, declared_failed: false, disseminate: true };
         if self.apply_accusation(id, incarnation, accusation, now, out) {
             self.gossip.push(Update { id, incarnation, claim: Claim::Suspect { by } });
         }
     }
 
-    /// Applies a claim that a member did not answer; returns whether it should be disseminated.
+    /// Applies an accusation of a known member; returns whether to gossip it.
     pub(super) fn apply_accusation(
         &mut self,
         id: MemberId,
@@ -60,12 +63,12 @@
         now: Micros,
         out: &mut Vec<Output>,
     ) -> bool {
-        let Accusation { by, failed, disseminate } = accusation;
+        let Accusation { by, declared_failed, disseminate } = accusation;
         let settings = &self.settings;
         let Some(entry) = self.table.get_mut(id) else { return false };
         let member = &entry.member;
-        if member.state == State::Failed && incarnation > member.incarnation && failed {
-            // It was back for a while without this node's knowledge, and has failed again.
+        if member.state == State::Failed && incarnation > member.incarnation && declared_failed {
+            // The member returned without this node learning of it, and has failed again.
             let member = Member { incarnation, ..member.clone() };
             self.table.set(id, member);
             return disseminate;
@@ -75,7 +78,8 @@
             State::Suspect if incarnation == member.incarnation => {
                 entry.suspicion.as_mut().is_some_and(|suspicion| suspicion.confirm(by, settings))
             }
-            // A suspicion of a later incarnation implies that the member was alive in it.
+            // The member is known as alive, or the accusation is about a later incarnation. The latter implies that the
+            // member was alive in that incarnation.
             _ => {
                 let name = member.profile.name.clone();
                 let member = Member { incarnation, state: State::Suspect, since: now, ..member.clone() };
@@ -88,20 +92,25 @@
         }
     }
 
-    /// Declares a member failed that has not answered its confirming probe, unless the evidence points at this node.
+    /// Declares a member failed that has not answered its confirming probe.
+    ///
+    /// It does not if the missing answer may be this node's own fault, or if the member is known to be alive.
     pub(super) fn declare_failed(&mut self, id: MemberId, now: Micros, out: &mut Vec<Output>) {
         let Some(entry) = self.table.get_mut(id) else { return };
         if entry.member.state != State::Suspect {
             return;
         }
         let Some(suspicion) = entry.suspicion.as_mut() else { return };
+        // This process was paused, and no ping of it was answered since.
         if self.local_health.is_unacked_since_pause() {
             suspicion.restart(now);
             return;
         }
+        // The member has sent messages since the suspicion began, so it is alive and only does not answer this node.
         if entry.last_received.is_some_and(|at| at > suspicion.since) {
-            return self.on_indirect_answer_only(id, Purpose::Confirming, now, out);
+            return self.on_alive_without_direct_ack(id, Purpose::Confirming, now, out);
         }
+        // Other members are heard, but none of them answers: the messages of this node are lost.
         if self.local_health.is_unacked_since(suspicion.since) {
             suspicion.restart(now);
             return;
@@ -115,7 +124,7 @@
         self.gossip.push(Update { id, incarnation, claim: Claim::Failed { by: self.id, profile } });
     }
 
-    /// Ends the suspicion of a member that has answered, whether or not its refutation has arrived.
+    /// Ends the suspicion of a member that is known to be alive, whether or not its refutation has arrived.
     pub(super) fn clear_suspicion(&mut self, id: MemberId, now: Micros, out: &mut Vec<Output>) {
         let Some(member) = self.member(id).filter(|member| member.state == State::Suspect) else { return };
         let member = Member { state: State::Alive, since: now, ..member.clone() };
@@ -125,7 +134,7 @@
         out.push(Output::Event(Event::Refuted { name }));
     }
 
-    /// Drops the suspicion of a member, whatever its state is from now on.
+    /// Drops the suspicion of a member. The caller sets the member's new state.
     pub(super) fn end_suspicion(&mut self, id: MemberId) {
         if self.suspects.remove(&id)
             && let Some(entry) = self.table.get_mut(id)
--- a/crates/membership/src/detector/updates.rs
+++ b/crates/membership/src/detector/updates.rs
@@ -1,8 +1,8 @@
-//! Updates about other members, and what follows from them.
+//! Handling of updates about other members.
 //!
-//! A claim about an older incarnation never wins. What a member states about itself (alive, left) is accepted from
-//! anybody who forwards it. That it failed is accepted only of a member that was not known; of a known one it begins or
-//! confirms a suspicion, see [`suspecting`](super::suspecting).
+//! A claim about an older incarnation than the known one is dropped. What a member states about itself (alive, left) is
+//! accepted from any member that forwards it. The claim that a member failed is accepted at once only if the member was
+//! not known; for a known member it begins or confirms a suspicion, see [`suspecting`](super::suspecting).
 
 use super::suspecting::Accusation;
 use super::{Detector, Event, Output};
@@ -14,7 +14,7 @@
 /// Microseconds in a millisecond.
 const MILLISECOND: Micros = 1_000;
 
-/// What a member claims about itself.
+/// A claim that a member made about itself.
 struct SelfClaim<'a> {
     id: MemberId,
     incarnation: u64,
@@ -22,13 +22,13 @@
 }
 
 impl Detector {
-    /// Applies what a message's header states: its sender is alive, in this incarnation.
+    /// Applies the claim that each message implies: its sender is alive, in the incarnation that the message states.
     pub(super) fn apply_sender_incarnation(&mut self, message: &Message, now: Micros, out: &mut Vec<Output>) {
         let Some(member) = self.member(message.from) else { return };
         if member.profile.instance != message.instance || message.incarnation <= member.incarnation {
             return;
         }
-        // The message was sent before the leave, or carries it as an update.
+        // Either the message was sent before the leave, or the leave follows in its updates.
         if member.state == State::Left {
             return;
         }
@@ -37,7 +37,7 @@
         self.apply_update(update, true, now, out);
     }
 
-    /// Applies an update, and queues it for gossip if it is new and `disseminate` is set.
+    /// Applies an update. It is queued for gossip if it is new and `disseminate` is set.
     pub(super) fn apply_update(
         &mut self,
         update: Update,
@@ -52,20 +52,21 @@
         if update.id == self.id {
             return self.apply_update_about_self(update, now, out);
         }
-        let Some(known) = self.member(update.id).map(|member| member.incarnation) else {
+        let Some(known_incarnation) = self.member(update.id).map(|member| member.incarnation) else {
             return self.add_member(update, disseminate, now, out);
         };
-        if update.incarnation < known {
+        if update.incarnation < known_incarnation {
             self.counters.stale += 1;
             return;
         }
-        let newer = update.incarnation > known;
+        let newer = update.incarnation > known_incarnation;
         if self.apply_claim(&update, newer, disseminate, now, out) && disseminate {
             self.gossip.push(update);
         }
     }
 
-    /// Applies a claim about a known member; returns whether it was new.
+    /// Applies a claim about a known member; returns whether it was new. `newer` tells whether it is about a later
+    /// incarnation than the known one.
     fn apply_claim(
         &mut self,
         update: &Update,
@@ -90,15 +91,17 @@
                 true
             }
             Claim::Suspect { by } | Claim::Failed { by, .. } => {
-                let failed = matches!(claim, Claim::Failed { .. });
-                let accusation = Accusation { by: *by, failed, disseminate };
+                let declared_failed = matches!(claim, Claim::Failed { .. });
+                let accusation = Accusation { by: *by, declared_failed, disseminate };
                 self.apply_accusation(id, incarnation, accusation, now, out)
             }
         }
     }
 
-    /// The highest incarnation that is accepted: incarnations start at the Unix time of a process's start, in
-    /// milliseconds.
+    /// The highest incarnation that is accepted.
+    ///
+    /// An incarnation starts at the Unix time of its process's start, in milliseconds, so the highest one follows the
+    /// clock of this node.
     fn latest_plausible_incarnation(&self, now: Micros) -> u64 {
         let uptime = now.saturating_sub(self.started.at);
         self.started.unix_ms + uptime / MILLISECOND + self.settings.max_incarnation_lead_ms
@@ -110,7 +113,7 @@
             Claim::Alive(profile) => (profile.clone(), State::Alive),
             Claim::Failed { profile, .. } => (profile.clone(), State::Failed),
             Claim::Left(profile) => (profile.clone(), State::Left),
-            Claim::Suspect { .. } => return, // has no profile; anti-entropy will bring it
+            Claim::Suspect { .. } => return, // carries no profile; anti-entropy will deliver the member's record
         };
         if self.table.len() >= self.settings.max_members {
             self.counters.members_full += 1;
@@ -130,6 +133,7 @@
         }
     }
 
+    /// Applies a member's claim that it is alive in a later incarnation than the known one.
     fn apply_alive(&mut self, claim: SelfClaim<'_>, now: Micros, out: &mut Vec<Output>) {
         let SelfClaim { id, incarnation, profile } = claim;
         let Some(old) = self.member(id).cloned() else { return };
@@ -160,6 +164,7 @@
         out.push(Output::Event(event));
     }
 
+    /// Applies a member's claim that it has left.
     fn apply_left(&mut self, claim: SelfClaim<'_>, now: Micros, out: &mut Vec<Output>) {
         let SelfClaim { id, incarnation, profile } = claim;
         let Some(reachability) = self.member(id).map(|member| member.reachability) else { return };
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The dissemination queue: updates that wait to be gossiped, each a bounded number of times, the least sent first.
+//! The gossip queue: updates that wait to be sent, each a bounded number of times, the least sent first.
 
 use std::collections::HashMap;
 
@@ -13,23 +13,26 @@
     suspected_by: Option<MemberId>,
 }
 
+/// An update in the queue.
 #[derive(Debug)]
-struct Queued {
+struct QueuedUpdate {
     update: Update,
+    /// How often it was sent.
     sent: u32,
-    /// The position in the order of arrival.
+    /// The position in the order in which updates were queued.
     arrival: u64,
 }
 
 /// Updates that wait to be gossiped.
 #[derive(Debug, Default)]
-pub(crate) struct Gossip {
-    queue: HashMap<Subject, Queued>,
+pub(crate) struct GossipQueue {
+    queue: HashMap<Subject, QueuedUpdate>,
+    /// How many updates were queued so far.
     arrivals: u64,
 }
 
-impl Gossip {
-    /// Queues an update in place of those that it makes obsolete.
+impl GossipQueue {
+    /// Queues an update and drops the updates that it makes obsolete.
     pub(crate) fn push(&mut self, update: Update) {
         let suspected_by = match update.claim {
             Claim::Suspect { by } => Some(by),
@@ -40,7 +43,7 @@
         }
         self.arrivals += 1;
         let subject = Subject { member: update.id, suspected_by };
-        self.queue.insert(subject, Queued { update, sent: 0, arrival: self.arrivals });
+        self.queue.insert(subject, QueuedUpdate { update, sent: 0, arrival: self.arrivals });
     }
 
     /// Whether there is nothing to send.
@@ -48,8 +51,8 @@
         self.queue.is_empty()
     }
 
-    /// Takes at most `max` updates for one message: those sent least often, the latest first among equals. Each is
-    /// dropped after so many transmissions.
+    /// Takes at most `max` updates for one message: those sent least often, and among equals the latest. An update is
+    /// dropped once it was taken `transmissions` times.
     pub(crate) fn take(&mut self, max: usize, transmissions: u32) -> Vec<Update> {
         let mut candidates: Vec<(u32, u64, Subject)> = self
             .queue
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -16,7 +16,7 @@
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// The id of a name.
+    /// The id of the member with this name.
     pub fn of(name: &str) -> MemberId {
         MemberId(xxh3_64(name.as_bytes()))
     }
@@ -31,11 +31,11 @@
 /// What a member's process states about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Profile {
-    /// The member's name, which stays over restarts; at most 64 bytes.
+    /// The member's name, which stays the same over restarts; at most 64 bytes.
     pub name: String,
-    /// Where the process receives datagrams.
+    /// The address at which the process receives datagrams.
     pub address: SocketAddr,
-    /// Drawn at random by each process: distinguishes two processes of one name.
+    /// A random number that each process draws; it tells apart processes with the same name.
     pub instance: u64,
 }
 
@@ -44,9 +44,9 @@
 pub enum State {
     /// It answers probes, of this node or of others.
     Alive,
-    /// It did not answer somebody's probe; it may refute the suspicion.
+    /// It did not answer a probe of this node or of another one; it may refute the suspicion.
     Suspect,
-    /// It did not answer and did not refute the suspicion in time.
+    /// It was declared failed: it did not refute the suspicion in time, nor answer a confirming probe.
     Failed,
     /// It announced that it leaves the cluster.
     Left,
@@ -55,7 +55,7 @@
 /// Whether a member answers this node's own pings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Reachability {
-    /// No probe has ended yet.
+    /// No probe of it has shown that yet.
     #[default]
     Unknown,
     /// It answers this node.
@@ -67,11 +67,12 @@
 /// A member as one node knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its process.
+    /// What its process states about itself.
     pub profile: Profile,
-    /// Orders the claims about it: the higher wins. A process raises its own to refute a suspicion.
+    /// Orders the claims about the member: one about a higher incarnation wins. A process raises its own incarnation to
+    /// refute a suspicion.
     pub incarnation: u64,
-    /// Its state.
+    /// Its state in this node's view.
     pub state: State,
     /// Since when it has this state, by this node's clock.
     pub since: Micros,
@@ -80,7 +81,7 @@
 }
 
 impl Member {
-    /// Whether the member takes part in the cluster as far as is known; suspects do.
+    /// Whether the member takes part in the cluster as far as this node knows. Suspects do.
     pub(crate) fn is_live(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect)
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between nodes. Their encoding depends on the order of fields and variants, which must not change.
+//! The messages between nodes. Their encoding is positional, so the order of fields and variants must not change.
 
 use std::net::SocketAddr;
 
@@ -11,17 +11,17 @@
 pub struct Message {
     /// The sender.
     pub from: MemberId,
-    /// The sender's process.
+    /// Identifies the sender's process, see [`Profile::instance`].
     pub instance: u64,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// Counts the sender's messages, so that replays are detected.
+    /// The number of the message, counted by the sender; it reveals replays.
     pub sequence: u64,
-    /// A hash of the sender's view, by which views that differ are found.
+    /// A hash of the sender's view; it reveals views that differ.
     pub digest: u32,
     /// What the message is for.
     pub body: Body,
-    /// Updates about members, the sender among them.
+    /// Updates about members, which may include the sender.
     pub updates: Vec<Update>,
 }
 
@@ -38,7 +38,7 @@
         /// The ping's number.
         probe: u32,
     },
-    /// Asks the receiver to ping a member and to forward its answer: an indirect probe.
+    /// Asks the receiver for an indirect probe: to ping a member and to forward its answer.
     PingRequest {
         /// The probe's number at its sender.
         probe: u32,
@@ -47,18 +47,19 @@
         /// Its address, as the sender knows it.
         address: SocketAddr,
     },
-    /// The member of a ping request has answered.
+    /// The target of a ping request has answered the ping.
     IndirectAck {
-        /// The request's number.
+        /// The number in the ping request.
         probe: u32,
     },
-    /// Carries updates alone.
+    /// Carries only updates.
     Gossip,
-    /// The sender starts, and asks for members.
+    /// The sender knows no other live member and asks for members.
     Join,
-    /// Carries members as the sender knows them. They are applied and not disseminated further.
+    /// Carries members' records as the sender knows them. They are applied and not gossiped further.
     SyncRecords,
-    /// Digests of the sender's view. Buckets that differ are answered with [`SyncRecords`](Body::SyncRecords).
+    /// Carries the digests of the sender's view. The receiver answers with [`SyncRecords`](Body::SyncRecords) of the
+    /// buckets that differ.
     SyncDigests {
         /// One digest for each bucket of member ids.
         buckets: Vec<u32>,
@@ -72,7 +73,7 @@
 pub struct Update {
     /// The member.
     pub id: MemberId,
-    /// The incarnation that the claim is about.
+    /// The incarnation of the member that the claim is about.
     pub incarnation: u64,
     /// What is claimed.
     pub claim: Claim,
@@ -81,7 +82,7 @@
 /// What an update claims about its member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
-    /// It is alive, as stated by itself.
+    /// It states itself that it is alive.
     Alive(Profile),
     /// It did not answer a probe.
     Suspect {
@@ -90,12 +91,12 @@
     },
     /// It was declared failed.
     Failed {
-        /// The member that declared it.
+        /// The member that declared it failed.
         by: MemberId,
-        /// For nodes that don't know it.
+        /// The failed member's profile, for nodes that don't know it.
         profile: Profile,
     },
-    /// It has left, as stated by itself.
+    /// It states itself that it leaves the cluster.
     Left(Profile),
 }
 
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -7,11 +7,11 @@
 /// Why a member is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// The probe of a protocol period.
+    /// It is the member's turn in this protocol period.
     Periodic,
-    /// A suspicion has expired: the last chance to answer before the member is declared failed.
+    /// Its suspicion has expired. If it does not answer this probe either, it is declared failed.
     Confirming,
-    /// The member is failed, and might be back.
+    /// It has failed and may be back.
     Recovery,
 }
 
@@ -25,9 +25,11 @@
     pub(crate) started: Micros,
     /// Whether the target has answered an indirect probe.
     pub(crate) indirectly_acked: bool,
+    /// Pings sent so far.
     sent: u32,
+    /// Pings in all.
     pings: u32,
-    /// When the next ping is due, or the probe ends.
+    /// When the next ping is due or, after the last one, the probe times out.
     pub(crate) next_step: Micros,
 }
 
@@ -54,7 +56,7 @@
         Probe { target, purpose, started: now, indirectly_acked: false, sent: 0, pings, next_step: now }
     }
 
-    /// The next step, once it is due. `ping_timeout` is the time until the one after it.
+    /// Takes the step that is due. The following step is due after `ping_timeout`.
     pub(crate) fn step(&mut self, now: Micros, ping_timeout: Micros) -> Step {
         if self.sent >= self.pings {
             return Step::TimedOut;
--- a/crates/membership/src/replay.rs
+++ b/crates/membership/src/replay.rs
@@ -1,6 +1,6 @@
 //! Replay detection: a sliding window over a sender's sequence numbers, as in RFC 4303.
 
-/// How many sequence numbers behind the highest are tracked.
+/// The length of the window: the highest sequence number and those just below it, in all as many as a `u64` has bits.
 const WINDOW: u64 = u64::BITS as u64;
 
 /// The sequence numbers received from one process.
@@ -8,12 +8,13 @@
 pub(crate) struct ReplayWindow {
     instance: u64,
     highest: u64,
-    /// Bit n: whether `highest - n` was received.
+    /// Bit n tells whether `highest - n` was received.
     received: u64,
 }
 
 impl ReplayWindow {
-    /// Whether a message is new; it counts as received from then on. A new process resets the window.
+    /// Records a message and returns whether it is new. Sequence numbers below the window count as received. A new
+    /// process resets the window.
     pub(crate) fn accept(&mut self, instance: u64, sequence: u64) -> bool {
         if self.instance != instance {
             *self = ReplayWindow { instance, highest: sequence, received: 1 };
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -57,35 +57,36 @@
 /// Intervals and bounds of the protocol. All nodes of a fleet should have the same. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Each node probes one member this often: SWIM's protocol period.
+    /// Each node probes one member per interval, which is the protocol period of SWIM.
     pub probe_interval: Micros,
-    /// An unanswered ping of a probe is repeated after this time, times the local health multiplier.
+    /// An unanswered ping of a probe is repeated after this time, multiplied by the factor of the local health score.
     pub ping_timeout: Micros,
-    /// Pings of a periodic probe.
+    /// Pings of a periodic probe before its target is suspected.
     pub pings: u32,
-    /// Members that are asked for an indirect probe with each ping from the second on: SWIM's k.
+    /// Members that are asked for an indirect probe with each ping from the second on: the parameter k of SWIM.
     pub indirect_probes: usize,
     /// Pings of the confirming probe, before a member is declared failed.
     pub confirming_pings: u32,
-    /// Confirming probes that run at once; other expired suspicions wait.
+    /// Confirming probes that run at the same time at most. Other expired suspicions wait.
     pub max_confirming_probes: usize,
     /// Queued updates are sent this often.
     pub gossip_interval: Micros,
-    /// Members that queued updates are sent to each time.
+    /// Members that receive queued updates each time.
     pub gossip_fanout: usize,
-    /// How often one node sends one update.
+    /// How many times a node sends the same update, and to how many members it announces that it leaves.
     pub transmissions: u32,
-    /// Updates in one gossip message at most.
+    /// The most updates in one gossip message.
     pub updates_per_message: usize,
-    /// The shortest suspicion timeout, times the decimal logarithm of the number of members (at least 1).
+    /// The shortest suspicion timeout, before it is multiplied by the decimal logarithm of the number of live members
+    /// (or by 1 if that is higher).
     pub min_suspicion: Micros,
-    /// The timeout of an unconfirmed suspicion is this many times the shortest.
+    /// The timeout of an unconfirmed suspicion is this many times the shortest one.
     pub max_suspicion_multiplier: u64,
     /// Independent confirmations that shorten a suspicion timeout to its minimum.
     pub confirmations: usize,
-    /// A timer that fires later than this shows that the process was paused.
+    /// A timer that fires late by more than this shows that the process was paused.
     pub pause_threshold: Micros,
-    /// Mean interval of the probes that look for failed members which are back.
+    /// The mean interval of the probes that look for failed members that are back.
     pub recovery_probe_interval: Micros,
     /// Views that differ are synchronised at most this often.
     pub sync_interval: Micros,
@@ -93,16 +94,18 @@
     pub reap_after: Micros,
     /// A change of a member's reachability is reported at most this often.
     pub reachability_interval: Micros,
-    /// A process younger than this attributes updates about another process of its name to its predecessor.
+    /// For this time after its start, a process attributes updates about another process of its name to its
+    /// predecessor.
     pub startup_grace: Micros,
-    /// Incarnations further in the future are rejected, in milliseconds. Covers clocks that differ between nodes.
+    /// Incarnations that are further in the future are rejected, in milliseconds. The margin covers clocks that differ
+    /// between nodes.
     pub max_incarnation_lead_ms: u64,
-    /// Members at most; others are rejected.
+    /// The most other members that are known; further ones are rejected.
     pub max_members: usize,
 }
 
 impl Settings {
-    /// The defaults, with every duration that depends on the probe interval scaled to this one.
+    /// The default settings for another probe interval. The durations that depend on it are scaled with it.
     pub fn with_probe_interval(probe_interval: Micros) -> Settings {
         let default = Settings::default();
         let scaled = |time: Micros| (time * probe_interval / default.probe_interval).max(MILLISECOND);
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! How long a suspicion lasts: shorter the more members confirm it independently (Lifeguard).
+//! Suspicions and their timeouts, which get shorter the more members confirm a suspicion independently (Lifeguard).
 
 use crate::Micros;
 use crate::member::MemberId;
@@ -9,19 +9,19 @@
 pub(crate) struct Suspicion {
     /// When it began.
     pub(crate) since: Micros,
-    /// Who suspects the member, in the order in which this node learned of it.
+    /// The members that suspect it, in the order in which this node learned of their suspicions.
     pub(crate) by: Vec<MemberId>,
-    /// Whether its confirming probe has begun.
+    /// Whether the confirming probe has begun.
     pub(crate) confirming: bool,
 }
 
 impl Suspicion {
-    /// A suspicion by one member.
+    /// A new suspicion by one member.
     pub(crate) fn new(since: Micros, by: MemberId) -> Suspicion {
         Suspicion { since, by: vec![by], confirming: false }
     }
 
-    /// Records that another member suspects it too; returns whether that is new and should be disseminated.
+    /// Records that another member suspects the same one; returns whether that is new and should be gossiped.
     pub(crate) fn confirm(&mut self, by: MemberId, settings: &Settings) -> bool {
         if self.by.contains(&by) || self.by.len() > settings.confirmations {
             return false;
@@ -30,24 +30,24 @@
         true
     }
 
-    /// Starts the timeout anew, and with it the wait for a confirming probe.
+    /// Restarts the timeout, after which another confirming probe is sent. The confirmations stay.
     pub(crate) fn restart(&mut self, now: Micros) {
         self.since = now;
         self.confirming = false;
     }
 
     /// When it expires in a cluster of this size.
-    pub(crate) fn expires(&self, cluster_size: usize, settings: &Settings) -> Micros {
+    pub(crate) fn expires_at(&self, cluster_size: usize, settings: &Settings) -> Micros {
         self.since.saturating_add(timeout(self.by.len() - 1, cluster_size, settings))
     }
 }
 
 /// The timeout of a suspicion with so many confirmations. It falls from the maximum to the minimum with the logarithm
-/// of the confirmations.
+/// of the number of confirmations.
 fn timeout(confirmations: usize, cluster_size: usize, settings: &Settings) -> Micros {
     let min = settings.min_suspicion as f64 * (cluster_size.max(1) as f64).log10().max(1.0);
     let max = min * settings.max_suspicion_multiplier as f64;
-    // Beside this node and the suspect, so many members can confirm.
+    // All members can confirm except the suspect and the member whose suspicion is confirmed.
     let needed = settings.confirmations.min(cluster_size.saturating_sub(2)) as f64;
     let progress = if needed == 0.0 { 1.0 } else { (confirmations as f64 + 1.0).ln() / (needed + 1.0).ln() };
     (max - (max - min) * progress.min(1.0)) as Micros
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -11,21 +11,21 @@
 
 /// Buckets of member ids, each with a digest of its own.
 pub(crate) const BUCKETS: usize = 64;
-/// The leading bits of a member's id that select its bucket.
+/// The number of leading bits of a member's id that select its bucket.
 const BUCKET_BITS: u32 = BUCKETS.trailing_zeros();
 
-/// A failure that a returned member has still to be notified of. It is sent with each message to the member until a ping
-/// that carried it was answered.
+/// A failure that a returned member still has to be notified of. The notice goes with each ping to the member and each
+/// answer to its pings, until a ping that carried it is answered.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailureNotice {
-    /// The incarnation under which it was declared failed.
+    /// The incarnation in which the member was declared failed.
     pub(crate) incarnation: u64,
     /// The first probe all of whose pings carry the notice.
     first_probe: u32,
 }
 
 impl FailureNotice {
-    /// A notice that is carried by all pings of the probes with this number and later ones.
+    /// Creates a notice that is carried by all pings of the probe with the number `next_probe` and of later ones.
     pub(crate) fn new(incarnation: u64, next_probe: u32) -> FailureNotice {
         FailureNotice { incarnation, first_probe: next_probe }
     }
@@ -43,60 +43,60 @@
     pub(crate) at: Micros,
 }
 
-/// A member, and what this node notes about it.
+/// A member's record and this node's own bookkeeping about it.
 #[derive(Clone, Debug)]
-pub(crate) struct Entry {
+pub(crate) struct MemberEntry {
     pub(crate) member: Member,
     pub(crate) suspicion: Option<Suspicion>,
     pub(crate) replay: ReplayWindow,
     /// Set while a member that has returned from failure is notified of it.
     pub(crate) failure_notice: Option<FailureNotice>,
-    /// When a message last came from it.
+    /// When a message was last received from the member.
     pub(crate) last_received: Option<Micros>,
-    /// Probes in a row that only other members have seen answered.
+    /// Consecutive probes that the member did not answer directly, though it was alive.
     pub(crate) indirect_only_probes: u32,
-    pub(crate) last_report: Option<ReachabilityReport>,
+    pub(crate) last_reachability_report: Option<ReachabilityReport>,
 }
 
-impl Entry {
-    fn new(member: Member) -> Entry {
-        Entry {
+impl MemberEntry {
+    fn new(member: Member) -> MemberEntry {
+        MemberEntry {
             member,
             suspicion: None,
             replay: ReplayWindow::default(),
             failure_notice: None,
             last_received: None,
             indirect_only_probes: 0,
-            last_report: None,
+            last_reachability_report: None,
         }
     }
 }
 
-/// The known members, this node not among them.
+/// The known members except this node.
 #[derive(Debug)]
-pub(crate) struct Table {
-    entries: BTreeMap<MemberId, Entry>,
-    /// One digest for each bucket.
+pub(crate) struct MemberTable {
+    entries: BTreeMap<MemberId, MemberEntry>,
+    /// The digest of each bucket.
     digests: Vec<u32>,
 }
 
-impl Table {
+impl MemberTable {
     /// A table without members.
-    pub(crate) fn new() -> Table {
-        Table { entries: BTreeMap::new(), digests: vec![0; BUCKETS] }
+    pub(crate) fn new() -> MemberTable {
+        MemberTable { entries: BTreeMap::new(), digests: vec![0; BUCKETS] }
     }
 
-    pub(crate) fn get(&self, id: MemberId) -> Option<&Entry> {
+    pub(crate) fn get(&self, id: MemberId) -> Option<&MemberEntry> {
         self.entries.get(&id)
     }
 
-    /// An entry. Its member may be changed only through [`set`](Table::set), except for the reachability, which is no
-    /// part of the digests.
-    pub(crate) fn get_mut(&mut self, id: MemberId) -> Option<&mut Entry> {
+    /// An entry, to be changed in place. Its member's record is changed only through [`set`](MemberTable::set), which
+    /// updates the digests; an exception is the reachability, which is not part of them.
+    pub(crate) fn get_mut(&mut self, id: MemberId) -> Option<&mut MemberEntry> {
         self.entries.get_mut(&id)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&MemberId, &Entry)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&MemberId, &MemberEntry)> {
         self.entries.iter()
     }
 
@@ -104,7 +104,7 @@
         self.entries.len()
     }
 
-    /// Inserts a member, or replaces its record. The other fields of its entry stay.
+    /// Inserts a member, or replaces its record and keeps the other fields of its entry.
     pub(crate) fn set(&mut self, id: MemberId, member: Member) {
         let bucket = bucket(id);
         if let Some(old) = self.entries.get(&id) {
@@ -113,7 +113,7 @@
         self.digests[bucket] ^= digest(id, &member);
         match self.entries.get_mut(&id) {
             Some(entry) => entry.member = member,
-            None => _ = self.entries.insert(id, Entry::new(member)),
+            None => _ = self.entries.insert(id, MemberEntry::new(member)),
         }
     }
 
@@ -128,7 +128,7 @@
         self.entries.iter().filter(|(_, entry)| entry.member.is_live()).map(|(id, _)| *id)
     }
 
-    /// The digests of all buckets, with one more member included.
+    /// The digests of all buckets, computed with one more member.
     pub(crate) fn digests_with(&self, id: MemberId, member: &Member) -> Vec<u32> {
         let mut digests = self.digests.clone();
         digests[bucket(id)] ^= digest(id, member);
@@ -141,7 +141,7 @@
     (id.0 >> (u64::BITS - BUCKET_BITS)) as usize
 }
 
-/// A hash of what all nodes should agree on. Suspicion is temporary, and left out.
+/// A hash of those facts about a member that all nodes should agree on. Suspicion is temporary and left out.
 fn digest(id: MemberId, member: &Member) -> u32 {
     /// The bytes of an id or an incarnation.
     const U64_LEN: usize = size_of::<u64>();
