--- a/crates/membership/examples/membership_simulate.rs
+++ b/crates/membership/examples/membership_simulate.rs
@@ -1,4 +1,4 @@
-//! Membership in virtual time: many seeds of all cases, and figures at several sizes.
+//! Simulates the membership in virtual time: plays all cases with many seeds, or measures fleets of several sizes.
 //!
 //!     cargo run --release -p stonefold-membership --example membership_simulate -- cases 1000
 //!     cargo run --release -p stonefold-membership --example membership_simulate -- table 4 30 300 900
@@ -17,19 +17,20 @@
 use sim::{Fleet, MILLISECOND, Network, SECOND};
 use stonefold_membership::{Micros, State};
 
-/// How long the figures of an idle fleet are measured.
+/// For how long the cost of an idle fleet is measured.
 const IDLE_MEASUREMENT: Micros = 60 * SECOND;
-/// No size takes longer than this to settle or to detect.
+/// The longest time that a fleet may take until all views agree or a failure is detected.
 const MAX_WAIT: Micros = 600 * SECOND;
+/// The fractions of lost datagrams that are measured.
 const LOSSES: [f64; 3] = [0.0, 0.1, 0.3];
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let numbers = || arguments[1..].iter().map(|text| text.parse().expect("a number"));
     match arguments.first().map(String::as_str) {
-        Some("cases") => play_cases(numbers().next().unwrap_or(1_000)),
-        Some("table") => table(&numbers().map(|nodes| nodes as usize).collect::<Vec<_>>()),
-        Some("hour") => hour(&numbers().map(|nodes| nodes as usize).collect::<Vec<_>>()),
+        Some("cases") => run_cases(numbers().next().unwrap_or(1_000)),
+        Some("table") => print_table(&numbers().map(|nodes| nodes as usize).collect::<Vec<_>>()),
+        Some("hour") => run_hour(&numbers().map(|nodes| nodes as usize).collect::<Vec<_>>()),
         _ => {
             eprintln!("cases SEEDS | table NODES ... | hour NODES ...");
             ExitCode::FAILURE
@@ -37,29 +38,30 @@
     }
 }
 
-/// Plays all cases with so many seeds, each case on a thread of its own.
-fn play_cases(seeds: u64) -> ExitCode {
+/// Plays all cases with this many seeds, each case on a thread of its own.
+fn run_cases(seeds: u64) -> ExitCode {
     let play = |case: &'static cases::Case| {
-        let found =
-            |seed| (case.play)(seed, None).into_iter().map(move |what| format!("seed {seed}: {what}"));
-        (0..seeds).flat_map(found).collect::<Vec<String>>()
+        let of_seed = |seed| {
+            (case.play)(seed, None).into_iter().map(move |violation| format!("seed {seed}: {violation}"))
+        };
+        (0..seeds).flat_map(of_seed).collect::<Vec<String>>()
     };
-    let wrong: usize = thread::scope(|scope| {
+    let violation_count: usize = thread::scope(|scope| {
         let threads: Vec<_> = CASES.iter().map(|case| (case, scope.spawn(move || play(case)))).collect();
         let results = threads.into_iter().map(|(case, thread)| (case, thread.join().expect("no panic")));
         results
-            .map(|(case, found)| {
-                println!("{}: {} of {seeds} seeds, {} wrong", case.name, seeds, found.len());
-                found.iter().take(5).for_each(|what| println!("  {what}"));
-                found.len()
+            .map(|(case, violations)| {
+                println!("{}: {} of {seeds} seeds, {} wrong", case.name, seeds, violations.len());
+                violations.iter().take(5).for_each(|violation| println!("  {violation}"));
+                violations.len()
             })
             .sum()
     });
-    if wrong == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if violation_count == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// One row for each size and loss.
-fn table(sizes: &[usize]) -> ExitCode {
+/// Prints a table with one row for each size and fraction of lost datagrams.
+fn print_table(sizes: &[usize]) -> ExitCode {
     println!(
         "| nodes | loss | all known after s | bytes/s a node | packets/s | us of processor/s | detected s (p50 / p100) \
          | live failed | healed s |"
@@ -67,90 +69,91 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let rows = sizes.iter().flat_map(|&nodes| LOSSES.map(|loss| (nodes, loss)));
     for (nodes, loss) in rows {
-        println!("{}", row(nodes, loss));
+        println!("{}", table_row(nodes, loss));
     }
     ExitCode::SUCCESS
 }
 
-fn row(nodes: usize, loss: f64) -> String {
-    let network = Network { loss, ..Network::ROUGH };
+/// Measures a fleet and returns its row of the table.
+fn table_row(nodes: usize, loss: f64) -> String {
+    let network = Network { loss, ..Network::LOSSY };
     let mut fleet = Fleet::started(nodes, network, 1, SECOND);
-    let known = fleet.run_until(MAX_WAIT, Fleet::agreed).map(|took| took + SECOND);
+    let all_known = fleet.run_until(MAX_WAIT, Fleet::views_agree).map(|took| took + SECOND);
     fleet.run_for(60 * SECOND);
-    let idle = idle(&mut fleet, nodes);
-    let (median, most) = detect(&mut fleet, nodes / 2);
+    let idle_cost = measure_idle_cost(&mut fleet, nodes);
+    let (median, longest) = measure_detection(&mut fleet, nodes / 2);
     let dead = nodes / 2;
     let live_failed = fleet.declared_failed(0).iter().filter(|(_, _, of)| *of != dead).count();
-    let healed = heal(nodes, network);
+    let healed = measure_healing(nodes, network);
     let seconds = |time: Option<Micros>| {
         time.map_or("not".into(), |time| format!("{:.1}", time as f64 / SECOND as f64))
     };
     format!(
         "| {nodes} | {:.0}% | {} | {:.0} | {:.2} | {:.0} | {} / {} | {live_failed} | {} |",
         loss * 100.0,
-        seconds(known),
-        idle.bytes,
-        idle.packets,
-        idle.processor_us,
+        seconds(all_known),
+        idle_cost.bytes,
+        idle_cost.packets,
+        idle_cost.processor_us,
         seconds(median),
-        seconds(most),
+        seconds(longest),
         seconds(healed)
     )
 }
 
-/// The cost of an idle fleet, for each node and second.
+/// The cost of an idle fleet, per node and second.
 struct IdleCost {
     bytes: f64,
     packets: f64,
     processor_us: f64,
 }
 
-fn idle(fleet: &mut Fleet, nodes: usize) -> IdleCost {
+fn measure_idle_cost(fleet: &mut Fleet, nodes: usize) -> IdleCost {
     let count = |fleet: &Fleet| -> (u64, u64) {
         fleet.processes.iter().fold((0, 0), |(bytes, packets), p| (bytes + p.bytes, packets + p.packets))
     };
     let (before, start) = (count(fleet), Instant::now());
     fleet.run_for(IDLE_MEASUREMENT);
     let after = count(fleet);
-    let a_node_and_second = |total: u64| total as f64 / nodes as f64 / (IDLE_MEASUREMENT / SECOND) as f64;
+    let per_node_and_second = |total: u64| total as f64 / nodes as f64 / (IDLE_MEASUREMENT / SECOND) as f64;
     IdleCost {
-        bytes: a_node_and_second(after.0 - before.0),
-        packets: a_node_and_second(after.1 - before.1),
-        processor_us: a_node_and_second(start.elapsed().as_micros() as u64),
+        bytes: per_node_and_second(after.0 - before.0),
+        packets: per_node_and_second(after.1 - before.1),
+        processor_us: per_node_and_second(start.elapsed().as_micros() as u64),
     }
 }
 
-/// Kills a node; after what time half and all of the others have declared it failed.
-fn detect(fleet: &mut Fleet, dead: usize) -> (Option<Micros>, Option<Micros>) {
+/// Kills a node, and returns after what time half of the others and all others have declared it failed.
+fn measure_detection(fleet: &mut Fleet, dead: usize) -> (Option<Micros>, Option<Micros>) {
     fleet.kill(dead);
     let start = fleet.now;
-    let failed_at = |fleet: &Fleet, part: f64| {
+    let is_failed_at = |fleet: &Fleet, fraction: f64| {
         let all = fleet.running().count() as f64;
         let failed =
             fleet.running().filter(|(node, _)| fleet.state(*node, dead) == Some(State::Failed)).count();
-        failed as f64 >= all * part
+        failed as f64 >= all * fraction
     };
-    let median = fleet.run_until(MAX_WAIT, |fleet| failed_at(fleet, 0.5));
-    let most = fleet.run_until(MAX_WAIT, |fleet| failed_at(fleet, 1.0));
-    (median, most.map(|_| fleet.now - start))
+    let median = fleet.run_until(MAX_WAIT, |fleet| is_failed_at(fleet, 0.5));
+    let longest = fleet.run_until(MAX_WAIT, |fleet| is_failed_at(fleet, 1.0));
+    (median, longest.map(|_| fleet.now - start))
 }
 
-/// Two halves are apart for five minutes; after what time from the heal all views agree.
-fn heal(nodes: usize, network: Network) -> Option<Micros> {
+/// Partitions a fleet into two halves for five minutes, and returns how long after that all views agree.
+fn measure_healing(nodes: usize, network: Network) -> Option<Micros> {
     let mut fleet = Fleet::started(nodes, network, 2, SECOND);
-    fleet.run_until(MAX_WAIT, Fleet::agreed)?;
+    fleet.run_until(MAX_WAIT, Fleet::views_agree)?;
     let side = move |node: usize| node < nodes / 2;
     fleet.cut = Box::new(move |from, to| side(from) != side(to));
     fleet.run_for(300 * SECOND);
     fleet.cut = Box::new(|_, _| false);
-    fleet.run_until(MAX_WAIT, Fleet::agreed)
+    fleet.run_until(MAX_WAIT, Fleet::views_agree)
 }
 
-/// An hour at 30% loss and delays to 200 ms: live nodes that were declared failed.
-fn hour(sizes: &[usize]) -> ExitCode {
+/// Simulates an hour at 30% loss and delays of up to 200 ms, and prints which live nodes were declared failed.
+fn run_hour(sizes: &[usize]) -> ExitCode {
     for &nodes in sizes {
         let start = Instant::now();
-        let mut fleet = Fleet::started(nodes, Network::ROUGH, 3, 120 * SECOND);
+        let mut fleet = Fleet::started(nodes, Network::LOSSY, 3, 120 * SECOND);
         let since = fleet.now;
         fleet.run_for(3_600 * SECOND);
         let failed = fleet.declared_failed(since);
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams recorded from an earlier program, one of each kind: they are read with the same meaning, and each message
-//! is still encoded to the same bytes.
+//! Compatibility of the wire format: datagrams of every kind, recorded from an earlier version, decode to the same
+//! messages, and these are still encoded to the same bytes.
 
 use std::net::SocketAddr;
 
@@ -11,8 +11,8 @@
 const NODE_2: MemberId = MemberId(0x1cc6_c50c_6b36_742e);
 const NODE_3: MemberId = MemberId(0x5098_e099_7e7c_c12f);
 
-/// Checks a recorded datagram against the message that it was written from.
-fn check(recorded: &[u8], body: Body, updates: Vec<Update>) {
+/// Checks that a recorded datagram decodes to the message it was recorded from, and that the message encodes to it.
+fn assert_decodes_and_encodes(recorded: &[u8], body: Body, updates: Vec<Update>) {
     let codec = Codec::new(CLUSTER, &[KEY]);
     let message = codec.decode(recorded).expect("a datagram of this cluster");
     assert_eq!(message.from, NODE_1);
@@ -25,11 +25,11 @@
     assert_eq!(codec.encode(&message).as_deref(), Some(recorded));
 }
 
-fn v4() -> SocketAddr {
+fn ipv4_address() -> SocketAddr {
     "10.1.2.3:7946".parse().unwrap()
 }
 
-fn v6() -> SocketAddr {
+fn ipv6_address() -> SocketAddr {
     "[fd00::12]:7946".parse().unwrap()
 }
 
@@ -38,76 +38,89 @@
 }
 
 #[test]
-fn member_ids_are_hashes_of_names() {
+fn member_ids_are_the_recorded_hashes_of_names() {
     assert_eq!(MemberId::of("node-1"), NODE_1);
     assert_eq!(MemberId::of("node-2"), NODE_2);
     assert_eq!(MemberId::of("node-3"), NODE_3);
 }
 
 #[test]
-fn ping() {
-    check(include_bytes!("fixtures/ping.bin"), Body::Ping { probe: 70_000 }, vec![]);
+fn recorded_ping_decodes_and_encodes_unchanged() {
+    assert_decodes_and_encodes(include_bytes!("fixtures/ping.bin"), Body::Ping { probe: 70_000 }, vec![]);
 }
 
 #[test]
-fn ack() {
-    check(include_bytes!("fixtures/ack.bin"), Body::Ack { probe: 70_000 }, vec![]);
+fn recorded_ack_decodes_and_encodes_unchanged() {
+    assert_decodes_and_encodes(include_bytes!("fixtures/ack.bin"), Body::Ack { probe: 70_000 }, vec![]);
 }
 
 #[test]
-fn ping_request() {
-    let body = Body::PingRequest { probe: 9, target: NODE_2, address: v4() };
-    check(include_bytes!("fixtures/ping_request.bin"), body, vec![]);
+fn recorded_ping_request_decodes_and_encodes_unchanged() {
+    let body = Body::PingRequest { probe: 9, target: NODE_2, address: ipv4_address() };
+    assert_decodes_and_encodes(include_bytes!("fixtures/ping_request.bin"), body, vec![]);
 }
 
 #[test]
-fn ping_request_to_an_ipv6_address() {
-    let body = Body::PingRequest { probe: 9, target: NODE_2, address: v6() };
-    check(include_bytes!("fixtures/ping_request_ipv6.bin"), body, vec![]);
+fn recorded_ping_request_to_an_ipv6_address_decodes_and_encodes_unchanged() {
+    let body = Body::PingRequest { probe: 9, target: NODE_2, address: ipv6_address() };
+    assert_decodes_and_encodes(include_bytes!("fixtures/ping_request_ipv6.bin"), body, vec![]);
 }
 
 #[test]
-fn indirect_ack() {
-    check(include_bytes!("fixtures/indirect_ack.bin"), Body::IndirectAck { probe: 9 }, vec![]);
+fn recorded_indirect_ack_decodes_and_encodes_unchanged() {
+    assert_decodes_and_encodes(
+        include_bytes!("fixtures/indirect_ack.bin"),
+        Body::IndirectAck { probe: 9 },
+        vec![],
+    );
 }
 
 #[test]
-fn gossip_with_every_claim() {
+fn recorded_gossip_with_every_claim_decodes_and_encodes_unchanged() {
     let updates = vec![
-        Update { id: NODE_1, incarnation: 1_790_000_000_123, claim: Claim::Alive(profile("node-1", v4())) },
+        Update {
+            id: NODE_1,
+            incarnation: 1_790_000_000_123,
+            claim: Claim::Alive(profile("node-1", ipv4_address())),
+        },
         Update { id: NODE_2, incarnation: 5, claim: Claim::Suspect { by: NODE_3 } },
         Update {
             id: NODE_2,
             incarnation: 6,
-            claim: Claim::Failed { by: NODE_1, profile: profile("node-2", v6()) },
+            claim: Claim::Failed { by: NODE_1, profile: profile("node-2", ipv6_address()) },
         },
-        Update { id: NODE_3, incarnation: 7, claim: Claim::Left(profile("node-3", v4())) },
+        Update { id: NODE_3, incarnation: 7, claim: Claim::Left(profile("node-3", ipv4_address())) },
     ];
-    check(include_bytes!("fixtures/gossip.bin"), Body::Gossip, updates);
+    assert_decodes_and_encodes(include_bytes!("fixtures/gossip.bin"), Body::Gossip, updates);
 }
 
 #[test]
-fn join() {
-    let own = Update { id: NODE_1, incarnation: 1, claim: Claim::Alive(profile("node-1", v4())) };
-    check(include_bytes!("fixtures/join.bin"), Body::Join, vec![own]);
+fn recorded_join_decodes_and_encodes_unchanged() {
+    let own = Update { id: NODE_1, incarnation: 1, claim: Claim::Alive(profile("node-1", ipv4_address())) };
+    assert_decodes_and_encodes(include_bytes!("fixtures/join.bin"), Body::Join, vec![own]);
 }
 
 #[test]
-fn sync_records() {
-    let record = Update { id: NODE_3, incarnation: 2, claim: Claim::Alive(profile("node-3", v6())) };
-    check(include_bytes!("fixtures/sync_records.bin"), Body::SyncRecords, vec![record]);
+fn recorded_sync_records_decode_and_encode_unchanged() {
+    let record =
+        Update { id: NODE_3, incarnation: 2, claim: Claim::Alive(profile("node-3", ipv6_address())) };
+    assert_decodes_and_encodes(include_bytes!("fixtures/sync_records.bin"), Body::SyncRecords, vec![record]);
 }
 
 #[test]
-fn sync_digests() {
+fn recorded_sync_digests_decode_and_encode_unchanged() {
     let buckets: Vec<u32> = (0..64).map(|bucket| bucket * 0x0101_0101).collect();
-    check(include_bytes!("fixtures/sync_digests.bin"), Body::SyncDigests { buckets, reply: true }, vec![]);
+    assert_decodes_and_encodes(
+        include_bytes!("fixtures/sync_digests.bin"),
+        Body::SyncDigests { buckets, reply: true },
+        vec![],
+    );
 }
 
 #[test]
-fn sync_digests_in_reply() {
+fn recorded_sync_digests_in_reply_decode_and_encode_unchanged() {
     let buckets = vec![0; 64];
-    check(
+    assert_decodes_and_encodes(
         include_bytes!("fixtures/sync_digests_in_reply.bin"),
         Body::SyncDigests { buckets, reply: false },
         vec![],
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Hostile input is rejected and counted by reason: nothing of it is applied, and memory stays bounded.
+//! Hostile input is rejected as a whole and counted by reason, and memory stays bounded.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,16 @@
 
 const KEY: [u8; 32] = [1; 32];
 const OTHER_KEY: [u8; 32] = [2; 32];
+/// The Unix time of the detector's start, in milliseconds.
 const START_MS: u64 = 1_790_000_000_000;
 const HOUR_MS: u64 = 3_600_000;
 
-fn at(port: u16) -> SocketAddr {
+fn loopback(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
 fn profile(name: &str, instance: u64) -> Profile {
-    Profile { name: name.into(), address: at(7_000), instance }
+    Profile { name: name.into(), address: loopback(7_000), instance }
 }
 
 fn detector(settings: Settings) -> Detector {
@@ -36,12 +37,12 @@
 
 fn deliver(detector: &mut Detector, message: Message) -> Vec<Output> {
     let mut out = Vec::new();
-    detector.on_message(1, at(7_001), message, &mut out);
+    detector.on_message(1, loopback(7_001), message, &mut out);
     out
 }
 
 #[test]
-fn a_datagram_round_trips_or_is_rejected_with_its_reason() {
+fn datagram_round_trips_or_is_rejected_with_its_reason() {
     let codec = Codec::new("a", &[KEY]);
     let sent = message(1, vec![alive("other", START_MS)]);
     let bytes = codec.encode(&sent).unwrap();
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_name_that_is_too_long_or_of_another_member_is_rejected() {
+fn name_that_is_too_long_or_of_another_member_is_rejected() {
     let codec = Codec::new("a", &[KEY]);
     let long = "n".repeat(65);
     let of_another = Update { id: MemberId::of("x"), ..alive("y", START_MS) };
@@ -80,14 +81,14 @@
 }
 
 #[test]
-fn a_replayed_message_is_dropped() {
+fn replayed_message_is_dropped() {
     let mut detector = detector(Settings::default());
     deliver(&mut detector, message(1, vec![alive("other", START_MS)]));
     for _ in 0..3 {
         deliver(&mut detector, message(2, vec![alive("third", START_MS)]));
     }
     assert_eq!(detector.counters().replayed, 2);
-    // Reordered messages within the window are accepted once, those behind it never.
+    // Reordered messages within the replay window of 64 numbers are accepted once, older ones never.
     for (sequence, replayed) in [(100, 2), (50, 2), (50, 3), (36, 4), (37, 4)] {
         deliver(&mut detector, message(sequence, vec![]));
         assert_eq!(detector.counters().replayed, replayed, "number {sequence}");
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn an_incarnation_from_the_far_future_changes_nothing() {
+fn claim_about_a_far_future_incarnation_is_dropped_and_counted() {
     let mut detector = detector(Settings::default());
     deliver(&mut detector, message(1, vec![alive("other", START_MS)]));
     let far = START_MS + 2 * HOUR_MS;
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn members_beyond_the_bound_are_rejected() {
+fn members_beyond_the_limit_are_rejected() {
     let mut detector = detector(Settings { max_members: 2, ..Settings::default() });
     let three = ["a", "b", "c"].map(|name| alive(name, START_MS));
     deliver(&mut detector, message(1, three.to_vec()));
@@ -118,14 +119,14 @@
 }
 
 #[test]
-fn a_flood_of_ping_requests_uses_bounded_memory_and_each_is_answered_at_most_once() {
+fn flood_of_ping_requests_uses_bounded_memory_and_causes_at_most_one_ping_each() {
     let mut detector = detector(Settings::default());
     deliver(&mut detector, message(1, vec![alive("other", START_MS)]));
     for sequence in 2..10_000 {
-        let body = Body::PingRequest { probe: 1, target: MemberId::of("other"), address: at(7_000) };
+        let body = Body::PingRequest { probe: 1, target: MemberId::of("other"), address: loopback(7_000) };
         let out = deliver(&mut detector, Message { body, ..message(sequence, vec![]) });
         let sent = out.iter().filter(|output| matches!(output, Output::Send { .. })).count();
-        assert!(sent <= 2, "a ping, and now and then digests");
+        assert!(sent <= 2, "more than a ping and digests: {sent} messages");
     }
     assert!(format!("{detector:?}").len() < 64 << 10);
 }
@@ -137,7 +138,7 @@
     }
 
     #[test]
-    fn authentic_messages_of_any_content_are_handled(
+    fn answers_to_authentic_messages_of_any_content_fit_in_a_datagram(
         probe in any::<u32>(),
         buckets in proptest::collection::vec(any::<u32>(), 0..70),
         kind in 0..5,
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_returned_member_is_notified_of_its_failure() {
+fn returned_member_is_notified_of_its_failure() {
     let mut detector = detector(Settings::default());
     let claim = Claim::Failed { by: MemberId::of("third"), profile: profile("other", 9) };
     let failed = Update { id: MemberId::of("other"), incarnation: START_MS, claim };
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet in virtual time: detectors, a network that loses, delays, duplicates and cuts, and the reported events.
-//! The same seed plays the same run.
-#![allow(dead_code)] // each program uses its own part
+//! Simulation of a fleet in virtual time: detectors, a network that loses, delays and duplicates datagrams, and the
+//! events that the detectors report. The same seed reproduces the same run.
+#![allow(dead_code)] // each program that includes this module uses a part of it
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,106 +12,123 @@
 
 pub(crate) const MILLISECOND: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000_000;
-/// The Unix time of a run's start, in milliseconds.
+/// The Unix time at which a run starts, in milliseconds.
 pub(crate) const EPOCH_MS: u64 = 1_790_000_000_000;
-/// Bytes of the IP and UDP headers.
+/// The length of the IP and UDP headers, in bytes.
 const HEADER_BYTES: u64 = 28;
-/// Datagrams that fit in the socket buffer of a paused process.
+/// The number of datagrams that fit in the socket buffer of a paused process. Further ones are lost.
 const SOCKET_BUFFER: usize = 400;
 
-/// Faults injected on purpose, which the checks have to detect.
+/// Defects that a run has on purpose, to show that the checks detect them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Planted {
-    /// A node does not detect its own pause, and declares members failed without a confirming probe.
-    SuspectsAfterPause,
-    /// No fault: the confirming probe alone is missing, which shows that detecting the pause suffices.
+pub(crate) enum Defect {
+    /// A node does not detect its own pauses, and declares members failed without a confirming probe.
+    IgnoresPause,
+    /// Only the confirming probe is missing. The checks find nothing, since detecting pauses suffices.
     NoConfirmingProbe,
-    /// A refutation is ignored.
+    /// Refutations are ignored.
     IgnoresRefutation,
     /// An update about an outdated incarnation counts as current.
     StaleIncarnationWins,
 }
 
-/// Whether a message tells its receiver that it was declared failed.
+/// Whether a message notifies its receiver that it was declared failed.
 fn is_failure_notice(message: &Message, receiver: MemberId) -> bool {
     let is_notice = |update: &Update| update.id == receiver && matches!(update.claim, Claim::Failed { .. });
     message.updates.iter().any(is_notice)
 }
 
-/// The behaviour of every link.
+/// How every link treats datagrams.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Network {
+    /// The fraction of datagrams that are lost.
     pub(crate) loss: f64,
+    /// The fraction of datagrams that are sent twice.
     pub(crate) duplicated: f64,
+    /// The shortest and the longest delay of a datagram.
     pub(crate) delay: (Micros, Micros),
 }
 
 impl Network {
-    pub(crate) const CALM: Network = Network { loss: 0.0, duplicated: 0.0, delay: (100, 2 * MILLISECOND) };
-    pub(crate) const ROUGH: Network =
+    pub(crate) const RELIABLE: Network =
+        Network { loss: 0.0, duplicated: 0.0, delay: (100, 2 * MILLISECOND) };
+    pub(crate) const LOSSY: Network =
         Network { loss: 0.3, duplicated: 0.05, delay: (100, 200 * MILLISECOND) };
 
-    pub(crate) fn losing(loss: f64) -> Network {
-        Network { loss, ..Network::ROUGH }
+    pub(crate) fn with_loss(loss: f64) -> Network {
+        Network { loss, ..Network::LOSSY }
     }
 }
 
-enum Occurrence {
+/// What happens at a point in virtual time.
+enum SimulationEvent {
+    /// A datagram arrives.
     Deliver { to: usize, from: usize, bytes: Vec<u8> },
+    /// A node's timer fires, unless its generation is outdated.
     Wake { node: usize, generation: u64 },
+    /// A paused process goes on.
     Resume { node: usize },
 }
 
-struct Queued {
+/// An event in the queue.
+struct ScheduledEvent {
     at: Micros,
+    /// The position in the order of scheduling, which decides between events at the same time.
     order: u64,
-    occurrence: Occurrence,
+    event: SimulationEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.order == other.order
     }
 }
-impl Eq for Queued {}
-impl PartialOrd for Queued {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Queued {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
-/// One node's process, if it runs.
+/// The process of one node.
 pub(crate) struct Process {
+    /// `None` while the process does not run.
     pub(crate) detector: Option<Detector>,
-    /// Bytes and datagrams, sent and received, since they were last looked at.
+    /// Bytes sent and received so far, with headers.
     pub(crate) bytes: u64,
+    /// Datagrams sent and received so far.
     pub(crate) packets: u64,
+    /// The generation of the timer that is in force; earlier timers do nothing.
     generation: u64,
     paused: bool,
-    inbox: Vec<(usize, Vec<u8>)>,
+    /// Datagrams that arrived during a pause, with the nodes that sent them.
+    socket_buffer: Vec<(usize, Vec<u8>)>,
 }
 
-/// A fleet.
+/// A simulated fleet of nodes.
 pub(crate) struct Fleet {
     pub(crate) now: Micros,
     pub(crate) processes: Vec<Process>,
     pub(crate) network: Network,
-    pub(crate) planted: Option<Planted>,
+    /// The defect that the nodes have.
+    pub(crate) defect: Option<Defect>,
     /// The reported events: when, by which node, and the event.
     pub(crate) events: Vec<(Micros, usize, Event)>,
     pub(crate) settings: Settings,
-    /// So many of the next datagrams that tell their receiver of its own failure are lost.
+    /// How many of the next datagrams are lost that notify their receiver of its own failure.
     pub(crate) lost_failure_notices: usize,
-    /// Whether a datagram from one node to another is cut off.
+    /// Whether all datagrams from one node to another are lost.
     pub(crate) cut: Box<dyn Fn(usize, usize) -> bool>,
     rng: fastrand::Rng,
-    queue: BinaryHeap<Reverse<Queued>>,
-    count: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// The number of events scheduled so far.
+    scheduled: u64,
+    /// The number of processes started so far.
     instances: u64,
     codec: Codec,
     ids: BTreeMap<MemberId, usize>,
@@ -126,7 +143,7 @@
 }
 
 impl Fleet {
-    /// So many places for nodes; none runs yet.
+    /// A fleet of this many nodes, none of which runs yet.
     pub(crate) fn new(nodes: usize, network: Network, seed: u64) -> Fleet {
         let process = |_| Process {
             detector: None,
@@ -134,28 +151,27 @@
             packets: 0,
             generation: 0,
             paused: false,
-            inbox: Vec::new(),
+            socket_buffer: Vec::new(),
         };
         Fleet {
             now: 0,
             processes: (0..nodes).map(process).collect(),
             network,
-            planted: None,
+            defect: None,
             events: Vec::new(),
             settings: Settings::default(),
             lost_failure_notices: 0,
             cut: Box::new(|_, _| false),
             rng: fastrand::Rng::with_seed(seed),
             queue: BinaryHeap::new(),
-            count: 0,
+            scheduled: 0,
             instances: 0,
             codec: Codec::new("simulated", &[[7; 32]]),
             ids: (0..nodes).map(|node| (MemberId::of(&name(node)), node)).collect(),
         }
     }
 
-    /// A fleet whose nodes all start within a second, the first of them their only seed, and know each other after
-    /// so long.
+    /// A fleet that has run for the time `settle`. All nodes start within 100 ms, with node 0 as their only seed.
     pub(crate) fn started(nodes: usize, network: Network, seed: u64, settle: Micros) -> Fleet {
         let mut fleet = Fleet::new(nodes, network, seed);
         (0..nodes).for_each(|node| fleet.start(node, 0));
@@ -163,12 +179,12 @@
         fleet
     }
 
-    /// Starts a node, whose machine's clock is off by so many milliseconds.
+    /// Starts a node whose machine's clock is ahead by this many milliseconds, or behind if negative.
     pub(crate) fn start(&mut self, node: usize, clock_ms: i64) {
         self.start_named(node, name(node), clock_ms);
     }
 
-    /// Starts a process in one node's place under another one's name.
+    /// Starts a process at one node's address under another node's name.
     pub(crate) fn start_as(&mut self, node: usize, other: usize) {
         self.start_named(node, name(other), 0);
     }
@@ -177,10 +193,10 @@
         self.instances += 1;
         let profile = Profile { name, address: address(node), instance: self.instances };
         let mut settings = self.settings.clone();
-        if matches!(self.planted, Some(Planted::SuspectsAfterPause | Planted::NoConfirmingProbe)) {
+        if matches!(self.defect, Some(Defect::IgnoresPause | Defect::NoConfirmingProbe)) {
             settings.confirming_pings = 0;
         }
-        if self.planted == Some(Planted::SuspectsAfterPause) {
+        if self.defect == Some(Defect::IgnoresPause) {
             settings.pause_threshold = Micros::MAX;
         }
         let unix_ms = (EPOCH_MS + self.now / 1_000).saturating_add_signed(clock_ms);
@@ -189,33 +205,34 @@
         let process = &mut self.processes[node];
         process.detector = Some(detector);
         process.paused = false;
-        process.inbox.clear();
+        process.socket_buffer.clear();
         let at = self.now + self.rng.u64(0..100 * MILLISECOND);
-        self.wake(node, at);
+        self.schedule_timer(node, at);
     }
 
-    /// Kills a node: it sends nothing any more.
+    /// Kills a node without an announcement.
     pub(crate) fn kill(&mut self, node: usize) {
         self.processes[node].detector = None;
         self.processes[node].generation += 1;
     }
 
-    /// Ends a node, which announces its leave.
+    /// Stops a node after it has announced that it leaves.
     pub(crate) fn leave(&mut self, node: usize) {
         let mut out = Vec::new();
         if let Some(detector) = &mut self.processes[node].detector {
             detector.leave(self.now, &mut out);
         }
-        self.carry_out(node, out);
+        self.handle_outputs(node, out);
         self.kill(node);
     }
 
-    /// Stops a node's process for so long.
+    /// Pauses a node's process for this time.
     pub(crate) fn pause(&mut self, node: usize, duration: Micros) {
         self.processes[node].paused = true;
-        self.push(self.now + duration, Occurrence::Resume { node });
+        self.schedule(self.now + duration, SimulationEvent::Resume { node });
     }
 
+    /// The running nodes and their detectors.
     pub(crate) fn running(&self) -> impl Iterator<Item = (usize, &Detector)> {
         self.processes.iter().enumerate().filter_map(|(node, p)| Some((node, p.detector.as_ref()?)))
     }
@@ -226,8 +243,8 @@
         Some(detector.member(MemberId::of(&name(of)))?.state)
     }
 
-    /// Whether every running node sees every other one alive, at its current incarnation.
-    pub(crate) fn agreed(&self) -> bool {
+    /// Whether every running node sees every other one as live, in its current incarnation.
+    pub(crate) fn views_agree(&self) -> bool {
         let running: Vec<(usize, &Detector)> = self.running().collect();
         running.iter().all(|(of, subject)| {
             running.iter().filter(|(node, _)| node != of).all(|(_, detector)| {
@@ -247,11 +264,12 @@
         self.now = until;
     }
 
-    /// Runs until a condition holds, checked each half second; returns after what time, or `None` if it never held.
-    pub(crate) fn run_until(&mut self, most: Micros, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
+    /// Runs until a condition holds, which is checked each half second, and returns how long that took. Returns `None`
+    /// if it did not hold within `max_wait`.
+    pub(crate) fn run_until(&mut self, max_wait: Micros, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let start = self.now;
         while !holds(self) {
-            if self.now >= start + most {
+            if self.now >= start + max_wait {
                 return None;
             }
             self.run_for(SECOND / 2);
@@ -260,18 +278,18 @@
     }
 
     fn step(&mut self) {
-        let Some(Reverse(Queued { at, occurrence, .. })) = self.queue.pop() else { return };
+        let Some(Reverse(ScheduledEvent { at, event, .. })) = self.queue.pop() else { return };
         self.now = at;
-        match occurrence {
-            Occurrence::Deliver { to, from, bytes } => {
+        match event {
+            SimulationEvent::Deliver { to, from, bytes } => {
                 let process = &mut self.processes[to];
-                if process.paused && process.inbox.len() < SOCKET_BUFFER {
-                    process.inbox.push((from, bytes));
+                if process.paused && process.socket_buffer.len() < SOCKET_BUFFER {
+                    process.socket_buffer.push((from, bytes));
                 } else if !process.paused {
                     self.deliver(to, from, &bytes);
                 }
             }
-            Occurrence::Wake { node, generation } => {
+            SimulationEvent::Wake { node, generation } => {
                 let process = &mut self.processes[node];
                 if process.generation != generation || process.paused {
                     return;
@@ -280,23 +298,23 @@
                 if let Some(detector) = &mut process.detector {
                     detector.on_timer(at, &mut out);
                 }
-                self.carry_out(node, out);
+                self.handle_outputs(node, out);
             }
-            Occurrence::Resume { node } => {
+            SimulationEvent::Resume { node } => {
                 let process = &mut self.processes[node];
                 process.paused = false;
                 process.generation += 1;
-                let inbox = std::mem::take(&mut process.inbox);
-                // Timers and the socket are both ready; which comes first is chance.
+                let datagrams = std::mem::take(&mut process.socket_buffer);
+                // Both the timer and the socket are ready; either may be handled first.
                 let timer_first = self.rng.bool();
                 if timer_first {
-                    self.wake(node, at);
+                    self.schedule_timer(node, at);
                     self.step();
                 }
-                for (from, bytes) in inbox {
+                for (from, bytes) in datagrams {
                     self.deliver(node, from, &bytes);
                 }
-                self.wake(node, at);
+                self.schedule_timer(node, at);
             }
         }
     }
@@ -306,33 +324,36 @@
         process.bytes += bytes.len() as u64 + HEADER_BYTES;
         process.packets += 1;
         let Some(detector) = &mut process.detector else { return };
-        let Ok(mut message) = self.codec.decode(bytes) else { panic!("a datagram that cannot be read") };
+        let Ok(mut message) = self.codec.decode(bytes) else {
+            panic!("a detector sent a datagram that does not decode")
+        };
         if self.lost_failure_notices > 0 && is_failure_notice(&message, MemberId::of(&name(to))) {
             self.lost_failure_notices -= 1;
             return;
         }
-        if let Some(planted) = self.planted {
-            inject_fault(planted, &mut message, detector);
+        if let Some(defect) = self.defect {
+            inject_defect(defect, &mut message, detector);
         }
         let mut out = Vec::new();
         detector.on_message(self.now, address(from), message, &mut out);
-        self.carry_out(to, out);
+        self.handle_outputs(to, out);
     }
 
-    fn carry_out(&mut self, node: usize, out: Vec<Output>) {
+    /// Sends the messages and records the events that a node's detector returned.
+    fn handle_outputs(&mut self, node: usize, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Event(event) => self.events.push((self.now, node, event)),
                 Output::Send { to, message } => {
                     let SocketAddr::V4(to) = to else { continue };
                     let to = (u32::from(*to.ip()) - 0x7f01_0000) as usize;
-                    let bytes = self.codec.encode(&message).expect("no message is too long");
+                    let bytes = self.codec.encode(&message).expect("a message that fits in a datagram");
                     self.send(node, to, bytes);
                 }
             }
         }
         let Some(at) = self.processes[node].detector.as_ref().map(Detector::wakeup) else { return };
-        self.wake(node, at);
+        self.schedule_timer(node, at);
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
@@ -343,24 +364,25 @@
             if (self.cut)(from, to) || self.rng.f64() < self.network.loss {
                 continue;
             }
-            let (least, most) = self.network.delay;
-            let at = self.now + self.rng.u64(least..=most);
-            self.push(at, Occurrence::Deliver { to, from, bytes: bytes.clone() });
+            let (min_delay, max_delay) = self.network.delay;
+            let at = self.now + self.rng.u64(min_delay..=max_delay);
+            self.schedule(at, SimulationEvent::Deliver { to, from, bytes: bytes.clone() });
         }
     }
 
-    fn wake(&mut self, node: usize, at: Micros) {
+    /// Schedules a node's timer, in place of the one that was scheduled before.
+    fn schedule_timer(&mut self, node: usize, at: Micros) {
         self.processes[node].generation += 1;
         let generation = self.processes[node].generation;
-        self.push(at.max(self.now), Occurrence::Wake { node, generation });
+        self.schedule(at.max(self.now), SimulationEvent::Wake { node, generation });
     }
 
-    fn push(&mut self, at: Micros, occurrence: Occurrence) {
-        self.count += 1;
-        self.queue.push(Reverse(Queued { at, order: self.count, occurrence }));
+    fn schedule(&mut self, at: Micros, event: SimulationEvent) {
+        self.scheduled += 1;
+        self.queue.push(Reverse(ScheduledEvent { at, order: self.scheduled, event }));
     }
 
-    /// Reports of failed members after a time: when, by whom, of whom.
+    /// Declarations of failed members after a time: when, by which node, and of which node.
     pub(crate) fn declared_failed(&self, since: Micros) -> Vec<(Micros, usize, usize)> {
         let failed = |(at, node, event): &(Micros, usize, Event)| match event {
             Event::Failed { name, .. } if *at > since => {
@@ -372,21 +394,21 @@
     }
 }
 
-/// Breaks a rule on purpose, by changing the message that a node receives.
-fn inject_fault(planted: Planted, message: &mut Message, detector: &Detector) {
-    let known = |id: MemberId| detector.member(id).map_or(0, |member| member.incarnation);
-    match planted {
-        Planted::SuspectsAfterPause | Planted::NoConfirmingProbe => {}
-        Planted::IgnoresRefutation => {
+/// Gives a node a defect by changing a message that it receives.
+fn inject_defect(defect: Defect, message: &mut Message, detector: &Detector) {
+    let known_incarnation = |id: MemberId| detector.member(id).map_or(0, |member| member.incarnation);
+    match defect {
+        Defect::IgnoresPause | Defect::NoConfirmingProbe => {}
+        Defect::IgnoresRefutation => {
             let refutes = |update: &stonefold_membership::Update| {
-                matches!(update.claim, Claim::Alive(_)) && known(update.id) > 0
+                matches!(update.claim, Claim::Alive(_)) && known_incarnation(update.id) > 0
             };
             message.updates.retain(|update| !refutes(update));
-            message.incarnation = message.incarnation.min(known(message.from));
+            message.incarnation = message.incarnation.min(known_incarnation(message.from));
         }
-        Planted::StaleIncarnationWins => {
+        Defect::StaleIncarnationWins => {
             for update in &mut message.updates {
-                update.incarnation = update.incarnation.max(known(update.id));
+                update.incarnation = update.incarnation.max(known_incarnation(update.id));
             }
         }
     }
--- a/crates/membership/tests/simulation.rs
+++ b/crates/membership/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Scenarios in virtual time, 50 seeds of each; `examples/membership_simulate.rs` plays more.
+//! Plays the membership scenarios in virtual time with 50 seeds each. `examples/membership_simulate.rs` plays more.
 
 #[path = "sim/cases.rs"]
 mod cases;
@@ -6,28 +6,31 @@
 mod sim;
 
 use cases::{CASES, Case};
-use sim::Planted;
+use sim::Defect;
 
+/// How many seeds each case is played with.
 const SEEDS: u64 = 50;
 
-/// Plays a case with all seeds; the violations that were found, each with its seed.
-fn violations(case: &Case, seeds: u64, planted: Option<Planted>) -> Vec<String> {
-    let found = |seed| (case.play)(seed, planted).into_iter().map(move |what| format!("seed {seed}: {what}"));
-    (0..seeds).flat_map(found).collect()
+/// Plays a case with this many seeds and returns the violations, each with its seed.
+fn violations(case: &Case, seeds: u64, defect: Option<Defect>) -> Vec<String> {
+    let of_seed = |seed| {
+        (case.play)(seed, defect).into_iter().map(move |violation| format!("seed {seed}: {violation}"))
+    };
+    (0..seeds).flat_map(of_seed).collect()
 }
 
-/// One test for each case, so that they run beside each other.
+/// Defines a test for each case, so that the cases run in parallel.
 macro_rules! cases {
     ($($test:ident: $name:literal),* $(,)?) => {
         $(#[test]
         fn $test() {
-            let case = CASES.iter().find(|case| case.name == $name).expect("a case");
-            let found = violations(case, SEEDS, None);
-            assert!(found.is_empty(), "{found:#?}");
+            let case = CASES.iter().find(|case| case.name == $name).expect("a case of this name");
+            let violations = violations(case, SEEDS, None);
+            assert!(violations.is_empty(), "{violations:#?}");
         })*
 
         #[test]
-        fn every_case_has_its_test() {
+        fn every_case_has_a_test() {
             let tested = [$($name),*];
             assert!(CASES.iter().all(|case| tested.contains(&case.name)));
         }
@@ -35,40 +38,40 @@
 }
 
 cases! {
-    a_rough_network: "rough network",
-    pauses: "pauses",
-    a_pause_until_failed: "pause until failed",
-    a_pause_with_a_suspicion: "pause with a suspicion",
-    a_kill: "kill",
-    a_one_sided_cut: "one-sided cut of two",
-    a_node_whose_datagrams_are_lost: "nothing sent arrives",
-    a_partition: "partition",
-    a_restart: "restart",
-    two_processes_under_one_name: "two under one name",
-    a_leave: "leave",
-    a_flapping_link: "flapping link",
+    no_node_is_declared_failed_on_a_lossy_network: "lossy network",
+    paused_node_declares_no_other_failed_nor_is_after_a_brief_pause: "pauses",
+    node_paused_until_it_is_declared_failed_learns_of_that: "pause until failed",
+    node_paused_during_a_suspicion_declares_no_node_failed: "pause with a suspicion",
+    killed_node_is_declared_failed_by_all_others_in_time: "kill",
+    nodes_cut_off_from_each_other_stay_alive_and_report_reachability: "one-sided cut of two",
+    node_whose_datagrams_are_all_lost_declares_no_node_failed: "nothing sent arrives",
+    views_agree_after_a_partition_without_new_failures: "partition",
+    restarted_process_replaces_the_old_one_despite_a_late_leave: "restart",
+    older_of_two_processes_under_one_name_stops_taking_part: "two under one name",
+    node_that_leaves_is_not_declared_failed: "leave",
+    flapping_link_causes_a_bounded_number_of_events: "flapping link",
 }
 
-/// What the checker finds in a case whose rules are broken on purpose.
-fn found(planted: Planted, case: &str) -> Vec<String> {
-    let case = CASES.iter().find(|known| known.name == case).expect("a case");
-    violations(case, SEEDS, Some(planted))
+/// The violations in a case whose nodes have a defect.
+fn violations_with(defect: Defect, case: &str) -> Vec<String> {
+    let case = CASES.iter().find(|known| known.name == case).expect("a case of this name");
+    violations(case, SEEDS, Some(defect))
 }
 
 #[test]
-fn a_node_that_declares_others_failed_after_its_pause_is_detected() {
+fn checks_detect_a_node_that_ignores_its_pause() {
     let case = "pause with a suspicion";
-    assert!(!found(Planted::SuspectsAfterPause, case).is_empty());
-    let without = found(Planted::NoConfirmingProbe, case);
+    assert!(!violations_with(Defect::IgnoresPause, case).is_empty());
+    let without = violations_with(Defect::NoConfirmingProbe, case);
     assert!(without.is_empty(), "detecting the pause suffices: {without:#?}");
 }
 
 #[test]
-fn an_ignored_refutation_is_detected() {
-    assert!(!found(Planted::IgnoresRefutation, "partition").is_empty());
+fn checks_detect_an_ignored_refutation() {
+    assert!(!violations_with(Defect::IgnoresRefutation, "partition").is_empty());
 }
 
 #[test]
-fn a_stale_incarnation_that_wins_is_detected() {
-    assert!(!found(Planted::StaleIncarnationWins, "restart").is_empty());
+fn checks_detect_a_stale_incarnation_that_wins() {
+    assert!(!violations_with(Defect::StaleIncarnationWins, "restart").is_empty());
 }
