--- a/crates/cli/src/commands/emulate.rs
+++ b/crates/cli/src/commands/emulate.rs
@@ -26,7 +26,7 @@
         load::<Site>(&Layers { file: Some(args.site.clone()), flags: args.set.clone(), ..Layers::default() })
             .map_err(Failure::unusable)?
             .tree;
-    let log = stonefold_observe::Options { levels: args.log.clone(), ..Default::default() };
+    let log = stonefold_observe::LogOptions { levels: args.log.clone(), ..Default::default() };
     let _log = Logging::to_stderr(log).map_err(Failure::failed)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(args.threads.into())
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -12,7 +12,7 @@
 use stonefold_node::config::{Config, Document, DocumentError, Source};
 use stonefold_node::membership::MembershipConfig;
 use stonefold_node::shared::SharedState;
-use stonefold_observe::{Format, Logging, Options};
+use stonefold_observe::{Format, LogOptions, Logging};
 use stonefold_store::wire::Keys;
 use stonefold_store::{daemon, follower};
 
@@ -57,7 +57,7 @@
 fn run_from_platform(args: &NodeArgs, started: Instant) -> Result<(), Failure> {
     let mut config = Config::from_source(Source::Platform).map_err(Failure::unusable)?;
     config.started = started;
-    serve(config, &start_logging(Options::default(), args)?)
+    serve(config, &start_logging(LogOptions::default(), args)?)
 }
 
 fn run_from_file(path: PathBuf, args: NodeArgs, started: Instant) -> Result<(), Failure> {
@@ -73,16 +73,16 @@
     serve(config, &log)
 }
 
-fn log_options(log: &Log) -> Result<Options, Failure> {
+fn log_options(log: &Log) -> Result<LogOptions, Failure> {
     let format = match log.format {
         LogFormat::Text => Format::Text,
         LogFormat::Json => Format::Json,
     };
-    Ok(Options { levels: log.level.parse().map_err(Failure::unusable)?, format })
+    Ok(LogOptions { levels: log.level.parse().map_err(Failure::unusable)?, format })
 }
 
 /// Starts logging; flags override the configuration.
-fn start_logging(mut options: Options, args: &NodeArgs) -> Result<Logging, Failure> {
+fn start_logging(mut options: LogOptions, args: &NodeArgs) -> Result<Logging, Failure> {
     options.levels = args.log.clone().unwrap_or(options.levels);
     options.format = args.log_format.unwrap_or(options.format);
     Logging::to_stderr(options).map_err(Failure::failed)
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::AtomicUsize;
 
 use stonefold_balancer::EndpointState;
-use stonefold_observe::Dropped;
+use stonefold_observe::DroppedLines;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
@@ -68,7 +68,7 @@
         let store = Arc::new(OverrideStore::File(OverrideFile::of_node()));
         store.changed(); // what is loaded below is no change
         config.source = ConfigSource::default();
-        let metrics = Arc::new(Metrics::new(Dropped::default()));
+        let metrics = Arc::new(Metrics::new(DroppedLines::default()));
         let stalls = StallMonitor::new();
         let heartbeat = stalls.clone().run(metrics.clone());
         let context = DriverContext {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-use stonefold_observe::Dropped;
+use stonefold_observe::DroppedLines;
 
 use crate::counter::Counter;
 use crate::invariants::Violations;
@@ -77,7 +77,7 @@
     pub(crate) reloads: Counter,
     /// Reloads that left the configuration as it was.
     pub(crate) rejected_reloads: Counter,
-    log: Dropped,
+    log: DroppedLines,
     /// From the start of the process until it served.
     time_to_ready: OnceLock<Duration>,
     membership: OnceLock<Arc<MembershipMetrics>>,
@@ -85,7 +85,7 @@
 
 impl Metrics {
     /// Metrics that include how many log lines were dropped.
-    pub(crate) fn new(log: Dropped) -> Metrics {
+    pub(crate) fn new(log: DroppedLines) -> Metrics {
         Metrics { log, ..Metrics::default() }
     }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -7,7 +7,7 @@
 use std::time;
 
 use stonefold_net::Listener;
-use stonefold_observe::Dropped;
+use stonefold_observe::DroppedLines;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{Notify, mpsc, watch};
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// Fails if the node cannot listen on one of its addresses, or if the driver ends.
-pub async fn run(config: Config, log: Dropped) -> io::Result<()> {
+pub async fn run(config: Config, log: DroppedLines) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     // SIGHUP would end a process that does not handle it.
     let reload = signal(SignalKind::hangup())?;
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Events are made with `tracing`: each has a stable name in its field `event`, and typed fields for what varies.
 //! They go through a bounded queue to a thread of its own, which alone writes. While nobody reads, the queue fills up;
-//! further lines are dropped and counted in [`Dropped`].
+//! further lines are dropped and counted in [`DroppedLines`].
 
 mod format;
 mod level;
@@ -23,7 +23,7 @@
 
 /// What is logged, and how.
 #[derive(Clone, Debug, Default)]
-pub struct Options {
+pub struct LogOptions {
     /// Which events, by their targets.
     pub levels: Levels,
     /// As text or as JSON.
@@ -32,9 +32,9 @@
 
 /// Counts the lines dropped because the queue was full, since the start.
 #[derive(Clone, Debug, Default)]
-pub struct Dropped(Option<ErrorCounter>);
+pub struct DroppedLines(Option<ErrorCounter>);
 
-impl Dropped {
+impl DroppedLines {
     /// The count so far.
     pub fn lines(&self) -> u64 {
         self.0.as_ref().map_or(0, |counter| counter.dropped_lines() as u64)
@@ -45,7 +45,7 @@
 #[must_use = "lines are written only while this is held"]
 pub struct Logging {
     _writer: WorkerGuard,
-    dropped: Dropped,
+    dropped: DroppedLines,
 }
 
 impl Logging {
@@ -53,14 +53,14 @@
     ///
     /// # Errors
     /// If the process logs already.
-    pub fn to_stderr(options: Options) -> Result<Logging, SetGlobalDefaultError> {
+    pub fn to_stderr(options: LogOptions) -> Result<Logging, SetGlobalDefaultError> {
         let (writer, logging) = queue(std::io::stderr(), MAX_QUEUED_LINES);
         set_global_default(subscriber(options, writer))?;
         Ok(logging)
     }
 
     /// The count of dropped lines.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedLines {
         self.dropped.clone()
     }
 }
@@ -69,11 +69,11 @@
 fn queue(to: impl Write + Send + 'static, max_lines: usize) -> (NonBlocking, Logging) {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(max_lines);
     let (writer, guard) = builder.thread_name("log").finish(to);
-    let dropped = Dropped(Some(writer.error_counter()));
+    let dropped = DroppedLines(Some(writer.error_counter()));
     (writer, Logging { _writer: guard, dropped })
 }
 
-fn subscriber(options: Options, writer: NonBlocking) -> impl tracing::Subscriber + Send + Sync {
+fn subscriber(options: LogOptions, writer: NonBlocking) -> impl tracing::Subscriber + Send + Sync {
     let layer = fmt::layer().with_writer(writer).with_timer(UtcTime::rfc_3339()).with_ansi(false);
     let layer = match options.format {
         Format::Text => layer.boxed(),
--- a/crates/observe/src/tests.rs
+++ b/crates/observe/src/tests.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_reader_that_stalls_costs_lines_that_are_counted_and_no_time() {
     let (writer, logging, go, read) = stalled(16);
-    with_default(subscriber(Options::default(), writer), || {
+    with_default(subscriber(LogOptions::default(), writer), || {
         for n in 0..1000 {
             tracing::info!(event = "one_of_many", n, "said"); // would never return if it waited
         }
@@ -45,7 +45,7 @@
 #[test]
 fn json_lines_carry_names_and_types_and_levels_go_by_target() {
     let (writer, logging, go, read) = stalled(64);
-    let options = Options { levels: "warn,quiet=off,loud=debug".parse().unwrap(), format: Format::Json };
+    let options = LogOptions { levels: "warn,quiet=off,loud=debug".parse().unwrap(), format: Format::Json };
     with_default(subscriber(options, writer), || {
         tracing::warn!(event = "server_disabled", server = "s-1\n\"x\"", n = 7, "out by hand");
         tracing::error!(target: "quiet", event = "never");
