--- a/crates/observe/src/format.rs
+++ b/crates/observe/src/format.rs
@@ -6,14 +6,14 @@
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people: time, level, target, message, fields.
+    /// Readable text: time, level, target, message and fields.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// No log format has this name.
+/// The error for a name that no log format has.
 #[derive(Debug, thiserror::Error)]
 #[error("unknown log format {0:?}: use \"text\" or \"json\"")]
 pub struct UnknownFormat(String);
--- a/crates/observe/src/level.rs
+++ b/crates/observe/src/level.rs
@@ -1,4 +1,4 @@
-//! Which events are logged.
+//! Log levels: which events are logged.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -8,12 +8,12 @@
 
 /// Which events are logged: a default level, and levels for some targets.
 ///
-/// Written as `info,stonefold_node::discovery=debug`. Levels are `off`, `error`, `warn`, `info`, `debug` and
-/// `trace`; a target is a crate or a module in it.
+/// The text form is for example `info,stonefold_node::discovery=debug`. Levels are `off`, `error`, `warn`, `info`,
+/// `debug` and `trace`; a target is a crate or one of its modules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Levels(Targets);
 
-/// A text that is no list of levels.
+/// The error for a text that is not a list of levels.
 #[derive(Debug, thiserror::Error)]
 #[error("bad log level {text:?}: {source}; write for example \"info\" or \"info,stonefold_node=debug\"")]
 pub struct BadLevel {
@@ -21,10 +21,12 @@
     source: ParseError,
 }
 
-/// A library that logs its every step at `info`. Only its warnings are logged, unless its level is stated.
+/// The Raft library, which logs each of its steps at `info`. Only its warnings are logged unless its level is stated.
 const VERBOSE_TARGET: &str = "openraft";
 
 impl Levels {
+    /// The filter for `tracing`. It limits [`VERBOSE_TARGET`] to warnings, unless the level of that target is stated or
+    /// the default level allows no more anyway.
     pub(crate) fn into_targets(self) -> Targets {
         let stated = self.0.iter().any(|(target, _)| target.starts_with(VERBOSE_TARGET));
         let quiet = self.0.default_level().is_some_and(|level| level <= LevelFilter::WARN);
@@ -42,11 +44,12 @@
     type Err = BadLevel;
 
     fn from_str(text: &str) -> Result<Levels, BadLevel> {
-        // A misspelt level would be parsed as the name of a target that logs everything.
-        let unknown_level =
+        // `Targets` would take a misspelt level for the name of a target and log all its events.
+        let misspelt_level =
             text.split(',').find(|part| !part.contains('=') && part.trim().parse::<LevelFilter>().is_err());
-        let checked = unknown_level.unwrap_or(text);
-        let parsed = match unknown_level {
+        let checked = misspelt_level.unwrap_or(text);
+        let parsed = match misspelt_level {
+            // With a target in front, the parser reports the text as a level that it does not know.
             Some(level) => format!("all={level}").parse::<Targets>(),
             None => text.parse(),
         };
--- a/crates/observe/src/level/tests.rs
+++ b/crates/observe/src/level/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn levels_are_checked_and_come_back_as_they_went() {
+fn levels_round_trip_through_text_and_unknown_ones_are_rejected() {
     for text in ["info", "warn,stonefold_node=debug", "off"] {
         let levels: Levels = text.parse().unwrap();
         assert_eq!(levels.to_string().parse::<Levels>().unwrap(), levels, "{text}");
