--- a/crates/faults-preload/src/plan.rs
+++ b/crates/faults-preload/src/plan.rs
@@ -1,4 +1,4 @@
-//! The fault plan of this process: the file, mapped into memory so that each change is seen at once.
+//! The fault plan of this process: its file is mapped into memory, so that each change applies at once.
 
 use std::ffi::CStr;
 use std::ptr::{self, NonNull};
@@ -9,32 +9,32 @@
     CLOCK_STEP_OFFSET, COUNTS_OFFSET, Fault, PLAN_LENGTH, RATE_OF_ALL_CALLS, RATES_OFFSET,
 };
 
-/// The name of [`stonefold_faults::PLAN_VARIABLE`] for the C library.
-const VARIABLE: &CStr = c"STONEFOLD_FAULT_PLAN";
+/// [`stonefold_faults::PLAN_VARIABLE`] as a C string.
+const PLAN_VARIABLE: &CStr = c"STONEFOLD_FAULT_PLAN";
 
 /// A mapped plan.
 pub(crate) struct Plan {
     base: NonNull<u8>,
 }
 
-// SAFETY: the mapping lasts as long as the process, and all of it is read and written as atomic numbers.
+// SAFETY: the mapping lasts as long as the process, and it is read and written only as atomic numbers.
 unsafe impl Send for Plan {}
-// SAFETY: as above.
+// SAFETY: as for `Send`.
 unsafe impl Sync for Plan {}
 
 impl Plan {
-    /// The plan that the environment names; none if it names none or it can't be mapped.
+    /// The plan that the environment names; `None` if it names none or the file can't be mapped.
     pub(crate) fn of_process() -> Option<&'static Plan> {
         static PLAN: OnceLock<Option<Plan>> = OnceLock::new();
         PLAN.get_or_init(Plan::map).as_ref()
     }
 
-    /// Maps the file without any of the functions that this library replaces.
+    /// Maps the file. Uses none of the functions that this library replaces, since those call this one.
     fn map() -> Option<Plan> {
-        // SAFETY: the name ends in NUL; the result is a string of the environment, or null. The file is mapped
-        // whole at an address of the kernel's choice, and its descriptor is ours to close.
+        // SAFETY: the name ends in NUL, and `getenv` returns null or a string. The kernel chooses the address of the
+        // mapping, and the descriptor belongs to this function.
         let base = unsafe {
-            let path = libc::getenv(VARIABLE.as_ptr());
+            let path = libc::getenv(PLAN_VARIABLE.as_ptr());
             if path.is_null() {
                 return None;
             }
@@ -60,10 +60,10 @@
         unsafe { self.base.add(offset).cast::<AtomicU64>().as_ref() }
     }
 
-    /// A random number below a bound. The same seed draws the same numbers, in the order of the calls; the next process
-    /// under a plan goes on where the one before it ended.
-    pub(crate) fn below(&self, bound: u64) -> u64 {
-        // SplitMix64, whose state is the seed in the plan.
+    /// A random number below a bound. The same seed gives the same numbers in the order of the calls. The next process
+    /// under the same plan continues the sequence.
+    pub(crate) fn random_below(&self, bound: u64) -> u64 {
+        // This is SplitMix64. The plan's seed is its state.
         let state = self.number(0).fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
         let mut mixed = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -75,22 +75,22 @@
         self.number(RATES_OFFSET + 8 * fault as usize).load(Ordering::Relaxed)
     }
 
-    /// Whether a fault has a rate at all.
+    /// Whether a fault has a rate above 0.
     pub(crate) fn is_set(&self, fault: Fault) -> bool {
         self.rate(fault) > 0
     }
 
-    /// Whether this call fails in this way. Counts the faults that are injected.
-    pub(crate) fn strikes(&self, fault: Fault) -> bool {
+    /// Draws whether this call fails with a fault, and counts it if so.
+    pub(crate) fn injects(&self, fault: Fault) -> bool {
         let rate = self.rate(fault);
-        let strikes = rate > 0 && self.below(RATE_OF_ALL_CALLS) < rate;
-        if strikes {
+        let injected = rate > 0 && self.random_below(RATE_OF_ALL_CALLS) < rate;
+        if injected {
             self.number(COUNTS_OFFSET + 8 * fault as usize).fetch_add(1, Ordering::Relaxed);
         }
-        strikes
+        injected
     }
 
-    /// How far ahead the wall clock is, in milliseconds.
+    /// By how much the plan sets the wall clock ahead, in milliseconds.
     pub(crate) fn clock_step_ms(&self) -> i64 {
         self.number(CLOCK_STEP_OFFSET).load(Ordering::Relaxed) as i64
     }
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,10 +1,10 @@
-//! Fault injection for system calls of a process under test: which calls fail, and how often.
+//! Fault injection into the system calls of a process under test: which calls fail, and how often.
 //!
-//! A test writes a [`FaultPlan`]; the library that `stonefold-faults-preload` builds reads it from inside the process,
-//! and each change is in force from the next call on.
+//! A test writes a [`FaultPlan`]. The library that `stonefold-faults-preload` builds reads it inside the process, and
+//! each change applies from the next call on.
 //!
-//! The plan is a small file of little-endian numbers: a seed, the step of the wall clock in ms, then for each [`Fault`]
-//! its rate in parts of a million and how often it was injected.
+//! The plan is a small file of little-endian numbers of 64 bits: a seed, the step of the wall clock in ms, the rates of
+//! all [`Fault`]s in parts per million, and the counts of how often each was injected.
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -14,11 +14,11 @@
 
 use tempfile::NamedTempFile;
 
-/// The environment variable by which the library finds the plan's file.
+/// The environment variable that names the plan's file to the library.
 pub const PLAN_VARIABLE: &str = "STONEFOLD_FAULT_PLAN";
-/// The rate of a fault that strikes at every call.
+/// The rate at which every call fails.
 pub const RATE_OF_ALL_CALLS: u64 = 1_000_000;
-/// Offset of the step of the wall clock, in bytes; the seed stands before.
+/// Offset of the step of the wall clock, in bytes. The seed is at offset 0.
 pub const CLOCK_STEP_OFFSET: usize = 8;
 /// Offset of the rates, in bytes.
 pub const RATES_OFFSET: usize = 16;
@@ -30,15 +30,15 @@
 /// A way in which system calls fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A read from a network socket returns less than has been received (a short read).
+    /// A read from a network socket returns fewer bytes than have been received (a short read).
     ShortRead,
-    /// A write to a network socket accepts less than there is buffer for (a short write).
+    /// A write to a network socket accepts fewer bytes than the socket's buffer has room for (a short write).
     ShortWrite,
     /// A read or peek is interrupted (EINTR).
     InterruptedRead,
-    /// A write is interrupted.
+    /// A write is interrupted (EINTR).
     InterruptedWrite,
-    /// A wait for events is interrupted.
+    /// A wait for events is interrupted (EINTR).
     InterruptedWait,
     /// `accept` fails transiently: ECONNABORTED, ENFILE, ENOBUFS.
     Accept,
@@ -74,16 +74,16 @@
     ];
 }
 
-/// The faults of one process, or of several that share a plan.
+/// A plan of the faults of one process, or of several that share it.
 pub struct FaultPlan {
     file: NamedTempFile,
 }
 
 impl FaultPlan {
-    /// A plan under which nothing fails yet.
+    /// Creates a plan under which no call fails yet. The seed determines which calls fail later.
     ///
     /// # Errors
-    /// If the file can't be made.
+    /// Fails if the file can't be created.
     pub fn new(seed: u64) -> io::Result<FaultPlan> {
         let plan = FaultPlan { file: NamedTempFile::new()? };
         plan.file().write_all_at(&[0; PLAN_LENGTH], 0)?;
@@ -95,27 +95,27 @@
         self.file.as_file()
     }
 
-    /// From now on this fraction of the calls, 0 to 1, fails in this way.
+    /// Makes this fraction of the calls, from 0 to 1, fail with the fault from now on.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// Fails if the file can't be written.
     pub fn set(&self, fault: Fault, rate: f64) -> io::Result<()> {
-        let parts = (rate.clamp(0.0, 1.0) * RATE_OF_ALL_CALLS as f64) as u64;
-        self.file().write_all_at(&parts.to_le_bytes(), (RATES_OFFSET + 8 * fault as usize) as u64)
+        let parts_per_million = (rate.clamp(0.0, 1.0) * RATE_OF_ALL_CALLS as f64) as u64;
+        self.file().write_all_at(&parts_per_million.to_le_bytes(), (RATES_OFFSET + 8 * fault as usize) as u64)
     }
 
-    /// From now on nothing fails.
+    /// Sets the rates of all faults to 0. The step of the wall clock stays.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// Fails if the file can't be written.
     pub fn clear(&self) -> io::Result<()> {
         Fault::ALL.into_iter().try_for_each(|fault| self.set(fault, 0.0))
     }
 
-    /// From now on the wall clock is this many milliseconds ahead, or behind if negative.
+    /// Sets the wall clock ahead by this many milliseconds from now on, or back if negative. Only whole seconds count.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// Fails if the file can't be written.
     pub fn step_clock(&self, ms: i64) -> io::Result<()> {
         self.file().write_all_at(&ms.to_le_bytes(), CLOCK_STEP_OFFSET as u64)
     }
@@ -123,25 +123,26 @@
     /// How often a fault was injected.
     ///
     /// # Errors
-    /// If the file can't be read.
+    /// Fails if the file can't be read.
     pub fn injected(&self, fault: Fault) -> io::Result<u64> {
         let mut count = [0; 8];
         self.file().read_exact_at(&mut count, (COUNTS_OFFSET + 8 * fault as usize) as u64)?;
         Ok(u64::from_le_bytes(count))
     }
 
-    /// The plan's file, which [`PLAN_VARIABLE`] names.
+    /// The path of the plan's file, the value for [`PLAN_VARIABLE`].
     pub fn path(&self) -> &Path {
         self.file.path()
     }
 
-    /// The environment variables of a process that runs under this plan, with the library at this path.
+    /// The environment variables that make a process run under this plan, with the library at this path.
     pub fn environment(&self, library: &Path) -> [(&'static str, OsString); 2] {
         [("LD_PRELOAD", library.into()), (PLAN_VARIABLE, self.path().into())]
     }
 }
 
-/// The path of the library, if it was built beside a test program: `cargo test` builds it as a dependency.
+/// The path of the library, if it was built beside a test program or in the folder above it. `cargo test` builds it as
+/// a dependency.
 pub fn library_beside(program: &Path) -> Option<PathBuf> {
     const NAME: &str = "libstonefold_faults_preload.so";
     let folders = program.ancestors().skip(1).take(2);
--- a/crates/proto/src/endpoints.rs
+++ b/crates/proto/src/endpoints.rs
@@ -1,11 +1,11 @@
-//! The endpoint lists that discovery answers with, either complete or as changes.
+//! The endpoint lists that discovery returns, either complete or as changes.
 
 use std::net::SocketAddr;
 
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 
-/// An answer of discovery.
+/// An endpoint list as discovery returns it.
 #[derive(Deserialize, Default, Debug)]
 #[serde(from = "ListDocument")]
 pub struct EndpointList {
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,4 +1,4 @@
-//! The formats of the node's connections: bytes in, typed messages out, without sockets.
+//! The formats of the data on the node's connections. This crate turns bytes into typed messages and uses no sockets.
 
 pub mod endpoints;
 pub mod metadata;
--- a/crates/proto/src/resp.rs
+++ b/crates/proto/src/resp.rs
@@ -4,14 +4,14 @@
 use redis_protocol::resp2::decode::decode_bytes_mut;
 use redis_protocol::resp2::types::BytesFrame;
 
-/// The largest number of elements in an array; no command or reply has more.
+/// The largest number of elements in an array. No supported command or reply has more.
 const MAX_ELEMENTS: usize = 64;
 /// The largest length of a line, in bytes: an element's header, a simple string, an error or an integer.
 const MAX_LINE_BYTES: usize = 1024;
-/// What ends each line and each bulk string.
+/// The bytes that end each line and each bulk string.
 const TERMINATOR: &[u8] = b"\r\n";
 
-/// The peer sent something that is not RESP2, or that exceeds the limits set here.
+/// The error for bytes that are not RESP2 or exceed the limits of this module.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed or oversized RESP2 frame")]
 pub struct MalformedFrame;
@@ -89,13 +89,13 @@
     Ok(true)
 }
 
-/// What the first line of an element announces.
+/// The first line of an element, and what follows it.
 enum Header {
     /// The line is the whole element: a simple string, an error or an integer.
     Line,
-    /// So many bytes follow, the terminator included; none after a null string.
+    /// This many bytes follow, including the terminator; none after a null string.
     BulkString { following: usize },
-    /// So many elements follow; none after a null array.
+    /// This many elements follow; none after a null array.
     Array { elements: usize },
 }
 
@@ -115,6 +115,7 @@
     Ok(Some(header))
 }
 
+/// Parses the first line of an element of this kind, without its first byte.
 fn parse_header(kind: u8, line: &str) -> Result<Header, MalformedFrame> {
     match kind {
         b'$' if line == "-1" => Ok(Header::BulkString { following: 0 }),
--- a/crates/proto/tests/metadata.rs
+++ b/crates/proto/tests/metadata.rs
@@ -3,7 +3,7 @@
 use stonefold_proto::metadata::metadata_value;
 
 #[test]
-fn first_pair_of_a_name_counts_and_values_may_contain_an_equals_sign() {
+fn first_pair_of_a_name_is_found_and_values_may_contain_an_equals_sign() {
     let metadata = "c=read,d=480,flag,k=d=9,c=other";
     assert_eq!(metadata_value(metadata, "c"), Some("read"));
     assert_eq!(metadata_value(metadata, "k"), Some("d=9"));
