--- a/crates/membership/src/detector/probing.rs
+++ b/crates/membership/src/detector/probing.rs
@@ -155,6 +155,7 @@
         let interval = self.settings.reachability_interval;
         let Some(entry) = self.table.get_mut(id) else { return };
         entry.member.reachability = reachability;
+        // Until the first report, a member counts as directly reachable.
         let report = match entry.last_reachability_report {
             None => reachability == Reachability::IndirectOnly,
             Some(last) => last.reachability != reachability && now >= last.at + interval,
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -9,7 +9,7 @@
 pub(crate) enum Purpose {
     /// It is the member's turn in this protocol period.
     Periodic,
-    /// Its suspicion has expired. If it does not answer this probe either, it is declared failed.
+    /// Its suspicion has expired. This probe is its last chance to answer before it is declared failed.
     Confirming,
     /// It has failed and may be back.
     Recovery,
