--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -263,7 +263,7 @@
                 self.timers.insert_at(Timer::Balancer(token), self.now + after);
             }
             Action::WatchEndpoints => self.watch_requested.notify_one(),
-            Action::CloseIdleConnections(server) => self.directory.disconnect(server),
+            Action::CloseIdleConnections(server) => self.directory.close_idle_connections(server),
         }
     }
 
--- a/crates/node/src/upstream/directory/mod.rs
+++ b/crates/node/src/upstream/directory/mod.rs
@@ -239,7 +239,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub(crate) fn disconnect(&mut self, id: ServerId) {
+    pub(crate) fn close_idle_connections(&mut self, id: ServerId) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.close_idle();
         }
