--- a/crates/node/src/clients/command.rs
+++ b/crates/node/src/clients/command.rs
@@ -1,4 +1,4 @@
-//! The RESP2 commands of clients.
+//! Parses the RESP2 commands that clients send.
 
 use std::str;
 
@@ -11,14 +11,15 @@
 use crate::relay::{MAX_FRAME_BYTES, MAX_VALUE_BYTES};
 use crate::request::{ClientRequest, TIMEOUT_FIELD};
 
-/// The largest total length of key, id and metadata, in bytes.
+/// The largest total length of a command's key, id and metadata, in bytes.
 const MAX_ARGUMENT_BYTES: usize = 2 << 10;
-/// The most that surrounds the arguments in the header of a write, in bytes.
+/// The most RESP2 framing around the arguments in the header of a write, in bytes. The header is what precedes the
+/// value.
 const MAX_HEADER_OVERHEAD_BYTES: usize = 256;
-/// The longest timeout of a client, in microseconds; longer ones are cut.
+/// The longest timeout that a client may state, in microseconds; a longer one is reduced to this.
 const MAX_TIMEOUT: Micros = 3_600_000_000;
 
-/// Why a complete command cannot be executed. The text is sent to the client.
+/// Why a complete command cannot be executed. The message is sent to the client.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ClientCommandError {
     #[error("unknown command")]
@@ -59,7 +60,7 @@
     if !is_header_value(id) || !is_header_value(metadata) || total > MAX_ARGUMENT_BYTES {
         return Err(ClientCommandError::WrongArguments);
     }
-    // Copied, so that they do not keep the whole read buffer alive.
+    // Copied, since a slice would keep the whole read buffer allocated.
     let key = key.to_owned();
     let [id, metadata] = [id, metadata].map(|text| Bytes::copy_from_slice(text));
     let mut request = ClientRequest { key, id, metadata, value, timeout: 0 };
@@ -67,11 +68,12 @@
     Ok(request)
 }
 
-/// Whether a text can be passed on in an HTTP header.
+/// Whether a text can be forwarded in an HTTP header, which requests to the origin require.
 fn is_header_value(text: &Bytes) -> bool {
     !text.is_empty() && HeaderValue::from_bytes(text).is_ok()
 }
 
+/// Parses the timeout in the metadata, which is in milliseconds and may have a fraction.
 fn parse_timeout(request: &ClientRequest) -> Result<Micros, ClientCommandError> {
     let timeout_ms = request.metadata_value(TIMEOUT_FIELD).and_then(|text| text.parse::<f64>().ok());
     let timeout_ms =
@@ -79,22 +81,24 @@
     Ok(((timeout_ms * 1000.0) as Micros).min(MAX_TIMEOUT))
 }
 
-/// The length of a write as its header announces it, including the header.
+/// The total length of a write as its header announces it. `None` if `buffer` does not start with the complete header
+/// of a write of at most [`MAX_FRAME_BYTES`].
 pub(crate) fn announced_length(buffer: &[u8]) -> Option<usize> {
     let header = &buffer[..buffer.len().min(MAX_ARGUMENT_BYTES + MAX_HEADER_OVERHEAD_BYTES)];
     let mut position = header.strip_prefix(b"*5\r\n").map(|_| 4)?;
+    // The command name, the key, the id and the metadata precede the value.
     for _ in 0..4 {
         position = end_of_bulk_string(header, position)?;
     }
     end_of_bulk_string(header, position).filter(|&length| length <= MAX_FRAME_BYTES)
 }
 
-/// The announced end of the bulk string that starts at `position`.
+/// The position after the bulk string that starts at `position`, according to its announced length.
 fn end_of_bulk_string(header: &[u8], position: usize) -> Option<usize> {
     let rest = header.get(position..)?.strip_prefix(b"$")?;
     let digits = rest.windows(2).position(|pair| pair == b"\r\n")?;
     let length: usize = str::from_utf8(&rest[..digits]).ok()?.parse().ok()?;
-    // The `$`, the digits, and a line break each after the digits and the text.
+    // 1 byte for the `$`, and 2 for each of the line breaks after the digits and after the text.
     (position + 1 + digits + 4).checked_add(length)
 }
 
--- a/crates/node/src/clients/disconnect.rs
+++ b/crates/node/src/clients/disconnect.rs
@@ -1,4 +1,4 @@
-//! Detection of a client's disconnect, without reading what it has sent.
+//! Detects that a client has disconnected, without reading what it has sent.
 
 use std::future::Future;
 use std::io;
@@ -9,32 +9,32 @@
 
 use crate::stall::StallMonitor;
 
-/// How long to wait after the last byte for a client to close its side, if it has sent something that was not read.
+/// How long [`linger`] waits for the client to close its side of the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Since when bytes of a client may have been waiting while its connection was not read: because it has too many pending
-/// replies, or during the write of a long one.
+/// Tracks since when bytes of a client may have been waiting while its connection is not read: because it has too many
+/// pending replies, or because a long reply is being written.
 ///
-/// The time of a request counts from its arrival rather than from when it is read. Nothing says when each byte arrived,
-/// so that all count from the first one until the kernel has nothing left to read.
-pub(crate) struct UnreadSince {
+/// The timeout of a request counts from its arrival rather than from when it is read. The kernel does not report when
+/// each byte arrived, so all bytes count from the first unread one until the kernel has nothing left to read.
+pub(crate) struct UnreadTracker {
     since: Option<Instant>,
     stalls: StallMonitor,
 }
 
-impl UnreadSince {
-    /// Nothing is waiting yet.
-    pub(crate) fn new(stalls: StallMonitor) -> UnreadSince {
-        UnreadSince { since: None, stalls }
+impl UnreadTracker {
+    /// Creates a tracker of a connection on which nothing is waiting yet.
+    pub(crate) fn new(stalls: StallMonitor) -> UnreadTracker {
+        UnreadTracker { since: None, stalls }
     }
 
-    /// Records that bytes are waiting now.
+    /// Records that bytes are waiting now, unless earlier ones were recorded.
     fn record(&mut self) {
         let arrived = self.stalls.earliest_arrival(Instant::now());
         self.since.get_or_insert(arrived);
     }
 
-    /// The earliest time at which the bytes that were just read may have arrived. Those that are read after a stall of
+    /// The earliest time at which the bytes that were just read may have arrived. Bytes that are read after a stall of
     /// the event loop may have arrived at its start.
     pub(crate) fn earliest_arrival(&mut self, socket: &Socket) -> Instant {
         let arrived = self.since.unwrap_or_else(|| self.stalls.earliest_arrival(Instant::now()));
@@ -45,16 +45,16 @@
     }
 }
 
-/// Waits until the client has closed its sending direction or the connection is broken, and records if it sends
-/// something before that. A client that closes only its sending direction counts as disconnected.
+/// Waits until the client has closed its sending direction or the connection is broken. Records in `unread` if the
+/// client sends something before that. A client that closes only its sending direction counts as disconnected.
 ///
 /// # Cancel safety
 ///
 /// Cancel safe: nothing is read from the socket.
-pub(crate) async fn disconnected(socket: &Socket, unread: &mut UnreadSince) {
+pub(crate) async fn disconnected(socket: &Socket, unread: &mut UnreadTracker) {
     if socket.wait_for_input().await.unwrap_or(false) {
         unread.record();
-        // Unread bytes hide the end of the stream from a read, but not from the kernel.
+        // A read returns the unread bytes before the end of the stream, but the kernel reports the end at once.
         socket.peer_closed().await;
     }
 }
@@ -66,7 +66,7 @@
 /// Fails if the write fails, or with `ConnectionAborted` if the client disconnects.
 pub(crate) async fn while_connected(
     socket: &Socket,
-    unread: &mut UnreadSince,
+    unread: &mut UnreadTracker,
     write: impl Future<Output = io::Result<()>>,
 ) -> io::Result<()> {
     tokio::select! {
@@ -76,9 +76,10 @@
     }
 }
 
-/// Waits up to [`LINGER_TIMEOUT`] until the client has closed too, if it has sent something that was not read, such as
-/// requests that crossed our close. Closing a socket with unread bytes discards what it has not sent yet.
-pub(crate) async fn linger(socket: &Socket, unread: &mut UnreadSince) {
+/// Waits up to [`LINGER_TIMEOUT`] until the client has closed its side too, if it has sent something that was not read,
+/// such as requests sent before it noticed our close. Closing a socket with unread bytes discards what the socket has
+/// not sent yet.
+pub(crate) async fn linger(socket: &Socket, unread: &mut UnreadTracker) {
     if !socket.is_idle() {
         let _ = timeout(LINGER_TIMEOUT, disconnected(socket, unread)).await;
     }
--- a/crates/node/src/clients/idle.rs
+++ b/crates/node/src/clients/idle.rs
@@ -1,4 +1,4 @@
-//! The client connections without a pending reply, in the order in which they are evicted for others.
+//! The client connections without a pending reply, and the order in which they are evicted.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -8,23 +8,25 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A new connection is not evicted before this time, in which its first request arrives.
-const NEW_PERIOD: Duration = Duration::from_millis(300);
-/// A connection is not evicted this soon after its last reply, if there is another.
+/// The age before which a new connection is not evicted if there is another choice, since its first request may be on
+/// its way.
+const NEW_CONNECTION_PERIOD: Duration = Duration::from_millis(300);
+/// A connection is not evicted for a new one this soon after its last reply, since its next request may be on its way.
 const RECENT_USE_PERIOD: Duration = Duration::from_secs(2);
 
-/// The state of a connection without a pending reply. The first states are evicted first.
+/// The state of a connection without a pending reply, in the order of preference for eviction.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum IdleState {
-    /// It has not had a request yet.
+    /// The client has not sent a request yet.
     Unused,
-    /// It is between requests.
+    /// All requests of the client have been answered.
     BetweenRequests,
-    /// It has sent a part of a command.
+    /// The client has sent a part of a command.
     Sending,
 }
 
-/// The position of a connection: by state, then by how long it has been in it. The number makes it unique.
+/// The position of a connection in the ranking: by state, then by how long it has been in that state. The number makes
+/// it unique.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     state: IdleState,
@@ -32,6 +34,7 @@
     number: u64,
 }
 
+/// The connections by rank.
 #[derive(Default)]
 struct Ranking {
     /// Dropping a sender evicts its connection.
@@ -40,6 +43,7 @@
 }
 
 impl Ranking {
+    /// The connection that has been in this state for longest.
     fn first(&self, state: IdleState) -> Option<Rank> {
         self.entries.keys().find(|rank| rank.state == state).copied()
     }
@@ -65,12 +69,12 @@
         self.ranking.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Enters a connection for as long as the returned slot exists. If too many are idle between requests, the one that
-    /// has been so for longest is evicted.
+    /// Registers a connection for as long as the returned slot exists. If too many connections are idle between
+    /// requests, the one that has been so for longest is evicted.
     ///
-    /// The limit protects the node from clients that open a connection per request and never close it. Its cost: a client
-    /// that uses more connections than the limit in turn pays for a new one with each request.
-    pub(crate) fn enter(self: &Arc<Self>, state: IdleState, since: Instant) -> IdleSlot {
+    /// The limit protects the node from clients that open a connection per request and never close it. Its cost is that
+    /// a client that takes turns with more connections than the limit has to open a new one for each request.
+    pub(crate) fn register(self: &Arc<Self>, state: IdleState, since: Instant) -> IdleSlot {
         let mut ranking = self.ranking();
         ranking.last_number += 1;
         let rank = Rank { state, since, number: ranking.last_number };
@@ -84,16 +88,16 @@
         IdleSlot { rank, evicted, all: self.clone() }
     }
 
-    /// Evicts one connection: an unused one if there is one that is not new, then one between requests that was not used
-    /// recently, and otherwise one that is new or sending. The next request of a connection that was used recently may be
-    /// on its way.
+    /// Evicts one connection, by the first of these rules that finds one: an unused connection that is not new; one
+    /// between requests that was not used recently; any unused one; one that is sending a command. A connection between
+    /// requests that was used recently is never evicted here, since its next request may be on its way.
     pub(crate) fn evict_one(&self, now: Instant) {
         let mut ranking = self.ranking();
         let unused = ranking.first(IdleState::Unused);
         let between_requests = ranking.first(IdleState::BetweenRequests);
         let sending = ranking.first(IdleState::Sending);
         let chosen = unused
-            .filter(|rank| now >= rank.since + NEW_PERIOD)
+            .filter(|rank| now >= rank.since + NEW_CONNECTION_PERIOD)
             .or(between_requests.filter(|rank| now >= rank.since + RECENT_USE_PERIOD))
             .or(unused)
             .or(sending);
@@ -103,7 +107,7 @@
     }
 }
 
-/// The entry of a connection in [`IdleConnections`], removed on drop.
+/// The registration of a connection in [`IdleConnections`], removed on drop.
 pub(crate) struct IdleSlot {
     rank: Rank,
     evicted: oneshot::Receiver<()>,
@@ -111,12 +115,12 @@
 }
 
 impl IdleSlot {
-    /// The state that was entered.
+    /// The state that the connection was registered with.
     pub(crate) fn state(&self) -> IdleState {
         self.rank.state
     }
 
-    /// Waits until the connection is evicted; forever without a slot.
+    /// Waits until the connection is evicted. Without a slot it waits forever.
     pub(crate) async fn evicted(slot: &mut Option<IdleSlot>) {
         match slot {
             Some(slot) => _ = (&mut slot.evicted).await,
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The side of the node that faces clients: the listener, and a session for each connection. Speaks RESP2 and makes no
-//! decisions.
+//! Serves clients: accepts their connections and runs a session for each. Translates RESP2 to messages for the driver,
+//! which makes all decisions about requests.
 
 mod command;
 mod disconnect;
@@ -21,7 +21,7 @@
 use tracing::warn;
 
 use idle::IdleConnections;
-use pending_replies::OpenIds;
+use pending_replies::OpenRequestIds;
 #[cfg(test)]
 pub(crate) use pending_replies::ReplyDeadline;
 use session::Session;
@@ -33,14 +33,14 @@
 use crate::shutdown::ShutdownSchedule;
 use crate::stall::StallMonitor;
 
-/// How long to wait after a failed `accept`.
+/// How long to wait after a failed `accept` before the next one.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
-/// How long to wait for an evicted connection to close.
+/// How long to wait for an evicted connection to close before the limits are checked again.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// What the sessions need from the other parts of the node.
 pub(crate) struct ClientContext {
-    /// Sends to the driver.
+    /// Sends messages to the driver.
     pub(crate) driver: UnboundedSender<Message>,
     pub(crate) limits: ClientLimits,
     pub(crate) settings: watch::Receiver<SharedSettings>,
@@ -49,7 +49,7 @@
     pub(crate) stalls: StallMonitor,
 }
 
-/// Serves clients until it is stopped.
+/// The listener for clients and all their sessions.
 pub(crate) struct ClientServer {
     accepting: JoinHandle<()>,
     sessions: TaskTracker,
@@ -57,7 +57,7 @@
 }
 
 impl ClientServer {
-    /// Starts to accept clients.
+    /// Starts to accept connections.
     pub(crate) fn start(context: ClientContext, listener: Listener) -> ClientServer {
         let closing = ClosingTokens::default();
         let sessions = TaskTracker::new();
@@ -68,8 +68,8 @@
         ClientServer { accepting: tokio::spawn(acceptor.run(listener)), sessions, closing }
     }
 
-    /// Shuts down on schedule, counted from `stopped_at`. Returns when all connections have ended, or at the latest time
-    /// of the schedule.
+    /// Shuts down on a schedule that counts from `stopped_at`. Returns when all connections have ended, and at the
+    /// schedule's `exit_at` at the latest.
     pub(crate) async fn stop(self, stopped_at: Instant, schedule: ShutdownSchedule) {
         let ClientServer { accepting, sessions, closing } = self;
         sleep_until(stopped_at + schedule.accept_until).await;
@@ -91,16 +91,16 @@
 /// Tells sessions to close during a shutdown.
 #[derive(Clone, Default)]
 struct ClosingTokens {
-    /// For connections that have had a request, as soon as they have no pending reply.
+    /// Closes connections that have had a request, each as soon as it has no pending reply.
     used: CancellationToken,
-    /// For those that have had none too.
+    /// Closes connections that have had no request.
     unused: CancellationToken,
 }
 
 /// What all sessions share.
 #[derive(Clone)]
 struct SessionContext {
-    /// Sends to the driver.
+    /// Sends messages to the driver.
     driver: UnboundedSender<Message>,
     limits: ClientLimits,
     settings: watch::Receiver<SharedSettings>,
@@ -108,10 +108,10 @@
     /// Notified when a session has ended.
     session_ended: Arc<Notify>,
     next_request_id: Arc<AtomicU32>,
-    open_ids: OpenIds,
+    open_request_ids: OpenRequestIds,
     /// The memory of the open requests of all connections, in bytes.
     request_memory: Arc<AtomicUsize>,
-    /// The memory for buffers that are not small.
+    /// The memory for read buffers larger than the small one that each connection has, and for values in transit.
     budget: MemoryBudget,
     closing: ClosingTokens,
     metrics: Arc<Metrics>,
@@ -128,7 +128,7 @@
             settings,
             session_ended: Arc::default(),
             next_request_id: Arc::default(),
-            open_ids: OpenIds::default(),
+            open_request_ids: OpenRequestIds::default(),
             request_memory: Arc::default(),
             budget,
             closing,
@@ -147,8 +147,9 @@
 impl Acceptor {
     /// Runs until it is aborted.
     ///
-    /// Beyond the limit each new connection replaces another, so that clients leave descriptors for servers and unused
-    /// connections do not keep new clients out. An error must neither end the loop nor make it spin.
+    /// At the limit each new connection replaces another one. The limit leaves descriptors for connections to servers,
+    /// and the replacement lets new clients in however many unused connections there are. An error of `accept` must
+    /// neither end the loop nor make it spin.
     async fn run(self, listener: Listener) {
         loop {
             while self.sessions.len() >= self.session_context.limits.max_connections() {
@@ -160,7 +161,7 @@
                     self.sessions.spawn(session.run(socket));
                 }
                 Err(error) => {
-                    warn!(event = "accept_failed", front = "clients", %error, "a connection is not accepted");
+                    warn!(event = "accept_failed", front = "clients", %error, "failed to accept a client connection");
                     let exhausted = SocketErrorKind::of(&error) == SocketErrorKind::DescriptorsExhausted;
                     if exhausted && !descriptor_available() {
                         self.evict_connection().await;
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Evicts a connection, and waits a moment for a session to end.
+    /// Evicts a connection, and waits up to [`EVICTION_TIMEOUT`] for a session to end.
     async fn evict_connection(&self) {
         let session_ended = self.session_context.session_ended.notified();
         self.session_context.idle.evict_one(Instant::now());
--- a/crates/node/src/clients/pending_replies.rs
+++ b/crates/node/src/clients/pending_replies.rs
@@ -1,4 +1,4 @@
-//! The replies that one connection waits for, in the order of its commands.
+//! The replies that a connection still has to write, in the order of its commands.
 
 use std::collections::{HashSet, VecDeque};
 use std::future::pending;
@@ -16,37 +16,37 @@
 use crate::relay::{MemoryPermit, ValueStream};
 use crate::request::Response;
 
-/// The ids of the open requests of all connections.
-pub(crate) type OpenIds = Arc<Mutex<HashSet<Bytes>>>;
+/// The ids of the open requests of all connections, as the clients gave them.
+pub(crate) type OpenRequestIds = Arc<Mutex<HashSet<Bytes>>>;
 
 /// The id of an open request, released on drop.
-pub(crate) struct OpenId {
+pub(crate) struct OpenRequestId {
     id: Bytes,
-    all: OpenIds,
+    all: OpenRequestIds,
 }
 
-impl OpenId {
-    /// Claims an id; `None` if another open request has it.
-    pub(crate) fn claim(id: &Bytes, all: &OpenIds) -> Option<OpenId> {
+impl OpenRequestId {
+    /// Claims an id. Returns `None` if another open request has it.
+    pub(crate) fn claim(id: &Bytes, all: &OpenRequestIds) -> Option<OpenRequestId> {
         let is_new = all.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
-        is_new.then(|| OpenId { id: id.clone(), all: all.clone() })
+        is_new.then(|| OpenRequestId { id: id.clone(), all: all.clone() })
     }
 }
 
-impl Drop for OpenId {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
         self.all.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.id);
     }
 }
 
-/// The memory that an open request is counted with, released on drop.
+/// The memory that is accounted for an open request, released on drop.
 pub(crate) struct RequestMemory {
     bytes: usize,
     total: Arc<AtomicUsize>,
 }
 
 impl RequestMemory {
-    /// Adds `bytes` to the total of all connections.
+    /// Adds `bytes` to `total`, the memory of the open requests of all connections.
     pub(crate) fn add(bytes: usize, total: &Arc<AtomicUsize>) -> RequestMemory {
         total.fetch_add(bytes, Ordering::Relaxed);
         RequestMemory { bytes, total: total.clone() }
@@ -68,7 +68,7 @@
 }
 
 impl ReplyDeadline {
-    /// Records a violation if a reply whose last byte was written now is late.
+    /// Records a violation if the reply, whose last byte was written just now, is late.
     pub(crate) fn check(&self, violations: &Violations) {
         if Instant::now() > self.at + ANSWER_SLACK {
             violations.record(Invariant::AnswerInTime, &self.request);
@@ -81,22 +81,22 @@
     pub(crate) id: RequestId,
     pub(crate) deadline: ReplyDeadline,
     pub(crate) response: oneshot::Receiver<Response>,
-    pub(crate) _open_id: OpenId,
+    pub(crate) _claimed_id: OpenRequestId,
     pub(crate) _memory: RequestMemory,
-    /// The memory of a value that is not small, occupied until it is no longer needed.
+    /// The permit for the memory of a large value that the request carries.
     pub(crate) _value_permit: Option<MemoryPermit>,
     pub(crate) _in_flight: InFlightGuard,
 }
 
-/// A reply that the client waits for.
+/// A reply that has not been written yet.
 pub(crate) enum PendingReply {
-    /// A reply that can be written.
+    /// A complete reply that does not come from the driver, such as an error.
     Ready(BytesFrame),
     /// The reply to a request.
     Request(UnansweredRequest),
-    /// The rejection of a request that was never opened.
+    /// The rejection of a request that is never opened, because the connection has too many open ones.
     Rejection(oneshot::Receiver<Response>),
-    /// A value that has started to arrive.
+    /// A value that has started to arrive from a server.
     Value(ValueStream, UnansweredRequest),
 }
 
@@ -109,27 +109,27 @@
 /// A complete reply.
 pub(crate) struct FrameReply {
     pub(crate) frame: BytesFrame,
-    /// Known if it is the reply to a request.
+    /// The deadline of the request that this is the reply to, if it is one.
     pub(crate) deadline: Option<ReplyDeadline>,
 }
 
-/// A reply that can be written.
+/// A reply whose writing can start.
 pub(crate) enum WritableReply {
     Frame(FrameReply),
-    /// A value that is still arriving. Its request is open until it was written.
+    /// A value that is still arriving. Its request stays open until the value has been written.
     Value(ValueStream, UnansweredRequest),
 }
 
-/// A response as RESP2 has it.
-enum Encoded {
+/// A response in the form in which it is sent over RESP2.
+enum EncodedResponse {
     Frame(BytesFrame),
     Value(ValueStream),
 }
 
-impl From<Response> for Encoded {
-    fn from(response: Response) -> Encoded {
-        Encoded::Frame(match response {
-            Response::Stream(stream) => return Encoded::Value(stream),
+impl From<Response> for EncodedResponse {
+    fn from(response: Response) -> EncodedResponse {
+        EncodedResponse::Frame(match response {
+            Response::Stream(stream) => return EncodedResponse::Value(stream),
             Response::Value(value) => BytesFrame::BulkString(value),
             Response::Rejected { retry_after: 0 } => BytesFrame::Error("BUSY".into()),
             Response::Rejected { retry_after } => {
@@ -140,7 +140,7 @@
     }
 }
 
-/// The replies that one connection waits for, in the order of its commands.
+/// The replies that a connection still has to write, in the order of its commands.
 #[derive(Default)]
 pub(crate) struct PendingReplies {
     replies: VecDeque<PendingReply>,
@@ -148,7 +148,7 @@
 }
 
 impl PendingReplies {
-    /// Adds the reply to the latest command.
+    /// Appends the reply to the latest command.
     pub(crate) fn push(&mut self, reply: PendingReply) {
         self.open_requests += usize::from(reply.is_open_request());
         self.replies.push_back(reply);
@@ -166,17 +166,18 @@
         self.replies.len()
     }
 
-    /// Whether there are none.
+    /// Whether there is no pending reply.
     pub(crate) fn is_empty(&self) -> bool {
         self.replies.is_empty()
     }
 
-    /// The number of open requests among them.
+    /// The number of open requests that replies are pending for.
     pub(crate) fn open_requests(&self) -> usize {
         self.open_requests
     }
 
-    /// Waits for the reply to the oldest command; forever if there is none. A response that is lost counts as failed.
+    /// Waits for the reply to the oldest command, forever if none is pending. If the driver drops a request without a
+    /// response, the request has failed.
     ///
     /// # Cancel safety
     ///
@@ -190,44 +191,46 @@
             Some(PendingReply::Ready(_) | PendingReply::Value(..)) => None,
             None => pending().await,
         };
-        match (self.pop(), response.map(Encoded::from)) {
-            (Some(PendingReply::Request(request)), Some(Encoded::Value(stream))) => {
+        match (self.pop(), response.map(EncodedResponse::from)) {
+            (Some(PendingReply::Request(request)), Some(EncodedResponse::Value(stream))) => {
                 WritableReply::Value(stream, request)
             }
             (Some(PendingReply::Value(stream, request)), _) => WritableReply::Value(stream, request),
-            (Some(PendingReply::Request(request)), Some(Encoded::Frame(frame))) => {
+            (Some(PendingReply::Request(request)), Some(EncodedResponse::Frame(frame))) => {
                 WritableReply::Frame(FrameReply { frame, deadline: Some(request.deadline) })
             }
-            (Some(PendingReply::Ready(frame)), _) | (_, Some(Encoded::Frame(frame))) => {
+            (Some(PendingReply::Ready(frame)), _) | (_, Some(EncodedResponse::Frame(frame))) => {
                 WritableReply::Frame(FrameReply { frame, deadline: None })
             }
             (_, _) => pending().await,
         }
     }
 
-    /// Takes the reply to the oldest command if it can be written completely now. A lost response is left to
-    /// [`next`](Self::next).
+    /// Takes the reply to the oldest command if it can be written completely now. The failure of a request that the
+    /// driver dropped without a response is left to [`next`](Self::next).
     pub(crate) fn take_ready(&mut self) -> Option<FrameReply> {
         let (frame, deadline) = match self.replies.front_mut()? {
             PendingReply::Ready(frame) => (std::mem::replace(frame, BytesFrame::Null), None),
-            PendingReply::Rejection(response) => match Encoded::from(response.try_recv().ok()?) {
-                Encoded::Frame(frame) => (frame, None),
-                Encoded::Value(_) => return None,
+            PendingReply::Rejection(response) => match EncodedResponse::from(response.try_recv().ok()?) {
+                EncodedResponse::Frame(frame) => (frame, None),
+                EncodedResponse::Value(_) => return None,
             },
-            PendingReply::Request(request) => match Encoded::from(request.response.try_recv().ok()?) {
-                Encoded::Frame(frame) => (frame, Some(request.deadline.clone())),
-                Encoded::Value(stream) => {
-                    self.start_value(stream);
-                    return None;
+            PendingReply::Request(request) => {
+                match EncodedResponse::from(request.response.try_recv().ok()?) {
+                    EncodedResponse::Frame(frame) => (frame, Some(request.deadline.clone())),
+                    EncodedResponse::Value(stream) => {
+                        self.start_value(stream);
+                        return None;
+                    }
                 }
-            },
+            }
             PendingReply::Value(..) => return None,
         };
         self.pop();
         Some(FrameReply { frame, deadline })
     }
 
-    /// Replaces the oldest pending reply, which is that of a request, by the value that has started to arrive.
+    /// Replaces the oldest pending reply, which is that of a request, by its value, which has started to arrive.
     fn start_value(&mut self, stream: ValueStream) {
         if let Some(PendingReply::Request(request)) = self.replies.pop_front() {
             self.replies.push_front(PendingReply::Value(stream, request));
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -1,4 +1,4 @@
-//! The connection of one client: reads its commands and writes the replies.
+//! A session serves one client connection: it reads the commands and writes the replies.
 
 mod commands;
 mod replies;
@@ -14,7 +14,7 @@
 
 use super::SessionContext;
 use super::command::announced_length;
-use super::disconnect::{UnreadSince, disconnected, linger};
+use super::disconnect::{UnreadTracker, disconnected, linger};
 use super::idle::{IdleSlot, IdleState};
 use super::pending_replies::{PendingReplies, PendingReply};
 use crate::client_status::ClientStatus;
@@ -22,22 +22,23 @@
 use crate::message::Message;
 use crate::relay::{CHUNK_BYTES, MAX_BUFFERED_BYTES, MemoryPermit};
 
-/// A read buffer of up to this size is available to every connection, in bytes. Larger ones need a permit.
+/// The size up to which every connection may have a read buffer, in bytes. A larger buffer needs a permit of the memory
+/// budget.
 const SMALL_BUFFER_BYTES: usize = 8 << 10;
-/// The buffer for a large command that does not announce its length, in bytes.
+/// The size of the buffer for a large command whose length is not known from its header, in bytes.
 const UNANNOUNCED_BUFFER_BYTES: usize = 2 * MAX_BUFFERED_BYTES;
 /// A connection that does not send a valid command for this long is closed.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long pending replies may delay the close after a malformed command.
+/// How long pending replies may delay the close of the connection after a malformed command.
 const MALFORMED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A client that cannot be understood gets an error or a close within this time.
+/// A client that does not send valid commands gets an error, or its connection is closed, within this time.
 const PROTOCOL_ERROR_LIMIT: Duration = Duration::from_millis(3_000);
 const _: () = assert!(CLIENT_TIMEOUT.as_millis() < PROTOCOL_ERROR_LIMIT.as_millis());
 const _: () = assert!(MALFORMED_TIMEOUT.as_millis() < PROTOCOL_ERROR_LIMIT.as_millis());
 
-/// Why a connection ended without an error.
+/// Why a connection was closed, other than by an error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ending {
+enum CloseReason {
     /// The client closed it, or its sending direction.
     ClosedByClient,
     /// The node shuts down, and there is no pending reply.
@@ -46,50 +47,51 @@
     Malformed,
     /// The client sent no valid command for too long.
     TimedOut,
-    /// It was closed in favour of another connection.
+    /// It was evicted, because too many connections were open or idle.
     Evicted,
 }
 
-/// What a session waits for in one turn.
-struct Turn {
+/// Which branches of the session's `select!` are enabled in one iteration of its loop, and their parameters.
+struct SelectGuards {
     has_pending_replies: bool,
     shutting_down: bool,
     /// Whether commands are read.
     reads: bool,
-    /// Whether there is memory to read into; otherwise a permit is needed first.
+    /// Whether there is memory to read into; if not, a permit is needed first.
     has_buffer: bool,
-    /// The size of the buffer to get a permit for, in bytes.
+    /// The size of the buffer that a permit is needed for, in bytes.
     wanted_bytes: usize,
-    /// Whether the socket is watched for a disconnect, since nothing is read from it.
+    /// Whether the socket is watched for a disconnect, which is needed while nothing is read from it.
     watches_disconnect: bool,
     may_time_out: bool,
     times_out_at: Instant,
 }
 
-/// The connection of one client.
+/// The state of one client connection.
 pub(crate) struct Session {
     context: SessionContext,
     status: ClientStatus,
     buffer: BytesMut,
-    /// The permit for a buffer that is not small.
+    /// The permit for a buffer larger than [`SMALL_BUFFER_BYTES`].
     buffer_permit: Option<MemoryPermit>,
-    /// The length of the buffer when the client's timeout last started, for a buffer that is not small.
+    /// For a large buffer: the number of bytes in it when the client's timeout last started.
     progress_bytes: usize,
-    /// The earliest time at which the bytes that were read last may have arrived.
+    /// The earliest time at which the bytes of the last read may have arrived.
     received_at: Instant,
-    /// When they were read.
+    /// The time of the last read.
     read_at: Instant,
-    unread: UnreadSince,
+    unread: UnreadTracker,
     pending: PendingReplies,
     /// Whether the client has ever sent a valid command.
     has_sent_command: bool,
-    /// Whether it has ever sent a request, rather than only a `PING`.
+    /// Whether the client has ever sent a request, rather than only a `PING`.
     has_sent_request: bool,
-    /// When the client's timeout started: with the connection, the last reply or the first byte of a command.
-    waiting_since: Instant,
-    /// Whether the buffer may hold another complete command.
+    /// When the client's timeout last started: with the connection, after a reply, at the first byte of a command, when
+    /// a command was taken from the buffer, when a large value made progress, or when a large buffer became available.
+    timeout_started_at: Instant,
+    /// Whether the buffer may hold another complete command, which the next iteration starts.
     may_have_more: bool,
-    /// When a malformed command was read, after which nothing more is read.
+    /// When a malformed command was read. Nothing more is read after it.
     malformed_at: Option<Instant>,
 }
 
@@ -104,11 +106,11 @@
             progress_bytes: 0,
             received_at: now,
             read_at: now,
-            unread: UnreadSince::new(context.stalls.clone()),
+            unread: UnreadTracker::new(context.stalls.clone()),
             pending: PendingReplies::default(),
             has_sent_command: false,
             has_sent_request: false,
-            waiting_since: now,
+            timeout_started_at: now,
             may_have_more: false,
             malformed_at: None,
             context,
@@ -119,22 +121,22 @@
     pub(crate) async fn run(mut self, socket: Socket) {
         let ended = self.serve(&socket).await;
         self.status.mark_disconnected();
-        let lingers = self.pending.is_empty() && ended.is_ok();
+        let should_linger = self.pending.is_empty() && ended.is_ok();
         self.log_end(&ended);
         while let Some(reply) = self.pending.pop() {
             if let PendingReply::Request(request) = reply {
                 let _ = self.context.driver.send(Message::ClientDisconnected(request.id)); // fails if the driver has ended
             }
         }
-        if lingers {
+        if should_linger {
             linger(&socket, &mut self.unread).await;
         }
         drop(socket);
         self.context.session_ended.notify_waiters();
     }
 
-    /// Logs the end of the connection, and counts it if replies are pending.
-    fn log_end(&self, ended: &io::Result<Ending>) {
+    /// Logs the end of the connection, and counts it in the metrics if replies are pending.
+    fn log_end(&self, ended: &io::Result<CloseReason>) {
         let unread = self.buffer.len();
         if self.pending.is_empty() {
             trace!(event = "client_disconnected", unread, ?ended, "a client's connection is closed");
@@ -157,46 +159,47 @@
         );
     }
 
-    async fn serve(&mut self, socket: &Socket) -> io::Result<Ending> {
+    /// Reads commands and writes replies until the connection is to be closed.
+    async fn serve(&mut self, socket: &Socket) -> io::Result<CloseReason> {
         let closing = self.context.closing.clone();
         let budget = self.context.budget.clone();
         let mut slot = None;
         loop {
             let shutting_down = closing.used.is_cancelled();
-            if let Some(ending) = self.ending(shutting_down) {
+            if let Some(close_reason) = self.close_reason(shutting_down) {
                 socket.shutdown_write()?;
-                return Ok(ending);
+                return Ok(close_reason);
             }
             self.update_idle_slot(&mut slot);
-            let turn = self.next_turn(shutting_down);
+            let guards = self.select_guards(shutting_down);
             tokio::select! {
                 biased;
-                read = socket.read_buf(&mut self.buffer), if turn.reads && turn.has_buffer => {
+                read = socket.read_buf(&mut self.buffer), if guards.reads && guards.has_buffer => {
                     let read = read?;
                     if read == 0 {
-                        return Ok(Ending::ClosedByClient);
+                        return Ok(CloseReason::ClosedByClient);
                     }
                     self.on_read(socket, read);
                 }
-                () = disconnected(socket, &mut self.unread), if turn.watches_disconnect => {
-                    return Ok(Ending::ClosedByClient);
+                () = disconnected(socket, &mut self.unread), if guards.watches_disconnect => {
+                    return Ok(CloseReason::ClosedByClient);
                 }
-                Ok(permit) = budget.reserve(turn.wanted_bytes), if turn.reads && !turn.has_buffer => {
-                    self.grow_buffer(turn.wanted_bytes, permit);
+                Ok(permit) = budget.reserve(guards.wanted_bytes), if guards.reads && !guards.has_buffer => {
+                    self.grow_buffer(guards.wanted_bytes, permit);
                 }
-                reply = self.pending.next(), if turn.has_pending_replies => {
+                reply = self.pending.next(), if guards.has_pending_replies => {
                     self.write_reply(socket, reply).await?;
                 }
                 () = yield_now(), if self.may_have_more => {}
-                () = closing.used.cancelled(), if !turn.shutting_down => {}
+                () = closing.used.cancelled(), if !guards.shutting_down => {}
                 () = closing.unused.cancelled(), if !closing.unused.is_cancelled() => {}
-                () = sleep_until(turn.times_out_at), if turn.may_time_out => {
+                () = sleep_until(guards.times_out_at), if guards.may_time_out => {
                     return replies::time_out(socket).await;
                 }
                 () = IdleSlot::evicted(&mut slot) => {
                     slot = None;
-                    if self.gives_way(socket, &turn).await? {
-                        return Ok(Ending::Evicted);
+                    if self.close_evicted(socket, &guards).await? {
+                        return Ok(CloseReason::Evicted);
                     }
                 }
             }
@@ -204,16 +207,17 @@
         }
     }
 
-    /// Closes an evicted connection, unless something has arrived that the close would discard. Returns whether it has.
-    async fn gives_way(&self, socket: &Socket, turn: &Turn) -> io::Result<bool> {
+    /// Closes the sending direction of an evicted connection, unless a command has arrived that the close would
+    /// discard. Returns whether it was closed.
+    async fn close_evicted(&self, socket: &Socket, guards: &SelectGuards) -> io::Result<bool> {
         let unread = socket.has_unread_bytes();
         debug!(
             event = "client_evicted",
             unread,
             has_sent_request = self.has_sent_request,
-            "a resting connection gives way to another"
+            "an idle client connection is chosen for eviction"
         );
-        if unread && turn.reads && turn.has_buffer {
+        if unread && guards.reads && guards.has_buffer {
             yield_now().await; // lets the runtime notice the bytes
             return Ok(false);
         }
@@ -221,23 +225,23 @@
         Ok(true)
     }
 
-    /// Why the connection is to be closed now, if it is.
-    fn ending(&self, shutting_down: bool) -> Option<Ending> {
+    /// Returns why the connection has to be closed now, or `None` if it stays open.
+    fn close_reason(&self, shutting_down: bool) -> Option<CloseReason> {
         if !self.pending.is_empty() {
             return None;
         }
         if self.malformed_at.is_some() {
-            return Some(Ending::Malformed);
+            return Some(CloseReason::Malformed);
         }
         let closes = shutting_down && self.has_sent_request || self.context.closing.unused.is_cancelled();
-        (closes && self.buffer.is_empty()).then_some(Ending::ShuttingDown)
+        (closes && self.buffer.is_empty()).then_some(CloseReason::ShuttingDown)
     }
 
-    /// Enters the connection among those that can be evicted while it has no pending reply, under its current state.
+    /// Registers the connection for eviction with its current state, or removes the registration if a reply is pending.
     fn update_idle_slot(&self, slot: &mut Option<IdleSlot>) {
         let state = self.pending.is_empty().then(|| self.idle_state());
         if state != slot.as_ref().map(IdleSlot::state) {
-            *slot = state.map(|state| self.context.idle.enter(state, self.waiting_since));
+            *slot = state.map(|state| self.context.idle.register(state, self.timeout_started_at));
         }
     }
 
@@ -249,15 +253,16 @@
         }
     }
 
-    fn next_turn(&self, shutting_down: bool) -> Turn {
+    /// Determines what the next iteration waits for.
+    fn select_guards(&self, shutting_down: bool) -> SelectGuards {
         let all_replied = self.pending.is_empty();
-        // During a shutdown nothing is read behind pending replies, since a client that always has a request open would
-        // keep the node running until it is killed. The client repeats on another connection what was not read.
+        // During a shutdown no command is read while replies are pending, since a client that always has a request open
+        // would keep the node running until it is killed. The client repeats what was not read on another connection.
         let reads = self.may_start_command() && !self.may_have_more && (!shutting_down || all_replied);
         let has_buffer = self.buffer.len() < SMALL_BUFFER_BYTES || self.buffer_permit.is_some();
         let wanted_bytes =
             if has_buffer { 0 } else { announced_length(&self.buffer).unwrap_or(UNANNOUNCED_BUFFER_BYTES) };
-        Turn {
+        SelectGuards {
             has_pending_replies: !all_replied,
             shutting_down,
             reads,
@@ -269,8 +274,9 @@
         }
     }
 
-    /// Whether the timeout of the client runs: after a malformed command, before the first valid one and within one,
-    /// unless the node makes the client wait for a buffer.
+    /// Whether the timeout of the client is running: after a malformed command; and, while no reply is pending, before
+    /// the first valid command and while a command is incomplete, unless the client has to wait for the node to get a
+    /// buffer.
     fn may_time_out(&self) -> bool {
         let waits_for_buffer = self.buffer.len() >= SMALL_BUFFER_BYTES && self.buffer_permit.is_none();
         let sends_nothing = self.pending.is_empty() && (!self.has_sent_command || !self.buffer.is_empty());
@@ -278,35 +284,35 @@
     }
 
     fn times_out_at(&self) -> Instant {
-        self.malformed_at.map_or(self.waiting_since + CLIENT_TIMEOUT, |at| at + MALFORMED_TIMEOUT)
+        self.malformed_at.map_or(self.timeout_started_at + CLIENT_TIMEOUT, |at| at + MALFORMED_TIMEOUT)
     }
 
-    /// Records the arrival of bytes in the buffer.
+    /// Updates the times of arrival and the client's timeout after `read` bytes were added to the buffer.
     fn on_read(&mut self, socket: &Socket, read: usize) {
         let now = Instant::now();
         self.received_at = self.unread.earliest_arrival(socket);
         self.read_at = now;
         if self.has_sent_command && read == self.buffer.len() {
-            self.waiting_since = now; // the first bytes of a command
+            self.timeout_started_at = now; // the first bytes of a command
         }
-        // A large value may take its time as long as it makes progress.
+        // A large value may take longer than the timeout as long as it makes progress.
         if self.buffer_permit.is_some() && self.buffer.len() >= self.progress_bytes + CHUNK_BYTES {
-            self.waiting_since = now;
+            self.timeout_started_at = now;
             self.progress_bytes = self.buffer.len();
         }
     }
 
-    /// Makes room for a command that does not fit in a small buffer.
+    /// Enlarges the buffer for a command that does not fit in a small one.
     fn grow_buffer(&mut self, wanted_bytes: usize, permit: MemoryPermit) {
         self.buffer.reserve(wanted_bytes.saturating_sub(self.buffer.len()));
         self.buffer_permit = Some(permit);
         self.progress_bytes = self.buffer.len();
-        self.waiting_since = Instant::now(); // it was the node that made the client wait
+        self.timeout_started_at = Instant::now(); // the client was waiting for the node's memory until now
     }
 }
 
-/// Whether a connection ended because of the client rather than of the node.
-fn is_ended_by_client(ended: &io::Result<Ending>) -> bool {
+/// Whether the client, rather than the node, ended a connection.
+fn is_ended_by_client(ended: &io::Result<CloseReason>) -> bool {
     match ended {
         Ok(_) => true,
         Err(error) => {
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -1,4 +1,4 @@
-//! Which commands a session starts, and how.
+//! How a session starts the commands that it has read.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::{SMALL_BUFFER_BYTES, Session, UNANNOUNCED_BUFFER_BYTES};
 use crate::clients::command::{ClientCommandError, into_arguments, parse_command};
 use crate::clients::pending_replies::{
-    OpenId, PendingReply, ReplyDeadline, RequestMemory, UnansweredRequest,
+    OpenRequestId, PendingReply, ReplyDeadline, RequestMemory, UnansweredRequest,
 };
 use crate::invariants::Invariant;
 use crate::message::{ExcessRequest, IncomingRequest, Message};
@@ -22,19 +22,20 @@
 use crate::relay::MAX_FRAME_BYTES;
 use crate::request::ClientRequest;
 
-/// The requests that one connection may have open; more are rejected.
+/// The number of requests that one connection may have open. Requests beyond it are rejected.
 const MAX_OPEN_REQUESTS: usize = 64;
-/// The replies, including errors, that one connection may have pending; beyond that it is not read.
+/// The number of replies, including errors, that one connection may have pending. Nothing more is read from it until
+/// some are written.
 const MAX_PENDING_REPLIES: usize = 1024;
-/// How many commands are started before other sessions have their turn.
+/// The number of commands that a session starts before it lets other tasks run.
 const MAX_COMMANDS_PER_TURN: usize = 32;
-/// What an open request is counted with in memory beside its command, in bytes.
+/// The memory that is accounted for an open request in addition to its command, in bytes.
 const REQUEST_OVERHEAD_BYTES: usize = 4 << 10;
-/// Open requests may occupy the clients' memory divided by this before each connection is limited to one.
+/// While the open requests occupy at least the clients' memory divided by this, each connection may have one at a time.
 const REQUEST_MEMORY_DIVISOR: usize = 2;
 
 impl Session {
-    /// The largest command that is read, in bytes: no larger than the buffer that there is a permit for.
+    /// The largest command that is decoded, in bytes. With a permit for a larger buffer it is what the permit covers.
     fn frame_limit(&self) -> usize {
         match &self.buffer_permit {
             Some(permit) => permit.num_permits().max(UNANNOUNCED_BUFFER_BYTES),
@@ -43,7 +44,7 @@
     }
 
     /// Whether another command may be started. While the open requests of all connections occupy too much memory, a
-    /// connection may have one at a time.
+    /// connection may have one pending reply at a time.
     pub(super) fn may_start_command(&self) -> bool {
         let has_memory = || {
             let used = self.context.request_memory.load(Ordering::Relaxed);
@@ -54,20 +55,20 @@
             && (self.pending.is_empty() || has_memory())
     }
 
-    /// Starts the complete commands in the buffer, as many as one turn allows.
+    /// Starts the complete commands in the buffer, up to [`MAX_COMMANDS_PER_TURN`].
     pub(super) fn start_commands(&mut self) {
         let before = self.buffer.len();
         self.may_have_more = self.start_some_commands();
         if self.buffer.is_empty() {
-            self.buffer = BytesMut::new(); // frees what has grown
+            self.buffer = BytesMut::new(); // frees the memory of a buffer that has grown
         }
         if self.buffer.len() < before {
-            self.waiting_since = Instant::now();
-            self.buffer_permit = None; // it was for the command just taken
+            self.timeout_started_at = Instant::now();
+            self.buffer_permit = None; // the command that it was for has been taken
         }
     }
 
-    /// Returns whether there may be more complete commands.
+    /// Starts up to [`MAX_COMMANDS_PER_TURN`] commands. Returns whether the buffer may hold more complete ones.
     fn start_some_commands(&mut self) -> bool {
         for _ in 0..MAX_COMMANDS_PER_TURN {
             if !self.may_start_command() {
@@ -85,6 +86,7 @@
         true
     }
 
+    /// Replies with an error to a malformed command, and discards what else was read.
     fn reject_malformed(&mut self) -> PendingReply {
         self.malformed_at = Some(Instant::now());
         self.buffer.clear();
@@ -103,12 +105,13 @@
         reply.unwrap_or_else(|error| PendingReply::Ready(BytesFrame::Error(format!("ERR {error}").into())))
     }
 
+    /// Sends a request, whose command had `length` bytes, to the driver.
     fn start_request(
         &mut self,
         request: ClientRequest,
         length: usize,
     ) -> Result<PendingReply, ClientCommandError> {
-        // Servers would reject a class that the settings lack. A request that names no class is served.
+        // Servers would reject a class that is not in the settings. A request that names no class is served.
         let is_unknown = |class: &str| !self.context.settings.borrow().class_names.contains(class);
         if request.class_name().is_some_and(is_unknown) {
             return Err(ClientCommandError::UnknownClass);
@@ -116,9 +119,9 @@
         if self.pending.open_requests() >= MAX_OPEN_REQUESTS {
             return Ok(self.reject_excess(&request));
         }
-        // Servers treat requests with the same id as one, so that two clients would get one answer.
-        let open_id =
-            OpenId::claim(&request.id, &self.context.open_ids).ok_or(ClientCommandError::IdInUse)?;
+        // Servers treat requests with the same id as one request, so two clients would get the same answer.
+        let claimed_id = OpenRequestId::claim(&request.id, &self.context.open_request_ids)
+            .ok_or(ClientCommandError::IdInUse)?;
         let value_permit = if length >= SMALL_BUFFER_BYTES { self.buffer_permit.take() } else { None };
         let in_flight = InFlightGuard::new(&self.context.metrics);
         let memory = RequestMemory::add(REQUEST_OVERHEAD_BYTES + length, &self.context.request_memory);
@@ -139,7 +142,7 @@
             id,
             deadline,
             response,
-            _open_id: open_id,
+            _claimed_id: claimed_id,
             _memory: memory,
             _value_permit: value_permit,
             _in_flight: in_flight,
@@ -160,7 +163,8 @@
         }
     }
 
-    /// Rejects a request that is never opened, so that its client may retry. The driver decides after what time.
+    /// Rejects a request without opening it, so that its client may retry it safely. The driver decides how long the
+    /// client should wait.
     fn reject_excess(&mut self, request: &ClientRequest) -> PendingReply {
         let (sender, response) = oneshot::channel();
         let class = request.class_name().map(str::to_owned);
--- a/crates/node/src/clients/session/tests.rs
+++ b/crates/node/src/clients/session/tests.rs
@@ -1,4 +1,4 @@
-//! A session whose connection is evicted, with real sockets on one thread, as in a node.
+//! Eviction of a session's connection, with real sockets on a single-threaded runtime, as in a node.
 
 use std::collections::HashSet;
 use std::io::Write;
@@ -19,8 +19,8 @@
 use crate::stall::StallMonitor;
 
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
-/// Long enough for a session to begin to wait.
-const SETTLE: Duration = Duration::from_millis(20);
+/// Long enough for a new session to reach its first wait.
+const SETTLE_TIME: Duration = Duration::from_millis(20);
 
 fn context() -> SessionContext {
     let discovery = DiscoverySettings { watch: false, max_poll_interval: Duration::ZERO, node_count: 1 };
@@ -43,44 +43,46 @@
     SessionContext::new(context, ClosingTokens::default())
 }
 
-/// A client whose session waits for its first command.
-async fn resting_client(context: &SessionContext) -> std::net::TcpStream {
+/// Connects a client and starts its session, which waits for the first command.
+async fn idle_client(context: &SessionContext) -> std::net::TcpStream {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let socket = Socket::new(listener.accept().await.unwrap().0).unwrap();
     tokio::spawn(Session::new(context.clone()).run(socket));
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     client
 }
 
-/// What the client gets until the node closes, or for a while.
+/// The bytes that the client receives until the node closes the connection, or within ten times [`SETTLE_TIME`].
 async fn received(client: std::net::TcpStream) -> String {
     client.set_nonblocking(true).unwrap();
     let mut client = TcpStream::from_std(client).unwrap();
     let mut text = Vec::new();
-    let _ = tokio::time::timeout(10 * SETTLE, client.read_to_end(&mut text)).await; // it stays open if it is served
+    // The connection stays open if the command is served.
+    let _ = tokio::time::timeout(10 * SETTLE_TIME, client.read_to_end(&mut text)).await;
     String::from_utf8(text).unwrap()
 }
 
-/// Guards against a close over a command that the node's machine has and the runtime has not noticed yet.
+/// Guards against the loss of a command that the kernel has received and the runtime has not noticed yet when its
+/// connection is evicted: a close would discard it.
 #[tokio::test]
-async fn a_command_that_has_arrived_is_answered_though_its_connection_is_evicted() {
+async fn unread_command_on_an_evicted_connection_is_answered() {
     let context = context();
-    let mut client = resting_client(&context).await;
-    // The session learns of the eviction before the runtime looks at its sockets again.
+    let mut client = idle_client(&context).await;
+    // The session is told of the eviction before the runtime polls its sockets again.
     client.write_all(PING).unwrap();
     context.idle.evict_one(Instant::now());
     assert_eq!(received(client).await, "+PONG\r\n");
 }
 
-/// Guards against the opposite: a connection without unread bytes gives way.
+/// Guards against evicted connections that stay open although nothing has arrived on them.
 #[tokio::test]
-async fn a_connection_that_rests_is_closed_when_it_is_evicted() {
+async fn evicted_connection_without_unread_bytes_is_closed() {
     let context = context();
-    let client = resting_client(&context).await;
+    let client = idle_client(&context).await;
     context.idle.evict_one(Instant::now());
     client.set_nonblocking(true).unwrap();
     let mut client = TcpStream::from_std(client).unwrap();
-    let read = tokio::time::timeout(10 * SETTLE, client.read(&mut [0; 8])).await;
+    let read = tokio::time::timeout(10 * SETTLE_TIME, client.read(&mut [0; 8])).await;
     assert_eq!(read.expect("closed").unwrap(), 0);
 }
