--- a/crates/node/src/stall.rs
+++ b/crates/node/src/stall.rs
@@ -1,7 +1,9 @@
-//! Stalls of the event loop: times in which it polled no socket, because the process was stopped, starved or busy.
+//! Detects stalls of the event loop: times in which it polled no socket, because the process was stopped, starved of
+//! CPU time or busy.
 //!
-//! Bytes that arrive during a stall are read at its end, and the kernel does not report when they arrived. A heartbeat
-//! bounds that: one is due every [`HEARTBEAT_INTERVAL`], and a late one shows since when no socket was polled.
+//! Bytes that arrive during a stall are read at its end, and the kernel does not report when they arrived. Heartbeats
+//! limit how early that may have been: one is due every [`HEARTBEAT_INTERVAL`], and if one is late, no socket may have
+//! been polled since the one before it.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,20 +14,20 @@
 
 use crate::metrics::Metrics;
 
-/// The interval of heartbeats, each of which shows that the event loop runs.
+/// The interval of the heartbeats, each of which shows that the event loop is running.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(25);
-/// A heartbeat that is later than this ends a stall.
+/// A heartbeat that is late by more than this is the end of a stall.
 const HEARTBEAT_TOLERANCE: Duration = Duration::from_millis(10);
 /// Stalls of at least this duration are logged.
 const MIN_LOGGED_STALL: Duration = Duration::from_millis(50);
 
 /// Detects stalls of the event loop. Clones share one state.
 #[derive(Clone)]
-pub(crate) struct StallMonitor(Arc<Mutex<State>>);
+pub(crate) struct StallMonitor(Arc<Mutex<HeartbeatState>>);
 
-struct State {
+struct HeartbeatState {
     last_heartbeat: Instant,
-    /// The start of the stall that the last heartbeat has ended, if it was late.
+    /// The start of the stall that the last heartbeat ended, if that heartbeat was late.
     stalled_since: Option<Instant>,
 }
 
@@ -36,12 +38,16 @@
 }
 
 impl StallMonitor {
-    /// A monitor whose first heartbeat is now.
+    /// Creates a monitor that counts this call as its first heartbeat.
     pub(crate) fn new() -> StallMonitor {
-        StallMonitor(Arc::new(Mutex::new(State { last_heartbeat: Instant::now(), stalled_since: None })))
+        StallMonitor(Arc::new(Mutex::new(HeartbeatState {
+            last_heartbeat: Instant::now(),
+            stalled_since: None,
+        })))
     }
 
-    /// The earliest time at which bytes that are read now may have arrived, on a socket that is polled all the time.
+    /// The earliest time at which bytes that are read at `now` may have arrived, on a socket that is polled whenever
+    /// the event loop is not in a stall.
     pub(crate) fn earliest_arrival(&self, now: Instant) -> Instant {
         let state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if is_late(state.last_heartbeat, now) {
@@ -50,19 +56,20 @@
         state.stalled_since.unwrap_or(now)
     }
 
-    /// Lets the event loop poll its sockets first if it is in a stall, so that what has arrived in it, such as a client's
-    /// disconnect, is seen. Returns at once otherwise.
-    pub(crate) async fn over(&self) {
+    /// Lets the event loop poll its sockets if a heartbeat is overdue, so that what arrived during the stall, such as a
+    /// client's disconnect, is noticed. Returns at once otherwise.
+    pub(crate) async fn wait_until_over(&self) {
         if self.is_overdue(Instant::now()) {
             yield_now().await; // the runtime polls all sockets and wakes their tasks before this one
         }
     }
 
+    /// Whether the next heartbeat is overdue.
     fn is_overdue(&self, now: Instant) -> bool {
         is_late(self.0.lock().unwrap_or_else(PoisonError::into_inner).last_heartbeat, now)
     }
 
-    /// Records a heartbeat; returns the duration of the stall that it ends, if there was one.
+    /// Records a heartbeat. Returns the duration of the stall that it ends, if there was one.
     fn heartbeat(&self, now: Instant) -> Option<Duration> {
         let mut state = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let last = std::mem::replace(&mut state.last_heartbeat, now);
@@ -70,7 +77,7 @@
         state.stalled_since.map(|since| now.saturating_duration_since(since))
     }
 
-    /// Runs the heartbeat until it is dropped; counts and logs stalls.
+    /// Records heartbeats until the task is dropped, and counts and logs the stalls.
     pub(crate) async fn run(self, metrics: Arc<Metrics>) {
         loop {
             let now = Instant::now();
@@ -80,7 +87,7 @@
                     info!(
                         event = "stalled",
                         ms = stalled.as_millis() as u64,
-                        "the event loop polled no socket"
+                        "the event loop was stalled and polled no socket"
                     );
                 }
             }
@@ -89,6 +96,7 @@
     }
 }
 
+/// Whether a heartbeat at `now` is late if the last one was at `last`.
 fn is_late(last: Instant, now: Instant) -> bool {
     now.saturating_duration_since(last) > HEARTBEAT_INTERVAL + HEARTBEAT_TOLERANCE
 }
--- a/crates/node/src/stall/tests.rs
+++ b/crates/node/src/stall/tests.rs
@@ -1,4 +1,4 @@
-//! When bytes that are read around a late heartbeat may have arrived.
+//! The earliest arrival of bytes that are read before, at and after a late heartbeat.
 
 use super::*;
 
@@ -11,12 +11,12 @@
     assert_eq!(monitor.heartbeat(start), None);
     let in_time = start + HEARTBEAT_INTERVAL + HEARTBEAT_TOLERANCE;
     assert_eq!(monitor.earliest_arrival(in_time), in_time);
-    // Before the late heartbeat has run, and after it.
+    // The bytes are read once before the late heartbeat has run, and once after it.
     let resumed = start + 130 * MS;
     assert_eq!(monitor.earliest_arrival(resumed), start);
     assert_eq!(monitor.heartbeat(resumed), Some(130 * MS));
     assert_eq!(monitor.earliest_arrival(resumed + MS), start);
-    // A heartbeat in time shows that all was read.
+    // A heartbeat in time shows that all bytes from the stall have been read.
     assert_eq!(monitor.heartbeat(resumed + HEARTBEAT_INTERVAL), None);
     assert_eq!(
         monitor.earliest_arrival(resumed + HEARTBEAT_INTERVAL + MS),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_stall_after_a_stall_begins_where_the_first_one_ended() {
+fn second_stall_in_a_row_starts_at_the_end_of_the_first() {
     let monitor = StallMonitor::new();
     let start = Instant::now();
     monitor.heartbeat(start);
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! A single attempt at a server: connect if necessary, send the request, read the reply.
+//! A single attempt at a server: connects if necessary, sends the request and reads the reply.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,11 +19,11 @@
 
 /// How an attempt ended.
 pub(crate) struct AttemptResult {
-    /// The outcome as the balancer counts it.
+    /// The outcome that is reported to the balancer.
     pub(crate) outcome: Outcome,
     /// The value to serve after `Outcome::Success`, unless it was relayed as a stream.
     pub(crate) value: Bytes,
-    /// Whether the cache had the value, if it said so.
+    /// Whether the cache had the value, if the reply says so.
     pub(crate) cache_hit: Option<bool>,
 }
 
@@ -42,7 +42,7 @@
     pub(crate) pooled: Option<ServerConnection>,
     /// The request.
     pub(crate) request: Arc<ClientRequest>,
-    /// The server is given the time until then.
+    /// When the attempt's time is over. The request states the time left until then to the server.
     pub(crate) deadline: Instant,
     /// How long to wait for a new connection.
     pub(crate) connect_timeout: Duration,
@@ -51,7 +51,7 @@
 }
 
 impl Attempt {
-    /// Makes the attempt. Returns the connection too if another request may use it.
+    /// Makes the attempt. Also returns the connection if another request may use it.
     ///
     /// # Cancel safety
     ///
@@ -80,7 +80,7 @@
     }
 }
 
-/// Opens a connection; an error is the outcome of the attempt.
+/// Opens a connection. An error is the outcome of the attempt.
 async fn connect(target: &Target, connect_timeout: Duration) -> Result<ServerConnection, Outcome> {
     match timeout(connect_timeout, ServerConnection::open(target.addr, target.origin)).await {
         Ok(Ok(connection)) => Ok(connection),
--- a/crates/node/src/upstream/attempt/tests.rs
+++ b/crates/node/src/upstream/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts right after a stall of the event loop, with real sockets on one thread, as in a node.
+//! Attempts right after a stall of the event loop, with real sockets on a single-threaded runtime, as in a node.
 
 use std::io::Read;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::stall::StallMonitor;
 use crate::upstream::send_permit::{SendConditions, SendPermit, ServingFlag};
 
-/// Long enough for a heartbeat to be overdue.
+/// Long enough for a heartbeat of the [`StallMonitor`] to be overdue.
 const STALL: Duration = Duration::from_millis(60);
 const WAIT: Duration = Duration::from_secs(5);
 
@@ -22,7 +22,7 @@
     ClientRequest { key: "k".into(), id, metadata, value: None, timeout: 5_000_000 }
 }
 
-/// A client connection whose end is recorded as by a session.
+/// A client connection, and its status. A task marks the status when the client disconnects, as a session does.
 async fn watched_client() -> (std::net::TcpStream, ClientStatus) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -33,10 +33,12 @@
         session.peer_closed().await;
         seen.mark_disconnected();
     });
-    tokio::task::yield_now().await; // the task waits now
+    tokio::task::yield_now().await; // the task now waits for the disconnect
     (client, status)
 }
 
+/// Guards against a request that is written for a client that disconnected during a stall: the attempt may run before
+/// the runtime has polled the client's socket.
 #[tokio::test]
 async fn nothing_is_written_after_a_stall_in_which_the_client_disconnected() {
     let stalls = StallMonitor::new();
@@ -52,7 +54,7 @@
     let target = Target { addr, origin: false, permit };
 
     let attempt = tokio::spawn(async move {
-        // The thread stalls while the client disconnects: no socket is polled before the attempt runs.
+        // The client disconnects and the thread blocks, so that no socket is polled before the attempt runs.
         drop(client);
         thread::sleep(STALL);
         let relay = RelayContext { budget: MemoryBudget::new(0), on_start: Box::new(|_| {}) };
@@ -63,7 +65,8 @@
             Attempt { target, pooled: Some(pooled), request, deadline, connect_timeout, metrics, relay };
         attempt.run().await.0.outcome
     });
-    let outcome = timeout(WAIT, attempt).await.expect("it waits for an answer to what it has written");
+    let outcome =
+        timeout(WAIT, attempt).await.expect("the attempt waits for a reply, so it has written the request");
     assert_eq!(outcome.unwrap(), Outcome::NotSent);
     let mut written = Vec::new();
     served.read_to_end(&mut written).unwrap();
--- a/crates/node/src/upstream/cache_connection.rs
+++ b/crates/node/src/upstream/cache_connection.rs
@@ -19,11 +19,12 @@
 };
 use crate::request::ClientRequest;
 
-/// The most that surrounds a value in a reply, in bytes.
+/// The largest part of a reply other than its value, in bytes.
 const MAX_ENVELOPE_BYTES: usize = 2 << 10;
 /// The largest reply that is not relayed in chunks, in bytes.
 const MAX_REPLY_BYTES: usize = MAX_BUFFERED_BYTES + MAX_ENVELOPE_BYTES;
-/// The start of a reply with an empty value. Put before the end of a relayed reply, it makes that a complete one.
+/// The start of a reply with an empty value. With this in front, the end of a relayed reply can be parsed as a complete
+/// reply.
 const EMPTY_VALUE_REPLY: &[u8] = b"*3\r\n$0\r\n";
 
 /// A connection to a cache server, between requests.
@@ -35,8 +36,8 @@
         CacheConnection(socket)
     }
 
-    /// Whether the connection is open and the server has sent nothing unsolicited. Asks the kernel, since the runtime may
-    /// not have noticed a close yet.
+    /// Whether the connection is open and the server has sent nothing unsolicited. Checks the state of the socket in
+    /// the kernel, since the runtime may not have noticed a close yet.
     pub(crate) fn is_reusable(&self) -> bool {
         self.0.is_idle()
     }
@@ -46,8 +47,8 @@
         self.0.has_unread_bytes()
     }
 
-    /// Sends one request, which states the time left until `deadline`, and waits for the reply. Returns the connection
-    /// too if another request may use it.
+    /// Sends one request, which states the time left until `deadline`, and waits for the reply. Also returns the
+    /// connection if another request may use it.
     pub(crate) async fn request(
         mut self,
         request: &ClientRequest,
@@ -56,18 +57,18 @@
         metrics: &Metrics,
         relay: RelayContext,
     ) -> (AttemptResult, Option<Self>) {
-        permit.wait_stall_over().await;
+        permit.wait_until_stall_over().await;
         let Some(stated) = permit.start(deadline) else {
             return (AttemptResult::of(Outcome::NotSent), None);
         };
-        // If the connection breaks before the last byte is written, the request was not executed. Later it may have been.
+        // A request whose last byte was not written has not been executed. After that byte it may have been.
         if let Err(error) = self.write_request(request, stated).await {
             trace!(event = "request_cut_off", request = %request.id_text(), %error,
-                "a connection broke before the last byte was written");
+                "the connection to a cache server broke before the request was written");
             return (AttemptResult::of(Outcome::ConnectFailed), None);
         }
         trace!(event = "request_written", request = %request.id_text(),
-            value_bytes = request.value.as_ref().map_or(0, Bytes::len), "the last byte was written");
+            value_bytes = request.value.as_ref().map_or(0, Bytes::len), "the request was written to a cache server");
         metrics.attempts_written.increment();
         metrics.deadline_excess.record(stated.excess(Instant::now()));
         match self.read_reply(relay).await {
@@ -76,6 +77,7 @@
         }
     }
 
+    /// Writes the request with the stated time.
     async fn write_request(&self, request: &ClientRequest, stated: StatedTime) -> io::Result<()> {
         self.0.write_all(&command_header(request, stated.remaining())).await?;
         if let Some(value) = &request.value {
@@ -85,7 +87,7 @@
         Ok(())
     }
 
-    /// Reads a reply; an error is the outcome of the attempt, after which the connection cannot be used.
+    /// Reads a reply. An error is the outcome of the attempt; the connection cannot be used after it.
     async fn read_reply(&mut self, relay: RelayContext) -> Result<CacheReply, Outcome> {
         let mut buffer = BytesMut::new();
         loop {
@@ -94,7 +96,7 @@
                     let result = self.relay_value(length, buffer.freeze(), relay).await?;
                     return Ok(CacheReply { result, reusable: true });
                 }
-                // Longer than the limit of the other replies.
+                // Not decoded as a frame, which would exceed the limit for buffered replies.
                 ReplyStart::LargeValueAwaited => {}
                 ReplyStart::Other => {
                     if let Some(reply) = take_buffered_reply(&mut buffer)? {
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Relays a large value of which `first` has been read; an error is the outcome of the attempt, after which the
-    /// connection cannot be used.
+    /// Relays a large value, of which `first` has been read. An error is the outcome of the attempt; the connection
+    /// cannot be used after it.
     async fn relay_value(
         &mut self,
         length: usize,
@@ -120,7 +122,7 @@
         let RelayContext { budget, on_start } = relay;
         let (sink, stream) = value_channel(length);
         let mut start = Some((on_start, stream));
-        // The end of the reply is not in `first`, which is shorter than the value.
+        // `first` is shorter than the value, so it has no bytes of the reply's end.
         let mut remaining = length;
         let mut first = Some(first).filter(|bytes| !bytes.is_empty());
         loop {
@@ -136,14 +138,15 @@
                 sink.send(chunk).await.map_err(|ReceiverDropped| Outcome::Canceled)?;
                 continue;
             }
-            // The client gets the last chunk only after the end of the reply was checked: it could not detect a malformed
-            // end itself.
+            // The last chunk is passed on only after the end of the reply has been checked, since the client could not
+            // detect a malformed end by itself.
             let result = self.read_envelope_end().await?;
             sink.send(chunk).await.map_err(|ReceiverDropped| Outcome::Canceled)?;
             return Ok(result);
         }
     }
 
+    /// Reads the next chunk, of a value of which `remaining` bytes are missing.
     async fn read_chunk(
         &mut self,
         budget: &MemoryBudget,
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Reads what follows a large value: the end of its bulk string, the cache status and the load report.
+    /// Reads the part of a reply after a large value: the end of its bulk string, the cache status and the load report.
     async fn read_envelope_end(&mut self) -> Result<AttemptResult, Outcome> {
         let mut buffer = BytesMut::from(EMPTY_VALUE_REPLY);
         loop {
@@ -183,7 +186,7 @@
     Ok(Some(CacheReply { result, reusable: buffer.is_empty() }))
 }
 
-/// A reply that was read.
+/// A reply that was read completely.
 struct CacheReply {
     result: AttemptResult,
     /// Whether the connection can be used for another request.
--- a/crates/node/src/upstream/cache_protocol.rs
+++ b/crates/node/src/upstream/cache_protocol.rs
@@ -14,12 +14,13 @@
 use crate::relay::{MAX_BUFFERED_BYTES, MAX_VALUE_BYTES};
 use crate::request::ClientRequest;
 
-/// The start of a reply with a value: an array of value, cache status and load report.
+/// The start of a reply with a value, which is an array of the value, the cache status and the load report.
 const VALUE_REPLY_PREFIX: &[u8] = b"*3\r\n$";
-/// The most digits that the length of a value has, and the line break after them.
-const MAX_LENGTH_DIGITS: usize = 10;
+/// The number of bytes in which the length of a value must end: its digits and the first byte of the line break.
+const MAX_LENGTH_FIELD_BYTES: usize = 10;
 
-/// Encodes a command up to its value: as it arrived, except for the time that the node will wait.
+/// Encodes a command up to its value. It is forwarded as it arrived, except that it states `remaining`, the time that
+/// the node will wait.
 pub(crate) fn command_header(request: &ClientRequest, remaining: Duration) -> Bytes {
     let metadata = request.metadata_with_time_left(remaining);
     let (name, elements) = match request.value {
@@ -37,21 +38,22 @@
     buffer.freeze()
 }
 
-/// How the bytes of a reply that have been read so far begin.
+/// What kind of reply the bytes that have been read so far begin with.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ReplyStart {
-    /// With a large value of this many bytes, whose header has been taken out of the buffer. Its first byte is there.
+    /// A reply with a large value of this many bytes. Its header has been taken out of the buffer, which now starts
+    /// with the value.
     LargeValue { length: usize },
-    /// With the complete header of a large value, and no byte of the value yet.
+    /// The complete header of a large value, and no byte of the value yet.
     LargeValueAwaited,
-    /// With any other reply, or with too little to tell.
+    /// Any other reply, or too few bytes to tell.
     Other,
 }
 
-/// Determines how a reply begins, and takes the header of a large value out of the buffer.
+/// Determines the kind of a reply from its start, and takes the header of a large value out of the buffer.
 pub(crate) fn take_reply_start(buffer: &mut BytesMut) -> ReplyStart {
     let Some((header, length)) = large_value_header(buffer) else { return ReplyStart::Other };
-    // The attempt wins with the first bytes of the value, so that the header alone is not enough.
+    // The first bytes of a value decide which attempt's value is relayed, so the header alone is not enough to start.
     if buffer.len() == header {
         return ReplyStart::LargeValueAwaited;
     }
@@ -59,10 +61,10 @@
     ReplyStart::LargeValue { length }
 }
 
-/// The lengths of the header of a large value, and of the value.
+/// The lengths of the header and of the value, if a reply starts with the complete header of a large value.
 fn large_value_header(reply: &[u8]) -> Option<(usize, usize)> {
     let rest = reply.strip_prefix(VALUE_REPLY_PREFIX)?;
-    let digits = rest.iter().take(MAX_LENGTH_DIGITS).position(|&byte| byte == b'\r')?;
+    let digits = rest.iter().take(MAX_LENGTH_FIELD_BYTES).position(|&byte| byte == b'\r')?;
     let length = str::from_utf8(&rest[..digits]).ok()?.parse().ok()?;
     let is_large = (MAX_BUFFERED_BYTES + 1..=MAX_VALUE_BYTES).contains(&length);
     let is_complete = rest[digits..].starts_with(b"\r\n");
@@ -70,11 +72,11 @@
     (is_large && is_complete).then_some((header, length))
 }
 
-/// Interprets a reply. An error that the protocol does not define may have followed the execution of the request.
+/// Interprets a reply. After an error that the protocol does not define, the request may have been executed.
 ///
 /// # Errors
 ///
-/// Fails if the frame is none of the protocol's replies. The load report is not read and may be anything.
+/// Fails if the frame is none of the protocol's replies. The load report is ignored and may be any frame.
 pub(crate) fn parse_reply(frame: BytesFrame) -> Result<AttemptResult, MalformedFrame> {
     match frame {
         BytesFrame::Array(elements) => {
@@ -97,7 +99,7 @@
     }
 }
 
-/// Whether the cache had the value, if it says so.
+/// Whether the cache had the value, if the status says so.
 fn parse_cache_status(frame: &BytesFrame) -> Result<Option<bool>, MalformedFrame> {
     match frame {
         BytesFrame::Null => Ok(None),
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a server, for either protocol.
+//! A connection to a cache server or to the origin.
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Whether the server has sent bytes that no request asked for. At the origin such bytes show as a close instead.
+    /// Whether the server has sent bytes that no request asked for. For the origin this is always false: its HTTP
+    /// library closes a connection with such bytes.
     pub(crate) fn has_unsolicited_bytes(&self) -> bool {
         match self {
             ServerConnection::Cache(connection) => connection.has_unsolicited_bytes(),
--- a/crates/node/src/upstream/directory/former_names.rs
+++ b/crates/node/src/upstream/directory/former_names.rs
@@ -2,16 +2,17 @@
 
 use std::collections::VecDeque;
 
-/// The number of names that are remembered: several times the servers of a large site, in some 200 KB.
+/// The number of names that are remembered. It is several times the number of servers at a large site, and takes about
+/// 200 KB.
 const MAX_NAMES: usize = 4_096;
 
-/// The names that left the list most recently. An operator's command for a server that is down and will return must not
-/// be rejected as a misspelled name.
+/// The names of the servers that left the endpoint list most recently. An operator may give a command for a server that
+/// is down and will return, and it must not be rejected as a misspelled name.
 #[derive(Default)]
 pub(crate) struct FormerNames(VecDeque<String>);
 
 impl FormerNames {
-    /// Adds a name, forgetting the oldest one if there are too many.
+    /// Adds a name, and removes the oldest one if there are too many.
     pub(crate) fn add(&mut self, name: &str) {
         if self.contains(name) {
             return;
--- a/crates/node/src/upstream/directory/idle_pool.rs
+++ b/crates/node/src/upstream/directory/idle_pool.rs
@@ -8,29 +8,32 @@
 use crate::metrics::Metrics;
 use crate::upstream::connection::ServerConnection;
 
-/// A connection is not reused before it has been idle for this long, if there is another. A close or surplus bytes that
-/// the server sent right after its reply are noticed in that time.
-const MIN_IDLE: Duration = Duration::from_millis(1);
+/// A connection is not reused before it has been idle for this long. In that time the node notices a close or
+/// unsolicited bytes that the server sent right after its reply.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(1);
 
 /// A second copy of the last reply may still arrive on a connection that has been idle for less than this.
 const DUPLICATE_REPLY_WINDOW: Duration = Duration::from_millis(10);
 
+/// A connection between requests.
 struct IdleConnection {
+    /// When its last request ended.
     since: Instant,
     connection: ServerConnection,
 }
 
-/// The idle connections to one server, the most recently used last.
+/// The idle connections to one server, the one that has been idle for longest first.
 #[derive(Default)]
 pub(crate) struct IdlePool(Vec<IdleConnection>);
 
 impl IdlePool {
-    /// Adds a connection whose last request ended now.
+    /// Adds a connection whose last request ended at `now`.
     pub(crate) fn add(&mut self, now: Instant, connection: ServerConnection) {
         self.0.push(IdleConnection { since: now, connection });
     }
 
-    /// Takes the most recently used connection that can be reused, and closes those that turn out to be unusable.
+    /// Takes the most recently used connection that can be reused. Closes those that it finds to be too old or
+    /// unusable.
     pub(crate) fn take(
         &mut self,
         server: &str,
@@ -38,7 +41,7 @@
         max_idle: Duration,
         metrics: &Metrics,
     ) -> Option<ServerConnection> {
-        while let Some(index) = self.0.iter().rposition(|idle| now >= idle.since + MIN_IDLE) {
+        while let Some(index) = self.0.iter().rposition(|idle| now >= idle.since + MIN_IDLE_TIME) {
             let idle = self.0.remove(index);
             if now < idle.since + max_idle && is_reusable(server, &idle, now, metrics) {
                 if now < idle.since + DUPLICATE_REPLY_WINDOW {
@@ -66,14 +69,14 @@
         self.0.clear();
     }
 
-    /// Closes the connection that was used longest ago.
+    /// Closes the connection that has been idle for longest.
     pub(crate) fn close_oldest(&mut self) {
         if !self.0.is_empty() {
             self.0.remove(0);
         }
     }
 
-    /// Since when the connection that was used longest ago is idle.
+    /// The time since when the connection that has been idle for longest is idle.
     pub(crate) fn oldest(&self) -> Option<Instant> {
         self.0.first().map(|idle| idle.since)
     }
@@ -84,7 +87,7 @@
     }
 }
 
-/// Whether a connection can be reused; counts those on which the server has sent unsolicited bytes.
+/// Whether a connection can be reused. Counts and logs a connection on which the server has sent unsolicited bytes.
 fn is_reusable(server: &str, idle: &IdleConnection, now: Instant, metrics: &Metrics) -> bool {
     let reusable = idle.connection.is_reusable();
     if !reusable && idle.connection.has_unsolicited_bytes() {
--- a/crates/node/src/upstream/directory/mod.rs
+++ b/crates/node/src/upstream/directory/mod.rs
@@ -1,4 +1,4 @@
-//! The servers that discovery has named: their ids for the balancer, their addresses and idle connections.
+//! The servers in the endpoint list: their ids for the balancer, their addresses and their idle connections.
 
 mod former_names;
 mod idle_pool;
@@ -25,10 +25,11 @@
 use super::start_times::{ListArrival, StartTimes};
 use crate::metrics::Metrics;
 
-/// An idle connection is closed when this many parts ...
-const MAX_IDLE_PARTS: u32 = 9;
-/// ... of so many of the idle timeout are over, so that the server doesn't close it while a request is on its way.
-const IDLE_TIMEOUT_PARTS: u32 = 10;
+/// The numerator of the part of the servers' idle timeout after which the node closes an idle connection. It is less
+/// than the whole, so that a server does not close the connection while a request is on its way.
+const MAX_IDLE_NUMERATOR: u32 = 9;
+/// The denominator of the same part.
+const MAX_IDLE_DENOMINATOR: u32 = 10;
 
 /// The server that an attempt goes to.
 pub(crate) struct Target {
@@ -41,23 +42,23 @@
 /// How a server was last listed.
 pub(crate) struct Listing {
     pub(crate) state: EndpointState,
-    /// Unix time of its last start, in milliseconds; 0 if it was long ago.
+    /// Unix time of the server's last start, in milliseconds; 0 if the start was long ago.
     pub(crate) started_ms: f64,
 }
 
-/// The servers by id.
+/// The listed servers by id, and the names of servers that operators have disabled.
 pub(crate) struct Directory {
     servers: HashMap<ServerId, Server>,
-    /// The names of servers that operators have disabled, listed or not. Their ids are not given to others.
+    /// The names of servers that operators have disabled, listed or not. No other server gets the id of one of them.
     disabled: HashMap<ServerId, String>,
     former_names: FormerNames,
-    /// An idle connection is closed at this age, before the server closes it.
+    /// An idle connection is closed after this time, before the server closes it.
     max_idle: Duration,
     metrics: Arc<Metrics>,
 }
 
 impl Directory {
-    /// An empty directory.
+    /// Creates an empty directory.
     pub(crate) fn new(idle_timeout: Duration, metrics: Arc<Metrics>) -> Self {
         let mut directory = Directory {
             servers: HashMap::new(),
@@ -70,9 +71,9 @@
         directory
     }
 
-    /// Sets the time after which servers close an idle connection.
+    /// Sets the idle timeout of the servers, after which they close a connection.
     pub(crate) fn set_idle_timeout(&mut self, idle_timeout: Duration) {
-        self.max_idle = idle_timeout * MAX_IDLE_PARTS / IDLE_TIMEOUT_PARTS;
+        self.max_idle = idle_timeout * MAX_IDLE_NUMERATOR / MAX_IDLE_DENOMINATOR;
     }
 
     /// Applies an endpoint list, and returns the servers that the balancer has to update.
@@ -82,7 +83,7 @@
         arrival: ListArrival,
         settings: &mut ResolvedSettings,
     ) -> Vec<Endpoint> {
-        // Sorted by name, so that colliding ids are resolved in the same way at every node.
+        // Sorted by name, so that every node resolves colliding ids in the same way.
         list.servers.sort_by(|one, other| one.id.cmp(&other.id));
         if list.full {
             self.remove_unlisted(&list.servers);
@@ -119,12 +120,14 @@
         });
     }
 
+    /// Whether an entry is a server's first one or states a start that differs from the last one.
     fn is_new_start(&self, listed: &ListedServer) -> bool {
         let known = self.servers.get(&self.id_of(&listed.id));
         known.is_none_or(|server| server.started_ms() != listed.started_ms)
     }
 
-    /// Moves the starts that the first list dated too early, because our clock was ahead, and returns their servers.
+    /// Corrects the starts from the first list, which our clock dated too early because it was ahead. Returns the
+    /// servers whose start has changed.
     fn correct_starts(&mut self, clock_ahead: Micros) -> Vec<Endpoint> {
         let servers = self.servers.values_mut();
         let mut corrected: Vec<Endpoint> =
@@ -133,6 +136,7 @@
         corrected
     }
 
+    /// Applies the entry of one server, and returns the server as the balancer has to know it.
     fn apply_server(
         &mut self,
         listed: &ListedServer,
@@ -165,7 +169,8 @@
         endpoint
     }
 
-    /// The id of a name, which is the same at every node: a hash, with the next seed if two names share it.
+    /// The id of the server with this name: a hash of the name, which is the same at every node. If another server has
+    /// that id, the hash with the next seed is used.
     fn id_of(&self, name: &str) -> ServerId {
         let ids = (0..).map(|seed| ServerId(xxh3_64_with_seed(name.as_bytes(), seed) as u32));
         let is_taken = |id: &ServerId| {
@@ -176,7 +181,7 @@
         free.next().expect("there are more ids than servers")
     }
 
-    /// How the server of this name was last listed, if it is.
+    /// How the server of this name was last listed; `None` if it is not listed.
     pub(crate) fn listing(&self, name: &str) -> Option<Listing> {
         let server = self.servers.get(&self.id_of(name)).filter(|server| server.name() == name)?;
         Some(Listing { state: server.state(), started_ms: server.started_ms() })
@@ -208,7 +213,8 @@
         id
     }
 
-    /// Returns the target of an attempt under these conditions, and an idle connection if there is one.
+    /// Returns the target for an attempt under these conditions, and an idle connection if there is one. `None` if the
+    /// server is not listed.
     pub(crate) fn check_out(
         &mut self,
         id: ServerId,
@@ -222,7 +228,7 @@
         Some((target, pooled))
     }
 
-    /// Returns a connection to the pool, if its server still accepts requests at that address.
+    /// Adds a connection to the idle ones of its server, if the server still gets requests at that address.
     pub(crate) fn check_in(
         &mut self,
         id: ServerId,
@@ -257,7 +263,7 @@
         self.servers.values().map(Server::idle_connections).sum()
     }
 
-    /// Closes the idle connection that was used longest ago.
+    /// Closes the connection that has been idle for longest.
     pub(crate) fn close_oldest(&mut self) {
         let with_idle = self.servers.values_mut().filter(|server| server.oldest_idle().is_some());
         if let Some(server) = with_idle.min_by_key(|server| server.oldest_idle()) {
@@ -266,7 +272,7 @@
     }
 }
 
-/// A listed server as the balancer sees it.
+/// Converts an entry of the endpoint list to the form in which the balancer knows the server.
 fn endpoint_of(
     id: ServerId,
     listed: &ListedServer,
--- a/crates/node/src/upstream/directory/server.rs
+++ b/crates/node/src/upstream/directory/server.rs
@@ -1,4 +1,4 @@
-//! One listed server.
+//! A server in the endpoint list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 pub(crate) struct Server {
     name: String,
     addr: SocketAddr,
-    /// Shared with the attempts at this address.
+    /// Whether it may be sent requests, shared with the attempts at this address.
     serving: ServingFlag,
-    /// Unix time of the last start as it was last listed, in milliseconds.
+    /// Unix time of the last start as the server was last listed, in milliseconds.
     started_ms: f64,
-    /// As the balancer has it.
+    /// The server as it was last reported to the balancer.
     endpoint: Endpoint,
-    /// Whether the start is as the first list had it, by a wall clock that may be ahead.
+    /// Whether the start was converted from the first list by our wall clock, which may be ahead.
     has_uncertain_start: bool,
     idle: IdlePool,
 }
 
 impl Server {
-    /// A server that was not listed before.
+    /// Creates a server that was not listed before.
     pub(crate) fn new(listed: &ListedServer, endpoint: &Endpoint, has_uncertain_start: bool) -> Server {
         log_change(listed);
         Server {
@@ -43,12 +43,13 @@
         }
     }
 
-    /// Applies a later list. `may_stay_uncertain` is false if the start is known for certain from now on.
+    /// Applies a later entry of the server. `may_stay_uncertain` is false if its start does not depend on our wall
+    /// clock.
     pub(crate) fn update(&mut self, listed: &ListedServer, endpoint: &Endpoint, may_stay_uncertain: bool) {
         self.has_uncertain_start &= may_stay_uncertain;
         if self.addr != listed.addr {
             self.addr = listed.addr;
-            // Attempts that are connecting to the old address must send nothing to whoever uses it now.
+            // Another server may use the old address now, so attempts that are connecting to it must send nothing.
             self.stop_attempts();
             self.serving = ServingFlag::new();
             self.idle.close_all();
@@ -60,7 +61,7 @@
         self.endpoint = endpoint.clone();
     }
 
-    /// Moves an uncertain start by how far our clock was ahead, and returns the endpoint if its start has changed.
+    /// Moves an uncertain start later by `clock_ahead`. Returns the endpoint if its start has changed.
     pub(crate) fn correct_start(&mut self, clock_ahead: Micros) -> Option<Endpoint> {
         if !self.has_uncertain_start {
             return None;
@@ -71,13 +72,13 @@
         Some(self.endpoint.clone())
     }
 
-    /// Keeps attempts in progress from sending anything.
+    /// Prevents attempts in progress from starting to send.
     pub(crate) fn stop_attempts(&self) {
         self.serving.set(false);
     }
 
-    /// Has the server get new requests if the list says that it is up and operators have not disabled it; closes its idle
-    /// connections otherwise.
+    /// Allows requests to the server if the list states that it is up and operators have not disabled it. Otherwise
+    /// forbids them and closes the idle connections.
     pub(crate) fn update_serving(&mut self, is_disabled: bool) {
         let serving = self.endpoint.state == EndpointState::Up && !is_disabled;
         self.serving.set(serving);
@@ -103,12 +104,12 @@
         self.endpoint.state
     }
 
-    /// Unix time of the last start as it was last listed, in milliseconds.
+    /// Unix time of the last start as the server was last listed, in milliseconds.
     pub(crate) fn started_ms(&self) -> f64 {
         self.started_ms
     }
 
-    /// The last start on the driver's clock, unless it was long ago.
+    /// The last start on the driver's clock; `None` if it was long ago.
     pub(crate) fn started_at(&self) -> Option<Micros> {
         self.endpoint.started_at
     }
@@ -148,11 +149,12 @@
         self.idle.len()
     }
 
-    /// Since when the idle connection that was used longest ago is idle.
+    /// The time since when the connection that has been idle for longest is idle.
     pub(crate) fn oldest_idle(&self) -> Option<Instant> {
         self.idle.oldest()
     }
 
+    /// Closes the connection that has been idle for longest.
     pub(crate) fn close_oldest(&mut self) {
         self.idle.close_oldest();
     }
--- a/crates/node/src/upstream/last_write.rs
+++ b/crates/node/src/upstream/last_write.rs
@@ -1,4 +1,4 @@
-//! A socket that records the time of its last write, for requests that a library writes by itself.
+//! A socket that records the time of its last write, for requests that the HTTP library writes in a task of its own.
 
 use std::io;
 use std::pin::Pin;
@@ -9,12 +9,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// When a socket last handed bytes to the kernel. Clones share one value.
+/// The time when a socket last passed bytes to the kernel. Clones share one value.
 #[derive(Clone, Default)]
 pub(crate) struct LastWrite(Arc<Mutex<Option<Instant>>>);
 
 impl LastWrite {
-    /// The time of the last write, `None` before the first.
+    /// The time of the last write, or `None` before the first one.
     pub(crate) fn at(&self) -> Option<Instant> {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -36,6 +36,7 @@
         TimedSocket { socket, last_write }
     }
 
+    /// Records a write that passed at least one byte to the kernel, and returns its result.
     fn recorded(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(written, Poll::Ready(Ok(bytes)) if bytes > 0) {
             self.last_write.record();
--- a/crates/node/src/upstream/origin_connection.rs
+++ b/crates/node/src/upstream/origin_connection.rs
@@ -27,11 +27,11 @@
 };
 use crate::request::ClientRequest;
 
-/// The id of the request, as its client gave it.
+/// The header with the id of the request, as its client gave it.
 const REQUEST_ID_HEADER: &str = "X-Correlation-Id";
-/// The metadata of the request.
+/// The header with the metadata of the request.
 const METADATA_HEADER: &str = "X-Facts";
-/// Set to `1` in a reply to a request that was not executed.
+/// The response header that is `1` if the request was not executed.
 const UNPROCESSED_HEADER: &str = "X-Unprocessed";
 
 /// The characters of a key that are percent-encoded in a path.
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the HTTP library refuses the connection.
+    /// Fails if the HTTP library cannot use the connection.
     pub(crate) async fn new(socket: Socket) -> io::Result<Self> {
         let last_write = LastWrite::default();
         let socket = TimedSocket::new(socket, last_write.clone());
@@ -86,8 +86,8 @@
         !self.sender.is_closed()
     }
 
-    /// Sends one request, which states the time left until `deadline`, and waits for the reply. Returns the connection
-    /// too if another request may use it.
+    /// Sends one request, which states the time left until `deadline`, and waits for the response. Also returns the
+    /// connection if another request may use it.
     pub(crate) async fn request(
         mut self,
         request: &ClientRequest,
@@ -99,18 +99,18 @@
         if self.sender.ready().await.is_err() {
             return (AttemptResult::of(Outcome::ConnectFailed), None);
         }
-        target.permit.wait_stall_over().await;
+        target.permit.wait_until_stall_over().await;
         let Some(stated) = target.permit.start(deadline) else {
             return (AttemptResult::of(Outcome::NotSent), None);
         };
         let Some(http_request) = http_request(request, stated.remaining(), target.addr) else {
             return (AttemptResult::of(Outcome::NotSent), Some(self));
         };
-        // The request is complete, so that the connection's task writes it as soon as it runs.
+        // Counted before the write: the request is complete, and the connection's task writes it as soon as it runs.
         metrics.attempts_written.increment();
         let response = match self.sender.try_send_request(http_request).await {
             Ok(response) => response,
-            // A request that is handed back was never started.
+            // The library returns the request if it has not begun to write it.
             Err(mut error) => match error.take_message() {
                 Some(_) => return (AttemptResult::of(Outcome::ConnectFailed), None),
                 None => return (AttemptResult::of(Outcome::ConnectionReset), None),
@@ -121,12 +121,13 @@
         }
         match read_response(response, relay).await {
             Ok(result) => (result, Some(self)),
-            // The rest of such a response must not be read as the next one.
+            // The connection is closed, since the rest of this response must not be read as the next one.
             Err(outcome) => (AttemptResult::of(outcome), None),
         }
     }
 }
 
+/// Builds the HTTP request. Returns `None` if it is invalid.
 fn http_request(
     request: &ClientRequest,
     remaining: Duration,
@@ -143,7 +144,7 @@
         .ok()
 }
 
-/// Reads a response; an error is the outcome of the attempt, after which the connection cannot be used.
+/// Reads a response. An error is the outcome of the attempt; the connection cannot be used after it.
 async fn read_response(response: Response<Incoming>, relay: RelayContext) -> Result<AttemptResult, Outcome> {
     let status = response.status();
     let not_executed = response.headers().get(UNPROCESSED_HEADER).is_some_and(|value| value == "1");
@@ -168,16 +169,16 @@
     })
 }
 
-/// A body that was read to its end.
+/// A body that has been read to its end.
 enum CollectedBody {
     /// No longer than [`MAX_BUFFERED_BYTES`].
     Small(Bytes),
-    /// A longer value, which was passed on as a stream.
+    /// A longer value, which has been passed on as a [`ValueStream`].
     Relayed,
 }
 
-/// Reads a body whose length is small or unknown. RESP2 needs the length of a value first, so that a large one of
-/// unknown length is buffered completely, with the memory for the largest value reserved once.
+/// Reads a body whose length is small or unknown. A large value of unknown length is buffered completely, since RESP2
+/// states the length before the value. The memory for the largest value is reserved for it, in one step.
 async fn collect_body(
     mut body: Incoming,
     is_value: bool,
--- a/crates/node/src/upstream/send_permit.rs
+++ b/crates/node/src/upstream/send_permit.rs
@@ -1,4 +1,4 @@
-//! The permission to send an attempt, requested immediately before its first byte is written.
+//! The permit to send an attempt, which is checked immediately before the first byte is written.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -10,15 +10,15 @@
 use crate::request::RESPONSE_RESERVE;
 use crate::stall::StallMonitor;
 
-/// The shortest time that an attempt can state: servers read it in whole milliseconds.
+/// The shortest time left that an attempt can state, since servers read it in whole milliseconds.
 const MIN_STATED_TIME: Duration = Duration::from_millis(1);
 
-/// Whether a server accepts new requests. Clones share one flag, so that attempts in progress see a change.
+/// Whether a server may be sent requests. Clones share one flag, so that attempts in progress see a change.
 #[derive(Clone)]
 pub(crate) struct ServingFlag(Arc<AtomicBool>);
 
 impl ServingFlag {
-    /// A flag that is set.
+    /// Creates a flag that is set.
     pub(crate) fn new() -> ServingFlag {
         ServingFlag(Arc::new(AtomicBool::new(true)))
     }
@@ -34,24 +34,24 @@
     }
 }
 
-/// When the first byte of an attempt was written, if it was. Clones share one value: the driver holds one to distinguish
-/// attempts that it can still prevent from those that the server may have seen.
+/// The time when an attempt was permitted to write its first byte, if it was. Clones share one value. The driver holds
+/// one to distinguish attempts that it can still prevent from those that the server may have seen.
 #[derive(Clone, Default)]
 pub(crate) struct SendStart(Arc<OnceLock<Instant>>);
 
 impl SendStart {
-    /// Whether the first byte was written.
+    /// Whether the attempt was permitted to write.
     pub(crate) fn is_set(&self) -> bool {
         self.0.get().is_some()
     }
 
-    /// Whether the first byte was written after `time`.
+    /// Whether the attempt was permitted to write after `time`.
     pub(crate) fn is_after(&self, time: Instant) -> bool {
         self.0.get().is_some_and(|&at| at > time)
     }
 }
 
-/// The time that an attempt states to its server.
+/// The time left that an attempt states to its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StatedTime {
     at: Instant,
@@ -59,28 +59,28 @@
 }
 
 impl StatedTime {
-    /// The time left until the deadline of the attempt.
+    /// The stated time, which is the time left until the deadline of the attempt.
     pub(crate) fn remaining(&self) -> Duration {
         self.remaining
     }
 
-    /// By how much the stated time exceeds the client's, for a request whose last byte is written at `last_byte`: the
-    /// server counts the stated time from then on.
+    /// By how much the stated time exceeds the time that the client still waits, for a request whose last byte is
+    /// written at `last_byte`. The server counts the stated time from that byte.
     pub(crate) fn excess(&self, last_byte: Instant) -> Duration {
         last_byte.saturating_duration_since(self.at).saturating_sub(RESPONSE_RESERVE)
     }
 }
 
-/// What the permission depends on besides the server.
+/// What a permit depends on in addition to the server.
 #[derive(Clone, Default)]
 pub(crate) struct SendConditions {
     /// The client that the attempt is for.
     pub(crate) client: ClientStatus,
-    /// Where the start of the attempt is recorded.
+    /// Records the start of the attempt.
     pub(crate) start: SendStart,
-    /// Knows whether the event loop has stalled.
+    /// Detects whether the event loop has stalled.
     pub(crate) stalls: StallMonitor,
-    /// A retry may start only before this time: until then servers recognise and discard a repeated request.
+    /// A retry may start only before this time, until which servers recognise and discard a repeated request.
     pub(crate) send_before: Option<Instant>,
 }
 
@@ -91,23 +91,24 @@
 }
 
 impl SendPermit {
-    /// A permit that is valid while the server accepts requests, the client is connected and a repeated request is
+    /// Creates a permit that is valid while `server` is set, the client is connected and a repeated request would be
     /// discarded.
     pub(crate) fn new(server: ServingFlag, conditions: SendConditions) -> SendPermit {
         SendPermit { server, conditions }
     }
 
-    /// Waits until a stall of the event loop is over, so that [`start`](Self::start) knows of a client that disconnected
+    /// Waits until a stall of the event loop is over, so that [`start`](Self::start) sees if the client disconnected
     /// during the stall.
-    pub(crate) async fn wait_stall_over(&self) {
-        self.conditions.stalls.over().await;
+    pub(crate) async fn wait_until_stall_over(&self) {
+        self.conditions.stalls.wait_until_over().await;
     }
 
-    /// Starts the attempt, or returns `None` if it must not be sent: because the server no longer accepts requests, the
-    /// client has disconnected, its deadline has passed, or servers no longer recognise a repeated request.
+    /// Records the start of the attempt, or returns `None` if it must not be sent: because the server must not be sent
+    /// requests any more, the client has disconnected, less than [`MIN_STATED_TIME`] is left until `deadline`, or
+    /// servers no longer recognise a repeated request.
     ///
-    /// The deadline lies [`RESPONSE_RESERVE`] before the client's. There must be no await between this call and the first
-    /// write.
+    /// `deadline` lies [`RESPONSE_RESERVE`] before the client's deadline. There must be no await between this call and
+    /// the first write.
     pub(crate) fn start(&self, deadline: Instant) -> Option<StatedTime> {
         let now = Instant::now();
         let remaining = deadline.saturating_duration_since(now);
@@ -120,7 +121,7 @@
         {
             return None;
         }
-        let _ = start.0.set(now); // a permit is used once
+        let _ = start.0.set(now); // never set before, since a permit is used once
         Some(StatedTime { at: now, remaining })
     }
 }
--- a/crates/node/src/upstream/send_permit/tests.rs
+++ b/crates/node/src/upstream/send_permit/tests.rs
@@ -1,7 +1,9 @@
+//! When a permit allows an attempt to start, and the time that the attempt states.
+
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn nothing_starts_for_a_disconnected_client_and_earlier_starts_are_known() {
+async fn attempt_for_a_disconnected_client_is_not_started_and_earlier_starts_stay_recorded() {
     let client = ClientStatus::default();
     let deadline = Instant::now() + Duration::from_secs(1);
     let attempt = || {
@@ -14,7 +16,7 @@
     client.mark_disconnected();
     let disconnected_at = client.disconnected_at().unwrap();
     tokio::time::advance(Duration::from_millis(1)).await;
-    client.mark_disconnected(); // again, as by a session that ends after its client
+    client.mark_disconnected(); // a second call, as from a session that ends after its client has disconnected
     assert_eq!(client.disconnected_at(), Some(disconnected_at));
     assert!(after.start(deadline).is_none());
     assert_eq!([started.is_set(), never.is_set()], [true, false]);
@@ -24,7 +26,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_starts_once_less_time_is_left_than_can_be_stated() {
+async fn attempt_is_not_started_with_less_than_one_millisecond_left() {
     let deadline = Instant::now() + Duration::from_millis(300);
     let start = || {
         let conditions = SendConditions::default();
@@ -41,7 +43,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn stated_time_exceeds_the_clients_by_the_delay_of_the_last_byte() {
+async fn excess_of_the_stated_time_is_the_last_byte_delay_beyond_the_reserve() {
     let permit = SendPermit::new(ServingFlag::new(), SendConditions::default());
     let started = Instant::now();
     let stated = permit.start(started + Duration::from_secs(1)).unwrap();
--- a/crates/node/src/upstream/start_times/tests.rs
+++ b/crates/node/src/upstream/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Start times by clocks that are right, behind and ahead.
+//! Start times as computed with a clock that is right, behind or ahead.
 
 use super::*;
 
@@ -30,7 +30,7 @@
     let stated = [NOW_MS - MINUTE_MS, NOW_MS - 1_000.0, 0.0];
     let as_stated = [Some(micros_from_millis(stated[0])), Some(micros_from_millis(stated[1])), None];
     assert_eq!(starts(&stated, ListArrival::First(micros_from_millis(NOW_MS))), as_stated);
-    // An hour behind: the latest start is now at the latest, the others as much older as they are.
+    // With a clock an hour behind, the latest start is taken to be now, and the others keep their distance to it.
     let now = micros_from_millis(NOW_MS - 60.0 * MINUTE_MS);
     let minute = micros_from_millis(MINUTE_MS - 1_000.0);
     assert_eq!(starts(&stated, ListArrival::First(now)), [Some(now - minute), Some(now), None]);
@@ -44,8 +44,12 @@
         ahead(NOW_MS - 60.0 * MINUTE_MS, ListArrival::Update(now)),
         Some(micros_from_millis(60.0 * MINUTE_MS))
     );
-    assert_eq!(ahead(NOW_MS - MINUTE_MS / 2.0, ListArrival::Update(now)), None, "a report may take so long");
+    assert_eq!(
+        ahead(NOW_MS - MINUTE_MS / 2.0, ListArrival::Update(now)),
+        None,
+        "a report may be delayed by half a minute"
+    );
     assert_eq!(ahead(NOW_MS + MINUTE_MS, ListArrival::Update(now)), None);
-    assert_eq!(ahead(0.0, ListArrival::Update(now)), None, "long ago");
+    assert_eq!(ahead(0.0, ListArrival::Update(now)), None, "0 stands for a start long ago");
     assert_eq!(ahead(NOW_MS - 60.0 * MINUTE_MS, ListArrival::First(now)), None);
 }
