--- a/crates/node/src/bind.rs
+++ b/crates/node/src/bind.rs
@@ -1,4 +1,4 @@
-//! Binding a socket to an address that another process may still have.
+//! Binds sockets to addresses that another process may still be using.
 
 use std::io;
 use std::time::Duration;
@@ -11,7 +11,8 @@
 /// Binds a socket, and retries until that succeeds. `log_failure` is called with the first error.
 ///
 /// # Cancel safety
-/// When it is cancelled, nothing is bound.
+///
+/// Cancel safe: a cancelled call leaves no socket bound.
 pub(crate) async fn bind_with_retry<S, F>(bind: impl Fn() -> F, log_failure: impl FnOnce(io::Error)) -> S
 where
     F: Future<Output = io::Result<S>>,
--- a/crates/node/src/client_limits.rs
+++ b/crates/node/src/client_limits.rs
@@ -1,20 +1,20 @@
-//! The limits on what clients may occupy of a node.
+//! The limits on the connections and the memory that a node uses for clients.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What clients may occupy of a node.
+/// The limits on the connections and the memory that a node uses for clients.
 #[derive(Clone)]
 pub(crate) struct ClientLimits {
-    /// Connections from clients that are allowed in any case.
+    /// The number of connections from clients that is allowed in any case.
     pub(crate) guaranteed_connections: usize,
-    /// Connections from clients and to servers together.
+    /// The number of connections from clients and to servers together.
     pub(crate) total_connections: usize,
-    /// Connections from clients that may be idle between requests.
+    /// The number of connections from clients that may be idle between requests.
     pub(crate) idle_connections: usize,
     /// The current number of connections to servers.
     pub(crate) server_connections: Arc<AtomicUsize>,
-    /// Memory in bytes; one half is for open requests, the other for large buffers.
+    /// The memory in bytes. One half is for open requests, the other for large buffers.
     pub(crate) memory_bytes: usize,
 }
 
--- a/crates/node/src/client_status.rs
+++ b/crates/node/src/client_status.rs
@@ -1,4 +1,5 @@
-//! Whether the client of a request is still connected: set by its session, checked before anything starts for it.
+//! Whether the client of a request is still connected. Its session sets this, and it is checked before an attempt
+//! starts.
 
 use std::sync::{Arc, OnceLock};
 
@@ -13,7 +14,7 @@
 impl ClientStatus {
     /// Marks the client as disconnected now. Later calls have no effect.
     pub(crate) fn mark_disconnected(&self) {
-        let _ = self.disconnected_at.set(Instant::now()); // fails if it was marked before
+        let _ = self.disconnected_at.set(Instant::now()); // fails if the client was marked before
     }
 
     /// Whether the client has disconnected.
--- a/crates/node/src/counter.rs
+++ b/crates/node/src/counter.rs
@@ -1,8 +1,8 @@
-//! The counter that metrics and invariants are made of.
+//! The counter for metrics and for violations of invariants.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A number that any number of threads may change and read.
+/// A number that several threads can change and read at the same time.
 #[derive(Default, Debug)]
 pub(crate) struct Counter(AtomicU64);
 
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -1,8 +1,9 @@
-//! The invariants of every request. Each is checked at one place while the node runs, and its violations are counted.
+//! Invariants that hold for every request. Each is checked at one place while the node runs, and its violations are
+//! counted.
 //!
-//! A guard stands before the act where the act can still be left undone: [`SendPermit`](crate::upstream::send_permit)
-//! for the first byte of an attempt, `Driver::send` for a retry, `Session::serve` for a close. The checks counted here
-//! look at what was done, by times that were recorded apart from the guards.
+//! Other code prevents the violations beforehand where that is possible: [`SendPermit`](crate::upstream::send_permit)
+//! for the first byte of an attempt, `Driver::send` for a retry, `Session::serve` for a close. The checks that are
+//! counted here look at what has been done, by times that are recorded independently of that code.
 
 use std::time::Duration;
 
@@ -10,21 +11,22 @@
 
 use crate::counter::Counter;
 
-/// An answer violates [`Invariant::AnswerInTime`] if it is later than its client's deadline by more than this.
+/// The time after a client's deadline up to which a reply does not violate [`Invariant::AnswerInTime`].
 pub(crate) const ANSWER_SLACK: Duration = Duration::from_millis(50);
 
 /// A rule that holds for every request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Invariant {
-    /// The last byte of an answer is written within its client's deadline and [`ANSWER_SLACK`].
+    /// The last byte of a reply is written no later than [`ANSWER_SLACK`] after the client's deadline.
     AnswerInTime,
-    /// No attempt begins after its request's final answer, or after its client's disconnect was seen.
+    /// No attempt begins after its request has its final response, or after its client's disconnect was noticed.
     NoSendAfterEnd,
-    /// An attempt that may have taken effect is retried only if its class allows that, and within its window.
+    /// A request that may have been executed is retried only if its class allows that, and within the deduplication
+    /// window.
     NoUnsafeRetry,
-    /// The node closes no connection with requests unanswered.
+    /// The node closes no connection that has unanswered requests.
     NoUnansweredClose,
-    /// A process that shuts down accepts no request after its last connections should have closed.
+    /// During a shutdown no request arrives after the time at which even unused connections close.
     NoLateRequest,
 }
 
@@ -38,7 +40,7 @@
         Invariant::NoLateRequest,
     ];
 
-    /// The name in metrics and logs.
+    /// The name of the invariant in metrics and logs.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Invariant::AnswerInTime => "answer_in_time",
@@ -55,14 +57,15 @@
 pub(crate) struct Violations([Counter; Invariant::ALL.len()]);
 
 impl Violations {
-    /// Counts and logs a violation. `request` is the request's id as the client gave it, or empty.
+    /// Counts and logs a violation. `request` is the id of the request as its client gave it, or empty if there is
+    /// none.
     pub(crate) fn record(&self, violated: Invariant, request: &[u8]) {
         self.0[violated as usize].increment();
         let request = String::from_utf8_lossy(request);
         error!(event = "invariant_violated", invariant = violated.name(), %request, "an invariant is violated");
     }
 
-    /// The count of each invariant, by its name.
+    /// The name of each invariant and the count of its violations.
     pub(crate) fn counts(&self) -> impl Iterator<Item = (&str, &Counter)> {
         Invariant::ALL.into_iter().map(|invariant| (invariant.name(), &self.0[invariant as usize]))
     }
--- a/crates/node/src/invariants/tests.rs
+++ b/crates/node/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! A violation is counted under its own invariant alone.
+//! How violations of invariants are counted.
 
 use tokio::time::Instant;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn each_invariant_has_a_count_of_its_own() {
+fn violation_is_counted_under_its_own_invariant_alone() {
     for (index, violated) in Invariant::ALL.into_iter().enumerate() {
         let violations = Violations::default();
         violations.record(violated, b"id");
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,10 @@
-//! A node on real sockets: carries out what the balancer decides, and reports to it what happens.
+//! A node on real sockets: carries out the decisions of the balancer, and reports to it what happens.
 //!
-//! `run` starts the parts and shuts them down. A session of `clients` reads a command and sends it as a `message` to the
-//! `driver`, the task that owns the balancer. The driver starts attempts at servers (`upstream`), and long values pass
-//! from there to the session through `relay`. `discovery` follows the endpoint list, `overrides` what operators have
-//! disabled, `reload` the configuration. `operator` answers operators on a thread of its own.
+//! `run` starts the parts of the node and shuts them down. A session of `clients` reads a command and sends it as a
+//! `message` to the `driver`, the task that owns the balancer. The driver starts attempts at servers (`upstream`), and
+//! large values pass from there to the session through `relay`. `discovery` follows the endpoint list, `overrides`
+//! follows which servers operators have disabled, and `reload` follows the configuration. `operator` answers operators
+//! on a thread of its own.
 
 mod bind;
 mod client_limits;
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the driver, which alone owns the open requests and the decisions.
+//! Messages to the driver, the task that owns the open requests and makes the decisions about them.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -17,57 +17,57 @@
 use crate::upstream::attempt::AttemptResult;
 use crate::upstream::connection::ServerConnection;
 
-/// What the other parts of the node notify the driver of.
+/// Events that the other parts of the node report to the driver.
 ///
 /// The channel is unbounded: the number of sessions and attempts is limited, and each has few messages in the channel.
 pub(crate) enum Message {
     /// A client sent a request.
     RequestReceived(IncomingRequest),
-    /// A client sent a request beyond what its connection may have open.
+    /// A client sent a request while its connection had as many open as it may have.
     ExcessRequest(ExcessRequest),
     /// The client of a request disconnected.
     ClientDisconnected(RequestId),
-    /// The value of an attempt has begun to arrive and is forwarded while it does.
+    /// A large value has begun to arrive from a server. `stream` yields it while it arrives.
     ResponseStarted { attempt: AttemptId, stream: ValueStream },
-    /// An attempt ran to its end.
+    /// The task of an attempt ran to its end.
     AttemptFinished(FinishedAttempt),
-    /// An endpoint list, complete or changed entries only.
+    /// An endpoint list arrived, which is complete or has the changed entries only.
     EndpointList(EndpointList),
     /// A poll or watch of the endpoint list failed.
     EndpointListFailed,
 }
 
-/// Control messages, which the driver takes before all others, however many of those wait.
+/// Control messages, which the driver takes before any [`Message`].
 pub(crate) enum Control {
-    /// Graceful shutdown: the process ends at this time, and every request must have its response by then.
+    /// Starts a graceful shutdown. Every request must have its response by this time.
     Shutdown(Instant),
     /// Asks whether there is a server of this name.
     IsKnownServer { name: String, reply: oneshot::Sender<bool> },
-    /// New settings; the reply is what they mean for the other parts of the node.
+    /// Replaces the settings. The reply is what the other parts of the node need of them, or why they are invalid.
     Reload { document: Box<SettingsDocument>, reply: oneshot::Sender<Result<SharedSettings, SettingsError>> },
-    /// The operators' overrides for servers, as they are now. The sender is notified once they are in force.
+    /// Replaces the operators' overrides for servers. `applied` is notified once they are in force.
     Overrides { overrides: Overrides, applied: Option<oneshot::Sender<()>> },
 }
 
-/// What the settings mean for the parts of the node around the driver.
+/// What the parts of the node other than the driver need of the settings.
 #[derive(Clone)]
 pub(crate) struct SharedSettings {
-    /// Classes that clients may name.
+    /// The classes that clients may name.
     pub(crate) class_names: HashSet<String>,
-    /// The longest deadline of any class, counted from the request.
+    /// The longest deadline of any class, counted from the arrival of a request.
     pub(crate) max_deadline: Duration,
-    /// How the endpoint list is followed.
+    /// How the node follows the endpoint list.
     pub(crate) discovery: DiscoverySettings,
 }
 
-/// How the endpoint list is followed.
+/// How the node follows the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct DiscoverySettings {
-    /// Whether a fleet shares one discovery service that has to be watched; else an agent pushes lists.
+    /// Whether the node watches a discovery service that a whole fleet shares. If not, an agent pushes lists.
     pub(crate) watch: bool,
-    /// Without a watch the list is polled at least this often.
+    /// The longest interval between polls of the list without a watch.
     pub(crate) max_poll_interval: Duration,
-    /// Nodes that share the discovery service, this one included.
+    /// The number of nodes that share the discovery service, including this one.
     pub(crate) node_count: usize,
 }
 
@@ -90,27 +90,27 @@
 pub(crate) struct IncomingRequest {
     pub(crate) id: RequestId,
     pub(crate) request: ClientRequest,
-    /// The earliest time at which it may have arrived; its timeout counts from then.
+    /// The earliest time at which the request may have arrived. Its timeout counts from then.
     pub(crate) received_at: Instant,
-    /// Takes the response.
+    /// Receives the response.
     pub(crate) response: oneshot::Sender<Response>,
     pub(crate) client: ClientStatus,
 }
 
-/// A request beyond what one connection may have open. It is rejected at once and never forwarded.
+/// A request beyond the number that one connection may have open. It is rejected at once and never forwarded.
 pub(crate) struct ExcessRequest {
-    /// The class that it names.
+    /// The class that the request names.
     pub(crate) class: Option<String>,
-    /// Takes the response.
+    /// Receives the response.
     pub(crate) response: oneshot::Sender<Response>,
 }
 
-/// An attempt that has run to its end.
+/// An attempt whose task has run to its end.
 pub(crate) struct FinishedAttempt {
     pub(crate) attempt: AttemptId,
     pub(crate) result: AttemptResult,
     pub(crate) server: ServerId,
     pub(crate) addr: SocketAddr,
-    /// The connection, if it can be used again.
+    /// The connection to the server, if another request may use it.
     pub(crate) connection: Option<ServerConnection>,
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,4 +1,4 @@
-//! Large values relayed between a server and a client in chunks, within one memory budget.
+//! Relays large values from a server to a client in chunks, within one memory budget.
 
 use std::io;
 use std::sync::Arc;
@@ -15,25 +15,26 @@
 pub(crate) const MAX_BUFFERED_BYTES: usize = 64 << 10;
 /// The largest chunk in which longer values are relayed, in bytes.
 pub(crate) const CHUNK_BYTES: usize = 16 << 10;
-/// A transfer in which no byte moves for this long is abandoned.
+/// A transfer is abandoned if no byte is read or written for this long.
 pub(crate) const PROGRESS_TIMEOUT: Duration = Duration::from_secs(5);
-/// The largest command or reply, in bytes: a value and what surrounds it.
+/// The largest command or reply, in bytes: a value and up to 4 KiB around it.
 pub(crate) const MAX_FRAME_BYTES: usize = MAX_VALUE_BYTES + (4 << 10);
 
-/// A part of the memory budget, returned to it on drop.
+/// A reserved part of the memory budget, returned to it on drop.
 pub(crate) type MemoryPermit = OwnedSemaphorePermit;
 
-/// The memory that values in transit may occupy, in both directions together. Clones share one budget.
+/// The memory that values in transit may occupy, to and from clients together. Clones share one budget.
 #[derive(Clone)]
 pub(crate) struct MemoryBudget(Arc<Semaphore>);
 
 impl MemoryBudget {
-    /// Creates a budget of `bytes`, or of the largest frame if that is more.
+    /// Creates a budget of `bytes`, or of [`MAX_FRAME_BYTES`] if that is more.
     pub(crate) fn new(bytes: usize) -> MemoryBudget {
         MemoryBudget(Arc::new(Semaphore::new(bytes.max(MAX_FRAME_BYTES))))
     }
 
-    /// Waits until `bytes` are free, for a value that has to be buffered completely. Requests are served in order.
+    /// Waits until `bytes` are free and reserves them, for a value that has to be buffered completely. Reservations are
+    /// made in the order of the calls.
     ///
     /// # Errors
     ///
@@ -42,13 +43,13 @@
         self.0.clone().acquire_many_owned(bytes as u32).await.map_err(io::Error::other)
     }
 
-    /// Waits until a chunk of this size is free. The holder of a chunk passes it on or gives up in bounded time, and
-    /// nobody waits for a second chunk while holding the first, so that this cannot deadlock.
+    /// Waits until a chunk of this size is free and reserves it. This cannot deadlock: the holder of a chunk passes it
+    /// on or drops it in bounded time, and none waits for a second chunk while it holds one.
     async fn reserve_chunk(&self, bytes: usize) -> io::Result<MemoryPermit> {
         self.reserve(bytes.min(CHUNK_BYTES)).await
     }
 
-    /// Counts bytes that have been read as a chunk.
+    /// Makes a chunk of bytes that have been read already, once the budget has room for it.
     ///
     /// # Errors
     ///
@@ -92,7 +93,7 @@
 /// The sending end of a value in transit. If it is dropped before the last chunk, the value is incomplete.
 pub(crate) struct ValueSink(mpsc::Sender<Chunk>);
 
-/// The receiver of a value has dropped its stream.
+/// The error that the receiver of a value has dropped its stream.
 #[derive(Debug)]
 pub(crate) struct ReceiverDropped;
 
@@ -119,15 +120,16 @@
 }
 
 impl ValueStream {
-    /// A stream of a value that has already been read completely, and the memory that it occupies.
+    /// Creates the stream of a value that has been read completely. `permit` is for the memory that the value occupies.
     pub(crate) fn buffered(bytes: Bytes, permit: MemoryPermit) -> ValueStream {
         let (sender, chunks) = mpsc::channel(1);
         let length = bytes.len();
-        let _ = sender.try_send(Chunk { bytes, _permit: permit }); // the channel is empty and holds one
+        // Succeeds, since the channel is empty and has room for one chunk.
+        let _ = sender.try_send(Chunk { bytes, _permit: permit });
         ValueStream { length, chunks }
     }
 
-    /// Returns the next chunk, or `None` after the last one or if the rest is lost.
+    /// Returns the next chunk, or `None` after the last one and if the sender was dropped before it.
     pub(crate) async fn next_chunk(&mut self) -> Option<Chunk> {
         self.chunks.recv().await
     }
@@ -136,8 +138,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the value is incomplete or the client reads nothing for [`PROGRESS_TIMEOUT`]. The connection then has to
-    /// be closed, so that the client notices.
+    /// Fails if the value is incomplete or the client reads nothing for [`PROGRESS_TIMEOUT`]. The connection has to be
+    /// closed then, so that the client notices that the value is incomplete.
     pub(crate) async fn write_to(mut self, to: &mut (impl AsyncWrite + Unpin)) -> io::Result<()> {
         let header = format!("${}\r\n", self.length);
         timeout(PROGRESS_TIMEOUT, to.write_all(header.as_bytes())).await??;
@@ -155,7 +157,7 @@
 
 /// What an attempt needs to relay a large value.
 pub(crate) struct RelayContext {
-    /// The budget that its chunks count in.
+    /// The budget that the chunks are reserved from.
     pub(crate) budget: MemoryBudget,
     /// Called with the value's stream once its first bytes have been read.
     pub(crate) on_start: Box<dyn FnOnce(ValueStream) + Send>,
--- a/crates/node/src/relay/tests.rs
+++ b/crates/node/src/relay/tests.rs
@@ -1,3 +1,5 @@
+//! Relays of values between pipes in memory.
+
 use super::*;
 use tokio::io::duplex;
 
@@ -5,7 +7,7 @@
     budget.0.available_permits()
 }
 
-/// Relays a value from one pipe to another; returns whether it was complete.
+/// Relays a value from one pipe to another. Returns whether it was written completely.
 async fn relay(
     budget: MemoryBudget,
     length: usize,
@@ -33,7 +35,8 @@
     let budget = MemoryBudget(Arc::new(Semaphore::new(4 * CHUNK_BYTES)));
     let mut relays = tokio::task::JoinSet::new();
     for n in 0..16u8 {
-        // Pipes that cut the value anywhere, and a client that reads slowly.
+        // Pipes smaller than a chunk, so that reads and writes end at any byte of the value, and a client that reads
+        // slowly.
         let ((mut server, from), (to, mut client)) = (duplex(1000 + usize::from(n)), duplex(700));
         tokio::spawn(async move { server.write_all(&vec![n; LENGTH]).await });
         let budget = budget.clone();
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The timing of a graceful shutdown: what ends how long after the request to stop. Has no clock.
+//! The schedule of a graceful shutdown: how long after the request to stop each of its steps is due.
 
 use std::time::Duration;
 
@@ -6,39 +6,42 @@
     Duration::from_millis(ms)
 }
 
-/// The platform kills a stopping process after the longest deadline of a class, but counts no more than this for it, ...
+/// The platform kills a stopping process [`KILL_MARGIN`] after the longest deadline of its classes. A longer deadline
+/// than this is counted as this.
 const MAX_COUNTED_DEADLINE: Duration = ms(3_000);
-/// ... and this much later. A request that arrives later than this after the request to stop is lost if it is unanswered
-/// at the kill.
+/// The time from the longest deadline to the kill. A request that arrives later than this after the request to stop may
+/// not be answered before the kill, and is lost then.
 const KILL_MARGIN: Duration = ms(700);
-/// How long new connections may still be on their way, unless a successor accepts them. They take 0.4 s at most.
+/// How long connections are accepted unless a successor accepts them. New connections arrive for up to 0.4 s after the
+/// request to stop.
 const ACCEPT_PERIOD: Duration = ms(500);
-/// How long the first request of a new connection may be on its way; the connection stays open for it, ...
+/// How long a connection without a request stays open for its first one, which may be on its way.
 const FIRST_REQUEST_PERIOD: Duration = ms(500);
-/// ... unless the request would arrive too late: the last connection closes this long before [`KILL_MARGIN`] ends.
+/// Connections without a request close at least this long before [`KILL_MARGIN`] is over, since a request that arrives
+/// later may be lost.
 const CLOSE_MARGIN: Duration = ms(50);
 /// Open requests are answered this long before the kill.
 const ANSWER_MARGIN: Duration = ms(200);
-/// The process ends this long before the kill, with the last writes.
+/// The process exits this long before the kill, even if replies are still being written.
 const EXIT_MARGIN: Duration = ms(100);
 
-/// The schedule of a shutdown, as times after the request to stop.
+/// The times of the steps of a shutdown, counted from the request to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ShutdownSchedule {
-    /// Until then connections are accepted. Afterwards a connection that has had a request closes as soon as it has no
-    /// pending reply.
+    /// Connections are accepted until then. From then on a connection that has had a request closes as soon as it has
+    /// no pending reply.
     pub(crate) accept_until: Duration,
-    /// From then on connections that have had no request close too, so that nothing more arrives.
+    /// From then on connections that have had no request close too, so that no more requests arrive.
     pub(crate) close_unused_at: Duration,
     /// All open requests are answered by then.
     pub(crate) answer_by: Duration,
-    /// The process ends, whatever is still being written.
+    /// The process exits then, even if replies are still being written.
     pub(crate) exit_at: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The schedule for clients that wait up to `longest_deadline`, with or without a successor that accepts connections
-    /// on the same socket.
+    /// Creates the schedule for clients that wait up to `longest_deadline`, with or without a successor that accepts
+    /// connections on the same socket.
     pub(crate) fn new(longest_deadline: Duration, has_successor: bool) -> ShutdownSchedule {
         let killed_at = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
         let accept_until = if has_successor { Duration::ZERO } else { ACCEPT_PERIOD };
--- a/crates/node/src/transient.rs
+++ b/crates/node/src/transient.rs
@@ -1,4 +1,4 @@
-//! Retries of file and socket operations that fail for reasons which may pass within moments.
+//! Retries of file and socket operations whose errors may be transient.
 
 use std::io;
 use std::time::Duration;
@@ -6,14 +6,15 @@
 use stonefold_net::SocketErrorKind;
 use tokio::time::{Instant, sleep};
 
-/// An operation that fails for longer than this has failed. A start may take seconds, and an operator may be waiting.
+/// How long an operation is retried before its error is final. The start of a node may take seconds, but an operator
+/// may be waiting for the result.
 const RETRY_PERIOD: Duration = Duration::from_millis(1_200);
-/// The time between two attempts.
+/// The pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An error whose cause may pass within moments.
+/// An error that may be transient.
 pub(crate) trait TransientError {
-    /// Whether another attempt may succeed.
+    /// Whether another attempt soon afterwards may succeed.
     fn is_transient(&self) -> bool;
 }
 
@@ -25,7 +26,8 @@
     }
 }
 
-/// Repeats an operation that does not block until it succeeds, fails permanently, or has failed for [`RETRY_PERIOD`].
+/// Repeats a non-blocking operation until it succeeds, fails with a permanent error, or has failed for
+/// [`RETRY_PERIOD`].
 ///
 /// # Errors
 ///
@@ -46,7 +48,7 @@
     }
 }
 
-/// Like [`retry_transient`], for use before a runtime exists: blocks the thread.
+/// Like [`retry_transient`], but blocks the thread, for use before a runtime exists.
 ///
 /// # Errors
 ///
