--- a/crates/store/src/applied.rs
+++ b/crates/store/src/applied.rs
@@ -1,4 +1,4 @@
-//! The state as of the last applied entry, and how an entry changes it.
+//! The state as of the last applied log entry, and how an entry is applied to it.
 
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
 
@@ -9,16 +9,16 @@
 use crate::raft::{Entry, LogId, StoredMembership};
 use crate::state::{Reply, State};
 
-/// The state, and the entry up to which it is applied.
+/// The replicated state, together with the last log entry that has been applied to it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct AppliedState {
-    /// The last entry that has been applied.
+    /// The id of the last entry that has been applied.
     pub last: Option<LogId>,
     /// The members as of that entry.
     pub members: StoredMembership,
     /// The replicated state.
     pub state: State,
-    /// Which entry changed each part of the state.
+    /// The entry that last changed each part of the state.
     pub changes: ChangeIndex,
 }
 
@@ -41,8 +41,8 @@
                 reply
             }
             EntryPayload::Membership(members) => {
-                let before: Vec<_> = self.members.nodes().map(|(&id, _)| id).collect();
-                let removed = before.into_iter().filter(|id| members.get_node(id).is_none());
+                let previous: Vec<_> = self.members.nodes().map(|(&id, _)| id).collect();
+                let removed = previous.into_iter().filter(|id| members.get_node(id).is_none());
                 self.state.remove_members(removed);
                 self.members = StoredMembership::new(Some(entry.log_id), members);
                 Reply::Empty
@@ -51,12 +51,12 @@
     }
 }
 
-/// The applied state that requests read, shared with the state machine that changes it.
+/// The applied state, shared between the state machine, which changes it, and the requests that read it.
 #[derive(Clone, Debug, Default)]
 pub struct SharedState(Arc<RwLock<AppliedState>>);
 
 impl SharedState {
-    /// The applied state. The guard must be dropped soon, as no entry is applied in the meantime.
+    /// Locks the applied state for reading. No entry is applied while the guard is held, so it must be dropped soon.
     pub fn read(&self) -> RwLockReadGuard<'_, AppliedState> {
         self.0.read().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/store/src/change_index.rs
+++ b/crates/store/src/change_index.rs
@@ -1,4 +1,5 @@
-//! The entry at which each part of the state changed last, and the latest purges. Subscribers are sent changes by it.
+//! Records which log entry last changed each part of the state, and retains the latest purges. The feed to subscribers
+//! is built from it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,17 +8,22 @@
 use crate::state::limits::MAX_RETAINED_PURGES;
 use crate::state::{Change, Reply, State};
 
-/// Which entry changed what; replicated beside the state. Documents hold their revisions themselves.
+/// The index of the entry that last changed each part of the state, replicated beside the state. Documents are not in
+/// it: their revisions hold the index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeIndex {
+    /// The entry that last set the endpoint list; 0 if none has.
     list: u64,
+    /// The entry that last set each server's override.
     overrides: BTreeMap<String, u64>,
+    /// The keys of the latest purges, from the oldest to the latest.
     purges: VecDeque<String>,
     /// The number of purges so far, which is the number of the last one.
     last_purge: u64,
 }
 
-/// The part of the state that a proposal may change. It is taken before the proposal is applied, which consumes it.
+/// The part of the state that a proposal may change. It is determined before the proposal is applied, because applying
+/// consumes the proposal.
 pub(crate) enum ChangeTarget {
     Document,
     List,
@@ -39,7 +45,8 @@
 }
 
 impl ChangeIndex {
-    /// An index for a state that was stored without one: nothing has changed after its last entry.
+    /// An index for a state that was stored without one: every part counts as changed by the entry with this index, the
+    /// last one applied.
     pub(crate) fn changed_at(index: u64, state: &State) -> ChangeIndex {
         let mut changes = ChangeIndex::default();
         changes.mark_everything(index, state);
@@ -61,7 +68,8 @@
                 self.overrides.insert(server, index);
                 self.overrides.retain(|server, _| state.overrides().contains_key(server));
             }
-            // A proposal that was retried has the reply of the first attempt.
+            // A retried proposal gets the reply of its first attempt, with that attempt's index: the purge is recorded
+            // already.
             ChangeTarget::Purge { .. } if applied != index => {}
             ChangeTarget::Purge { key } => {
                 self.last_purge += 1;
@@ -74,12 +82,12 @@
         }
     }
 
-    /// The entry that set the list.
+    /// The index of the entry that last set the endpoint list; 0 if none has.
     pub fn list(&self) -> u64 {
         self.list
     }
 
-    /// The entry that set a server's override; 0 without one.
+    /// The index of the entry that last set a server's override; 0 if it has none.
     pub fn admin_override(&self, server: &str) -> u64 {
         self.overrides.get(server).copied().unwrap_or(0)
     }
@@ -89,14 +97,14 @@
         self.last_purge
     }
 
-    /// The number of the last purge whose key is no longer retained.
+    /// The number of the latest purge whose key is no longer retained.
     pub fn last_dropped_purge(&self) -> u64 {
         self.last_purge - self.purges.len() as u64
     }
 
-    /// The keys of the purges after a number, the oldest first.
+    /// The retained keys of the purges after the purge with this number, from the oldest to the latest.
     pub fn purges_after(&self, number: u64) -> impl Iterator<Item = &str> {
-        let known = number.saturating_sub(self.last_dropped_purge()) as usize;
-        self.purges.iter().skip(known).map(String::as_str)
+        let skipped = number.saturating_sub(self.last_dropped_purge()) as usize;
+        self.purges.iter().skip(skipped).map(String::as_str)
     }
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the store from outside of the cluster. It finds the leader by itself.
+//! A client that sends requests to the store from outside the cluster, and finds the leader itself.
 
 use std::time::Duration;
 
@@ -9,28 +9,30 @@
 use crate::state::{Change, Proposal, Reply, Revision};
 use crate::wire::{Keys, Tcp};
 
-/// How long one request waits for its response.
+/// How long a request to one member waits for its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a change or an exported snapshot is waited for, retries included.
+/// How long a request to the leader is retried, and how long an exported snapshot is waited for.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long a change of members is waited for: a new member has to catch up.
+/// How long a membership change is retried. It is long because a new member has to catch up with the log.
 const MEMBERS_CHANGE_TIMEOUT: Duration = Duration::from_secs(40);
-/// The pause between two attempts at the leader.
+/// The pause between two attempts to reach the leader.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How often a member's status is polled until it has applied an entry.
+/// The interval at which a member's status is polled until the member has applied an entry.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A client of one cluster.
 pub struct Client {
     tcp: Tcp,
-    /// The member that is asked first: the leader, as far as is known.
+    /// The address of the member that requests are sent to first: the leader, as far as the client knows.
     addr: String,
+    /// This client's id, drawn at random.
     id: u64,
+    /// The sequence number of the latest proposal.
     sequence: u64,
 }
 
 impl Client {
-    /// A client that begins with the member at this address.
+    /// A client that sends its first request to the member at this address.
     pub fn new(keys: Keys, cluster: u128, addr: impl Into<String>) -> Client {
         Client { tcp: Tcp::client(keys, cluster), addr: addr.into(), id: fastrand::u64(..), sequence: 0 }
     }
@@ -48,7 +50,7 @@
         self.tcp.request(0, addr, request, timeout).await
     }
 
-    /// Sends a request to the leader, with retries until the timeout.
+    /// Sends a request to the leader, and retries until the timeout.
     async fn request_leader<T>(
         &mut self,
         request: Request,
@@ -56,16 +58,16 @@
         read: impl Fn(Response) -> Result<T, RequestError>,
     ) -> Result<T, RequestError> {
         let deadline = Instant::now() + timeout;
-        let first = self.addr.clone();
+        let first_addr = self.addr.clone();
         loop {
             let result = self.request(&self.addr, request.clone(), timeout).await.and_then(&read);
             match result {
                 Err(RequestError::NotLeader { leader }) if Instant::now() < deadline => {
-                    self.addr = leader.map_or_else(|| first.clone(), |(_, addr)| addr);
+                    self.addr = leader.map_or_else(|| first_addr.clone(), |(_, addr)| addr);
                 }
                 Err(RequestError::NoQuorum | RequestError::Busy) if Instant::now() < deadline => {}
-                Err(RequestError::Unreachable(_)) if self.addr != first && Instant::now() < deadline => {
-                    self.addr = first.clone();
+                Err(RequestError::Unreachable(_)) if self.addr != first_addr && Instant::now() < deadline => {
+                    self.addr = first_addr.clone();
                 }
                 result => return result,
             }
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Makes a change: once, however often it is retried.
+    /// Makes a change of the state. It is carried out once, however often the request is retried.
     ///
     /// # Errors
     /// If no reply came in time. The change may have been made nevertheless.
@@ -90,7 +92,7 @@
     /// Adds or removes a member, by [`Request::AddMember`] or [`Request::RemoveMember`].
     ///
     /// # Errors
-    /// If it can't be done.
+    /// If the change is not possible, or the leader doesn't answer in time.
     pub async fn change_members(&mut self, request: Request) -> Result<(), RequestError> {
         self.request_leader(request, MEMBERS_CHANGE_TIMEOUT, |response| match response {
             Response::MembersChanged(result) => result,
@@ -99,11 +101,11 @@
         .await
     }
 
-    /// The leader's latest revision of a document, or all that are retained. A leader that takes longer than the request
-    /// timeout to apply what is committed answers with what it has applied by then.
+    /// Reads a document from the leader: its latest revision, or all retained revisions. If the leader takes longer
+    /// than the request timeout to apply what is committed, it answers with what it has applied by then.
     ///
     /// # Errors
-    /// If there is no leader.
+    /// If no leader answers.
     pub async fn document(&mut self, name: &str, history: bool) -> Result<Vec<Revision>, RequestError> {
         let read_index = self.request_leader(Request::ReadIndex, LEADER_TIMEOUT, |response| match response {
             Response::ReadIndex(result) => result,
@@ -132,7 +134,8 @@
         }
     }
 
-    /// A sealed snapshot of what the member that is asked first has applied. It need not be the leader, and may lag.
+    /// Exports a sealed snapshot of the state that a member has applied. The member is the one that requests are sent
+    /// to first; it need not be the leader, and its state may lag.
     ///
     /// # Errors
     /// If it doesn't answer.
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of values on disk and on the wire: a version byte, then the value in postcard's stable format.
+//! The encoding of values on disk and on the wire: a version byte, followed by the value in postcard's stable format.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -6,37 +6,37 @@
 
 /// The version of the encoding.
 pub const VERSION: u8 = 1;
-/// The SHA-256 before a sealed value, in bytes.
+/// The length of the SHA-256 checksum before a sealed value, in bytes.
 const CHECKSUM_BYTES: usize = 32;
 
-/// Why bytes can't be decoded.
+/// The reason why a value can't be decoded or encoded.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
 pub enum CodecError {
-    /// There are no bytes.
-    #[error("no bytes where {0} should be")]
+    /// The value is missing, or too short to hold a checksum.
+    #[error("{0} is missing or empty")]
     Empty(&'static str),
-    /// They are of another version.
+    /// The value is of another version.
     #[error(
-        "{what} is of version {found}; this program reads {VERSION}: use the program that wrote it, or a newer one"
+        "{what} is of version {found}; this program reads version {VERSION}: use the program that wrote it, or a newer one"
     )]
     Version {
-        /// What the value is.
+        /// The kind of the value.
         what: &'static str,
-        /// The version.
+        /// The version that was found.
         found: u8,
     },
-    /// They are not a value of this kind.
+    /// The bytes are not a value of this kind.
     #[error("{0} is damaged: {1}")]
     Damaged(&'static str, postcard::Error),
-    /// There are more bytes than the value has.
-    #[error("{0} is damaged: {1} bytes too many")]
-    Longer(&'static str, usize),
-    /// The checksum differs.
+    /// More bytes follow the end of the value.
+    #[error("{0} is damaged: {1} extra bytes at the end")]
+    TrailingBytes(&'static str, usize),
+    /// The checksum doesn't match the value.
     #[error("{0} is damaged: its checksum differs")]
     Checksum(&'static str),
 }
 
-/// Encodes a value. Errors call it `what`.
+/// Encodes a value. Error messages name the value `what`.
 ///
 /// # Errors
 /// If the value can't be encoded, which doesn't happen for this crate's types.
@@ -47,13 +47,13 @@
 /// Decodes a value that has to take up all of the bytes.
 ///
 /// # Errors
-/// If they are not a complete value of this version.
+/// If the bytes are not exactly one complete value of this version.
 pub fn decode<T: DeserializeOwned>(what: &'static str, bytes: &[u8]) -> Result<T, CodecError> {
     match bytes.split_first() {
         None => Err(CodecError::Empty(what)),
         Some((&VERSION, rest)) => match postcard::take_from_bytes(rest) {
             Ok((value, [])) => Ok(value),
-            Ok((_, more)) => Err(CodecError::Longer(what, more.len())),
+            Ok((_, trailing)) => Err(CodecError::TrailingBytes(what, trailing.len())),
             Err(error) => Err(CodecError::Damaged(what, error)),
         },
         Some((&found, _)) => Err(CodecError::Version { what, found }),
@@ -71,10 +71,10 @@
     Ok(sealed)
 }
 
-/// Decodes a sealed value.
+/// Decodes a sealed value and checks its checksum.
 ///
 /// # Errors
-/// If the checksum differs, and as [`decode`].
+/// If the checksum doesn't match, and as [`decode`].
 pub fn unseal<T: DeserializeOwned>(what: &'static str, bytes: &[u8]) -> Result<T, CodecError> {
     let (checksum, body) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or(CodecError::Empty(what))?;
     if Sha256::digest(body).as_slice() != checksum {
--- a/crates/store/src/daemon.rs
+++ b/crates/store/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A member of the store beside a node, on a thread of its own.
+//! Runs a member of the store beside a node, on a separate thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,27 +18,27 @@
 use crate::service::{block_until_ready, reload_keys, spawn};
 use crate::wire::{KeyError, Keys, Tcp, serve};
 
-/// How often, after the startup, a quorum is asked what is committed, and the key file is read again.
+/// The interval, after the startup, at which the committed index is confirmed by a quorum and the key file is reread.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The settings of a node's member of the store.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The folder of the store's file.
+    /// The folder that holds the store's file.
     pub dir: PathBuf,
-    /// The address that it listens at, a loopback address.
+    /// The loopback address that the member listens on.
     pub listen: SocketAddr,
-    /// The file of the key that all members share.
+    /// The file with the key that all members share.
     pub key_file: PathBuf,
     /// How long the node's startup waits for the other members.
     pub startup_timeout: Duration,
 }
 
-/// Why a node's member of the store can't start.
+/// The reason why a node's member of the store can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum MemberDaemonError {
-    /// The address is no loopback address.
-    #[error("{0} is no loopback address: the store listens on those alone")]
+    /// The address is not a loopback address.
+    #[error("{0} is no loopback address: the store listens only on loopback addresses")]
     NotLoopback(SocketAddr),
     /// The key file can't be used.
     #[error("{0}")]
@@ -49,19 +49,19 @@
     /// The replica can't start.
     #[error("{0}")]
     Start(#[from] StartError),
-    /// The address can't be listened at.
+    /// Binding to the address failed.
     #[error("cannot listen at {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The thread can't be started.
-    #[error("the store's thread: {0}")]
+    /// The thread can't be started, or ended during its start.
+    #[error("cannot run the store's thread: {0}")]
     Thread(io::Error),
 }
 
-/// A running member of the store, which stops when this is dropped.
+/// A running member of the store. Dropping this value stops the member.
 pub struct MemberDaemon {
     /// The member's replica.
     pub replica: Replica<Tcp>,
-    /// Whether the startup is complete: what is committed is known, or the startup has timed out.
+    /// Whether the startup is complete: a quorum has confirmed what is committed, or the startup has timed out.
     pub ready: watch::Receiver<bool>,
     _stop: DropGuard,
 }
@@ -73,38 +73,38 @@
     }
 }
 
-/// Starts a member of the store on a thread of its own.
+/// Starts a member of the store on a separate thread.
 ///
 /// # Errors
-/// If its folder, key or address can't be used. Nothing is left running then.
+/// If its folder, key or address can't be used. On an error nothing is left running.
 pub fn start(settings: Settings) -> Result<MemberDaemon, MemberDaemonError> {
     if !settings.listen.ip().is_loopback() {
         return Err(MemberDaemonError::NotLoopback(settings.listen));
     }
-    let (started, starting) = mpsc::sync_channel(1);
+    let (start_sender, start_result) = mpsc::sync_channel(1);
     let (ready_sender, ready) = watch::channel(false);
     let stop = CancellationToken::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(MemberDaemonError::Thread)?;
-    let stopped = stop.clone();
+    let thread_stop = stop.clone();
     let run = move || {
         runtime.block_on(async move {
             match MemberThread::start(settings).await {
                 Ok(member) => {
-                    let _ = started.send(Ok(member.replica.clone())); // it is received below
-                    member.run(ready_sender, stopped).await;
+                    let _ = start_sender.send(Ok(member.replica.clone())); // `start` waits for it
+                    member.run(ready_sender, thread_stop).await;
                 }
-                Err(error) => _ = started.send(Err(error)),
+                Err(error) => _ = start_sender.send(Err(error)),
             }
         });
     };
     spawn(run).map_err(MemberDaemonError::Thread)?;
-    let ended = |_| MemberDaemonError::Thread(io::Error::other("it ended at its start"));
-    let replica = starting.recv().map_err(ended)??;
+    let thread_ended = |_| MemberDaemonError::Thread(io::Error::other("it ended during its start"));
+    let replica = start_result.recv().map_err(thread_ended)??;
     Ok(MemberDaemon { replica, ready, _stop: stop.drop_guard() })
 }
 
-/// The member as its thread runs it.
+/// The parts of a member that its thread owns.
 struct MemberThread {
     replica: Replica<Tcp>,
     listener: TcpListener,
@@ -123,7 +123,7 @@
         let tcp = Tcp::member(keys, identity.cluster, identity.member, addr.to_string());
         let options = Options { startup_timeout: settings.startup_timeout, ..Options::new(addr.to_string()) };
         let replica = Replica::start(disk, options, tcp.clone()).await?;
-        info!(event = "store_started", member = identity.member, at = %addr, "the store's replica runs");
+        info!(event = "store_started", member = identity.member, at = %addr, "the store's replica has started");
         Ok(MemberThread { replica, listener, tcp, settings })
     }
 
@@ -136,7 +136,8 @@
             let error = confirmation.err().map(|error| error.to_string());
             warn!(
                 event = "store_unconfirmed",
-                error, "the node uses the state on its own disk, which may be stale"
+                error,
+                "no quorum has confirmed the state: the node uses the one on its own disk, which may be stale"
             );
         }
         ready.send_replace(true);
@@ -146,17 +147,18 @@
     }
 }
 
-/// Waits until a quorum has confirmed what is committed, or the startup has timed out; the last attempt's result.
+/// Waits until a quorum has confirmed what is committed, or the startup has timed out. Returns the result of the last
+/// attempt.
 async fn wait_for_startup(replica: &Replica<Tcp>, timeout: Duration) -> Result<(), RequestError> {
-    let mut last = Ok(());
+    let mut last_result = Ok(());
     while !replica.freshness(|freshness, now| freshness.startup_complete(now)) {
-        last = replica.confirm(Instant::now() + timeout.min(CONFIRM_INTERVAL)).await;
+        last_result = replica.confirm(Instant::now() + timeout.min(CONFIRM_INTERVAL)).await;
     }
-    last
+    last_result
 }
 
-/// Asks a quorum regularly what is committed until the member is stopped, and logs when there is none and when there is
-/// one again.
+/// Confirms regularly what is committed until the member is stopped. Logs when a quorum begins to answer and when it
+/// ceases to.
 async fn confirm_regularly(
     replica: &Replica<Tcp>,
     tcp: &Tcp,
@@ -172,10 +174,13 @@
         reload_keys(tcp, &settings.key_file);
         let is_confirmed = replica.confirm(Instant::now() + CONFIRM_INTERVAL).await.is_ok();
         if is_confirmed && !was_confirmed {
-            info!(event = "store_confirmed", "a quorum of the store answers");
+            info!(event = "store_confirmed", "a quorum of the store's members answers");
         } else if was_confirmed && !is_confirmed {
             let stale_ms = replica.status().stale_ms;
-            warn!(event = "store_stale", stale_ms, "no quorum of the store answers: changes are rejected");
+            warn!(
+                event = "store_stale",
+                stale_ms, "no quorum of the store's members answers: changes are rejected"
+            );
         }
         was_confirmed = is_confirmed;
     }
--- a/crates/store/src/disk/error.rs
+++ b/crates/store/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! Why a disk can't be used.
+//! The errors of a replica's disk.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,35 +7,35 @@
 use crate::codec::CodecError;
 use crate::raft::MemberId;
 
-/// Why a disk can't be used.
+/// The reason why a replica's disk can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
     /// The folder holds no store.
-    #[error("{path}: no store here; make one with `stonefold store init`", path = .0.display())]
+    #[error("{path}: no store here; create one with `stonefold store init`", path = .0.display())]
     Missing(PathBuf),
-    /// The folder holds a store already.
-    #[error("{path}: there is a store here already, of member {member} of cluster {cluster:032x}", path = .path.display())]
+    /// The folder already holds a store.
+    #[error("{path}: there is already a store here, of member {member} of cluster {cluster:032x}", path = .path.display())]
     Exists {
         /// The store's file.
         path: PathBuf,
-        /// The member that it belongs to.
+        /// The member that the store belongs to.
         member: MemberId,
-        /// The cluster that it belongs to.
+        /// The cluster that the store belongs to.
         cluster: u128,
     },
     /// The file's layout is of another version.
     #[error(
-        "the store's file is of format {0}; this program reads {FORMAT_VERSION}: use the program that wrote it"
+        "the store's file is of format version {0}; this program reads version {FORMAT_VERSION}: use the program that wrote it"
     )]
     Format(u32),
-    /// A value in the file can't be read.
+    /// A value in the file can't be decoded.
     #[error("the store's file: {0}")]
     Codec(#[from] CodecError),
     /// The database failed.
     #[error("the store's file: {0}")]
     Database(Box<redb::Error>),
-    /// An entry of the log is missing.
-    #[error("the log has entry {found} where {expected} should be")]
+    /// A log entry is missing.
+    #[error("the log has entry {found} where entry {expected} is expected")]
     Gap {
         /// The index of the missing entry.
         expected: u64,
--- a/crates/store/src/disk/log_storage.rs
+++ b/crates/store/src/disk/log_storage.rs
@@ -1,4 +1,4 @@
-//! The engine's log and vote on a [`Disk`].
+//! Stores the consensus engine's log and vote on a [`Disk`].
 
 use std::fmt::Debug;
 use std::io;
@@ -47,15 +47,16 @@
     async fn read_vote(&mut self) -> Result<Option<Vote<MemberId>>, StorageError> {
         let vote: Option<Vote<MemberId>> =
             self.get(KEY_VOTE).map_err(|error| StorageIOError::read_vote(AnyError::new(&error)))?;
-        // A leader that restarts has to be elected anew. If it went on in its old term, it would report the commit index
-        // of its disk to readers, which may be behind what it has acknowledged.
+        // A leader that restarts has to be elected again, so its own vote is returned as not committed. If it went on
+        // as the leader of its old term, it would report to readers the commit index on its disk, which may be behind
+        // what it has acknowledged.
         let own_id = self.identity.member;
         Ok(vote.map(|vote| Vote { committed: vote.committed && vote.leader_id.node_id != own_id, ..vote }))
     }
 
     async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), StorageError> {
-        // Synced before anything is applied, so that after a power cut and without a quorum the node doesn't use an older
-        // list or configuration than it has used before.
+        // The index is synced before anything is applied, so that a node that restarts after a power cut without a
+        // quorum doesn't use an older list or configuration than it has used before.
         self.put(KEY_COMMITTED, &committed).map_err(write_error)
     }
 
--- a/crates/store/src/disk/mod.rs
+++ b/crates/store/src/disk/mod.rs
@@ -1,4 +1,5 @@
-//! A replica's disk: identity, vote, log and latest snapshot in one redb file. What is acknowledged is synced before.
+//! A replica's disk: its identity, vote, log and latest snapshot in one redb file. Writes are synced before they are
+//! acknowledged.
 
 mod error;
 mod log_storage;
@@ -21,49 +22,51 @@
 
 /// The version of the file's layout: its tables, and the keys and values in them.
 const FORMAT_VERSION: u32 = 1;
+/// The name of the store's file in its folder.
 const FILE_NAME: &str = "store.redb";
-/// The database's page cache, in bytes.
+/// The size of the database's page cache, in bytes.
 const PAGE_CACHE_BYTES: usize = 1 << 20;
-/// Single values by the `KEY_` constants.
+/// The table of single values, with the `KEY_` constants as keys.
 const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// Log entries by their index.
+/// The table of log entries, with their indexes as keys.
 const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// The [`FORMAT_VERSION`] of the file.
+/// The key of the file's [`FORMAT_VERSION`].
 const KEY_FORMAT: &str = "format";
-/// The [`Identity`].
+/// The key of the [`Identity`].
 const KEY_IDENTITY: &str = "identity";
-/// The vote in the current term.
+/// The key of the vote in the current term.
 const KEY_VOTE: &str = "vote";
-/// The last entry known to be committed.
+/// The key of the last log entry known to be committed.
 const KEY_COMMITTED: &str = "committed";
-/// The last entry that log compaction has removed. Unrelated to [`Change::Purge`](crate::state::Change::Purge).
+/// The key of the last entry that log compaction has removed. It is unrelated to
+/// [`Change::Purge`](crate::state::Change::Purge).
 const KEY_PURGED: &str = "purged";
-/// Which entries the latest snapshot covers.
+/// The key of the latest snapshot's metadata, which says which entries it covers.
 const KEY_SNAPSHOT_META: &str = "snapshot_meta";
-/// The latest snapshot, sealed.
+/// The key of the latest snapshot, which is sealed.
 const KEY_SNAPSHOT: &str = "snapshot";
-/// What errors call an entry.
-const LOG_ENTRY: &str = "a log entry";
+/// The name of a log entry in error messages.
+const LOG_ENTRY_LABEL: &str = "a log entry";
 
 /// The cluster and the member that a disk belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The cluster, drawn at random when it is made.
+    /// The cluster's id, drawn at random when the cluster is created.
     pub cluster: u128,
-    /// The member.
+    /// The member's id.
     pub member: MemberId,
 }
 
-/// The summary of an undamaged disk.
+/// The summary of a disk that was read completely and found undamaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verified {
     /// The cluster and the member that it belongs to.
     pub identity: Identity,
-    /// The index of the log's first entry.
+    /// The index of the first entry in the log, after those that log compaction has removed.
     pub first: u64,
-    /// The number of entries.
+    /// The number of entries in the log.
     pub entries: usize,
-    /// The index of the last entry that the snapshot covers.
+    /// The index of the last entry that the snapshot covers; `None` without a snapshot.
     pub snapshot: Option<u64>,
 }
 
@@ -79,7 +82,7 @@
     }
 }
 
-/// A stored snapshot.
+/// The latest snapshot as it is stored: its metadata and its sealed bytes.
 pub(crate) struct StoredSnapshot {
     pub(crate) meta: SnapshotMeta,
     pub(crate) sealed: Vec<u8>,
@@ -87,12 +90,12 @@
 
 type Result<T, E = DiskError> = std::result::Result<T, E>;
 
-/// An open disk.
+/// An open disk. Its clones share one database.
 #[derive(Clone)]
 pub struct Disk {
     database: Arc<Database>,
     identity: Identity,
-    /// Whether writes are synced; off only where a test shows what syncing is for.
+    /// Whether writes are synced before they are acknowledged. Only tests that show the need for syncing turn it off.
     durability: Durability,
 }
 
@@ -102,17 +105,17 @@
     }
 }
 
-fn builder() -> Builder {
+fn database_builder() -> Builder {
     let mut builder = Builder::new();
     builder.set_cache_size(PAGE_CACHE_BYTES);
     builder
 }
 
 impl Disk {
-    /// Creates a store in a folder, and the folder too.
+    /// Creates a store in a folder. The folder is created as well if it doesn't exist.
     ///
     /// # Errors
-    /// If there is a store already, or it can't be written.
+    /// If the folder already holds a store, or can't be written.
     pub fn create(dir: &Path, identity: Identity) -> Result<Disk> {
         let path = dir.join(FILE_NAME);
         if path.exists() {
@@ -121,63 +124,65 @@
         }
         let io_error = |error| DiskError::Io(dir.to_owned(), error);
         fs::create_dir_all(dir).map_err(io_error)?;
-        let disk = Disk::initialize(builder().create(&path)?, identity)?;
-        // The folder is synced too: after a power cut it might not name the file otherwise.
+        let disk = Disk::initialize(database_builder().create(&path)?, identity)?;
+        // The folder is synced too: otherwise its entry for the file could be lost in a power cut.
         File::open(dir).and_then(|dir| dir.sync_all()).map_err(io_error)?;
         Ok(disk)
     }
 
-    /// Opens the store of a folder.
+    /// Opens the store in a folder.
     ///
     /// # Errors
-    /// If there is none, or it is in use, damaged, or of another version.
+    /// If the folder holds no store, or the store is in use, damaged, or of another version.
     pub fn open(dir: &Path) -> Result<Disk> {
         let path = dir.join(FILE_NAME);
         if !path.exists() {
             return Err(DiskError::Missing(path));
         }
-        let disk = Disk::uninitialized(builder().open(path)?);
+        let disk = Disk::uninitialized(database_builder().open(path)?);
         let identity = disk.stored_identity()?.ok_or(CodecError::Empty("the format"))?;
         Ok(Disk { identity, ..disk })
     }
 
-    /// A disk on a backend of the caller's. The store is created in it if it is empty.
+    /// Opens a disk on a storage backend that the caller provides. If the backend is empty, a store is created in it.
     ///
     /// # Errors
     /// As [`open`](Disk::open).
     pub fn with_backend(backend: impl StorageBackend, identity: Identity) -> Result<Disk> {
-        Disk::initialize(builder().create_with_backend(backend)?, identity)
+        Disk::initialize(database_builder().create_with_backend(backend)?, identity)
     }
 
-    /// The same disk, which from now on acknowledges writes before they are synced. For tests that show what syncing is
-    /// for.
+    /// Returns the disk with syncing turned off: it acknowledges writes before they are synced. For tests that show the
+    /// need for syncing.
     #[doc(hidden)]
     pub fn unsynced(mut self) -> Disk {
         self.durability = Durability::None;
         self
     }
 
+    /// A disk whose identity has not been read yet.
     fn uninitialized(database: Database) -> Disk {
         let identity = Identity { cluster: 0, member: 0 };
         Disk { database: Arc::new(database), identity, durability: Durability::Immediate }
     }
 
+    /// Reads the identity of a database, or stores the given one if the database has none.
     fn initialize(database: Database, identity: Identity) -> Result<Disk> {
         let mut disk = Disk::uninitialized(database);
         if let Some(stored) = disk.stored_identity()? {
             disk.identity = stored;
             return Ok(disk);
         }
-        disk.write(|write| {
-            write.open_table(LOG_TABLE)?;
-            put(write, KEY_FORMAT, &FORMAT_VERSION)?;
-            put(write, KEY_IDENTITY, &identity)
+        disk.write(|transaction| {
+            transaction.open_table(LOG_TABLE)?;
+            put(transaction, KEY_FORMAT, &FORMAT_VERSION)?;
+            put(transaction, KEY_IDENTITY, &identity)
         })?;
         disk.identity = identity;
         Ok(disk)
     }
 
-    /// The identity in a database that has been initialized; nothing in one that has not.
+    /// The identity stored in the database; `None` if the database has not been initialized.
     fn stored_identity(&self) -> Result<Option<Identity>> {
         match self.get(KEY_FORMAT)? {
             None => Ok(None),
@@ -188,10 +193,10 @@
         }
     }
 
-    /// Reads everything: the entries in their order and without a gap, and the snapshot with its checksum.
+    /// Reads everything on the disk, and checks that the log has no gap and that the snapshot matches its checksum.
     ///
     /// # Errors
-    /// The first value that can't be read or is missing.
+    /// For the first value that can't be read or is missing.
     pub fn verify(&self) -> Result<Verified> {
         let entries = self.entries(..)?;
         let purged: Option<LogId> = self.get(KEY_PURGED)?;
@@ -205,35 +210,36 @@
         Ok(Verified { identity: self.identity, first, entries: entries.len(), snapshot })
     }
 
-    /// The cluster and the member that it belongs to.
+    /// The cluster and the member that the disk belongs to.
     pub fn identity(&self) -> Identity {
         self.identity
     }
 
+    /// Runs `work` in a write transaction, and commits it.
     fn write(&self, work: impl FnOnce(&redb::WriteTransaction) -> Result<()>) -> Result<()> {
-        let mut write = self.database.begin_write()?;
-        write.set_durability(self.durability)?;
-        work(&write)?;
-        Ok(write.commit()?)
+        let mut transaction = self.database.begin_write()?;
+        transaction.set_durability(self.durability)?;
+        work(&transaction)?;
+        Ok(transaction.commit()?)
     }
 
-    /// The value of a key.
+    /// Reads the value of a key in [`META_TABLE`]; `None` if it is not set.
     fn get<T: DeserializeOwned>(&self, key: &'static str) -> Result<Option<T>> {
-        let read = self.database.begin_read()?;
-        let table = match read.open_table(META_TABLE) {
+        let transaction = self.database.begin_read()?;
+        let table = match transaction.open_table(META_TABLE) {
             Ok(table) => table,
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None), // nothing was ever written
+            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None), // nothing has ever been written
             Err(error) => return Err(error.into()),
         };
         Ok(table.get(key)?.map(|bytes| codec::decode(key, bytes.value())).transpose()?)
     }
 
-    /// Stores the value of a key, synced.
+    /// Stores the value of a key in [`META_TABLE`], synced.
     fn put<T: Serialize>(&self, key: &'static str, value: &T) -> Result<()> {
-        self.write(|write| put(write, key, value))
+        self.write(|transaction| put(transaction, key, value))
     }
 
-    /// The latest snapshot, sealed.
+    /// Reads the latest snapshot, still sealed; `None` if there is none.
     pub(crate) fn snapshot(&self) -> Result<Option<StoredSnapshot>> {
         let Some(meta) = self.get(KEY_SNAPSHOT_META)? else { return Ok(None) };
         let table = self.database.begin_read()?.open_table(META_TABLE)?;
@@ -241,58 +247,59 @@
         Ok(Some(StoredSnapshot { meta, sealed: bytes.value().to_vec() }))
     }
 
-    /// The applied state in the latest snapshot.
+    /// Reads and decodes the latest snapshot; `None` if there is none.
     pub(crate) fn open_snapshot(&self) -> Result<Option<AppliedState>> {
         Ok(self.snapshot()?.map(|stored| open_snapshot(&stored.sealed)).transpose()?)
     }
 
-    /// Stores a snapshot, synced, in place of the last one.
+    /// Stores a snapshot, synced, in place of the previous one.
     pub(crate) fn put_snapshot(&self, meta: &SnapshotMeta, sealed: &[u8]) -> Result<()> {
-        self.write(|write| {
-            put(write, KEY_SNAPSHOT_META, meta)?;
-            write.open_table(META_TABLE)?.insert(KEY_SNAPSHOT, sealed)?;
+        self.write(|transaction| {
+            put(transaction, KEY_SNAPSHOT_META, meta)?;
+            transaction.open_table(META_TABLE)?.insert(KEY_SNAPSHOT, sealed)?;
             Ok(())
         })
     }
 
-    /// The log's entries by their indexes, in order.
+    /// Reads the log entries with indexes in this range, in order.
     ///
     /// # Errors
-    /// If one can't be read. The replica stops then.
+    /// If an entry can't be read. The replica stops in that case.
     pub fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry>> {
-        let read = self.database.begin_read()?;
-        let table = read.open_table(LOG_TABLE)?;
-        let decoded = table.range(range)?.map(|row| Ok(codec::decode(LOG_ENTRY, row?.1.value())?));
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(LOG_TABLE)?;
+        let decoded = table.range(range)?.map(|row| Ok(codec::decode(LOG_ENTRY_LABEL, row?.1.value())?));
         decoded.collect()
     }
 
     fn last_log_id(&self) -> Result<Option<LogId>> {
-        let read = self.database.begin_read()?;
-        let table = read.open_table(LOG_TABLE)?;
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(LOG_TABLE)?;
         let Some((_, bytes)) = table.last()? else { return Ok(None) };
-        Ok(Some(codec::decode::<Entry>(LOG_ENTRY, bytes.value())?.log_id))
+        Ok(Some(codec::decode::<Entry>(LOG_ENTRY_LABEL, bytes.value())?.log_id))
     }
 
     fn append(&self, entries: impl IntoIterator<Item = Entry>) -> Result<()> {
-        self.write(|write| {
-            let mut table = write.open_table(LOG_TABLE)?;
+        self.write(|transaction| {
+            let mut table = transaction.open_table(LOG_TABLE)?;
             for entry in entries {
-                table.insert(entry.log_id.index, codec::encode(LOG_ENTRY, &entry)?.as_slice())?;
+                table.insert(entry.log_id.index, codec::encode(LOG_ENTRY_LABEL, &entry)?.as_slice())?;
             }
             Ok(())
         })
     }
 
-    /// Removes entries; with `purged` also records that the log begins after that one.
+    /// Removes the log entries in this range. With `purged`, also records that the log begins after that entry.
     fn remove(&self, range: impl RangeBounds<u64>, purged: Option<LogId>) -> Result<()> {
-        self.write(|write| {
-            write.open_table(LOG_TABLE)?.retain_in(range, |_, _| false)?;
-            purged.map_or(Ok(()), |purged| put(write, KEY_PURGED, &purged))
+        self.write(|transaction| {
+            transaction.open_table(LOG_TABLE)?.retain_in(range, |_, _| false)?;
+            purged.map_or(Ok(()), |purged| put(transaction, KEY_PURGED, &purged))
         })
     }
 }
 
-fn put<T: Serialize>(write: &redb::WriteTransaction, key: &'static str, value: &T) -> Result<()> {
-    write.open_table(META_TABLE)?.insert(key, codec::encode(key, value)?.as_slice())?;
+/// Stores the value of a key in [`META_TABLE`], as part of a transaction.
+fn put<T: Serialize>(transaction: &redb::WriteTransaction, key: &'static str, value: &T) -> Result<()> {
+    transaction.open_table(META_TABLE)?.insert(key, codec::encode(key, value)?.as_slice())?;
     Ok(())
 }
--- a/crates/store/src/freshness.rs
+++ b/crates/store/src/freshness.rs
@@ -1,7 +1,8 @@
-//! Which list and which configuration a node may use, by their versions. Pure: the time is a parameter.
+//! Decides by version which endpoint list and which configuration a node may use. Pure code: the time is a parameter.
 //!
-//! A node never uses a list older than the last one it knows to be committed, nor a configuration older than one it has
-//! used. A node that starts asks the other members first, within a timeout.
+//! A node never uses a list older than the latest one that it knows to be committed or has used, nor a configuration
+//! older than one it has used. A node that starts first waits, up to a timeout, for the other members to confirm what
+//! is committed.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,46 +18,48 @@
     pub config: u64,
 }
 
-/// A confirmation by the leader that takes effect once its index is applied here.
+/// A confirmation by the leader, which takes effect once the entry with its index is applied here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingConfirmation {
     index: u64,
+    /// The time at which the confirmation was requested.
     requested_at: Millis,
 }
 
-/// What a node knows of how fresh its state is.
+/// What a node knows about the freshness of its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Freshness {
-    /// The latest list known to be committed; 0 for none.
+    /// The version of the latest list known to be committed; 0 for none.
     committed_list: u64,
-    /// The latest list used; 0 for none.
+    /// The version of the latest list used; 0 for none.
     list: u64,
-    /// The latest configuration used; 0 for none.
+    /// The revision of the latest configuration used; 0 for none.
     config: u64,
+    /// The time at which the startup is complete even without a confirmation.
     startup_deadline: Millis,
-    /// The latest time at which everything that was committed then is known to be applied now.
+    /// The latest point in time for which everything committed by then is known to be applied here.
     confirmed_at: Option<Millis>,
     started_at: Millis,
     pending: Option<PendingConfirmation>,
 }
 
-/// Whether a version may be used.
+/// The result of checking whether a version may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is newer than the one in use, and may be used.
+    /// The version is newer than the one in use, and may be used.
     Newer,
-    /// It is in use already.
+    /// The version is already in use.
     Current,
-    /// A newer one is known.
+    /// A newer version is known, so this one may not be used.
     Stale {
-        /// The newest that is known.
+        /// The newest known version.
         known: u64,
     },
 }
 
 impl Freshness {
-    /// The freshness of a node that starts now, and whose disk holds this list as committed. Its startup waits for the
-    /// other members until `timeout` is over.
+    /// The freshness of a node that starts at `now`, and on whose disk `committed_list` is the version of the committed
+    /// list. Its startup waits for the other members for `timeout` at most.
     pub fn new(now: Millis, timeout: Millis, committed_list: u64) -> Freshness {
         Freshness {
             committed_list,
@@ -69,13 +72,13 @@
         }
     }
 
-    /// Notes that a list is committed.
+    /// Records that a list is committed.
     pub fn list_committed(&mut self, version: u64) {
         self.committed_list = self.committed_list.max(version);
     }
 
-    /// Decides whether a list may be used, and if so notes that it is. The list may come from the store or from
-    /// discovery, which may have a newer one than is committed.
+    /// Decides whether a list may be used, and if so records it as in use. The list may come from the store, or from
+    /// discovery, whose list may be newer than the committed one.
     pub fn use_list(&mut self, version: u64) -> Verdict {
         let known = self.committed_list.max(self.list);
         if version < known {
@@ -86,7 +89,7 @@
         if is_current { Verdict::Current } else { Verdict::Newer }
     }
 
-    /// Decides whether a configuration may be used, and if so notes that it is.
+    /// Decides whether a configuration may be used, and if so records it as in use.
     pub fn use_config(&mut self, revision: u64) -> Verdict {
         if revision < self.config {
             return Verdict::Stale { known: self.config };
@@ -96,18 +99,19 @@
         if is_current { Verdict::Current } else { Verdict::Newer }
     }
 
-    /// Notes that everything up to this index is committed, in response to a request that was sent at this time.
+    /// Records the leader's answer to a request that was sent at `requested_at`: the index up to which everything is
+    /// committed.
     pub fn read_index_received(&mut self, requested_at: Millis, index: u64) {
         self.pending = Some(match self.pending {
-            Some(before) => PendingConfirmation {
-                index: before.index.max(index),
-                requested_at: before.requested_at.max(requested_at),
+            Some(pending) => PendingConfirmation {
+                index: pending.index.max(index),
+                requested_at: pending.requested_at.max(requested_at),
             },
             None => PendingConfirmation { index, requested_at },
         });
     }
 
-    /// Notes that everything up to this index is applied here.
+    /// Records that everything up to this index is applied here.
     pub fn index_applied(&mut self, index: u64) {
         if let Some(pending) = self.pending
             && index >= pending.index
@@ -117,12 +121,13 @@
         }
     }
 
-    /// Whether the startup is complete: confirmed by the other members, or timed out.
+    /// Whether the startup is complete: the other members have confirmed the state, or the startup has timed out.
     pub fn startup_complete(&self, now: Millis) -> bool {
         self.confirmed_at.is_some() || now >= self.startup_deadline
     }
 
-    /// How long ago the state was last confirmed, or the node started. It is 0 if the clock went back.
+    /// The time since the state was last confirmed, or since the node started if it never was. It is 0 if the clock
+    /// went back.
     pub fn stale_for(&self, now: Millis) -> Millis {
         now.saturating_sub(self.confirmed_at.unwrap_or(self.started_at))
     }
@@ -132,7 +137,7 @@
         self.confirmed_at.is_some()
     }
 
-    /// The latest list and the latest configuration used.
+    /// The versions of the list and of the configuration in use.
     pub fn in_use(&self) -> VersionsInUse {
         VersionsInUse { list: self.list, config: self.config }
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,16 +1,17 @@
-//! A small replicated store for the configuration and state that have to survive every restart.
+//! A small replicated store for configuration and state that must survive every restart.
 //!
-//! A few nodes are *members*: they replicate the state by Raft. All others are *subscribers*, to whom members and relays
-//! publish what is committed.
+//! A few nodes are *members*, which replicate the state by Raft. All other nodes are *subscribers*, to which members
+//! and relays publish the committed state.
 //!
-//! - Pure: [`state`] is the replicated state, [`change_index`] which entry changed each part of it, [`applied`] how log
-//!   entries are applied, [`members`] who belongs to the cluster, [`freshness`] which versions a node may use, [`feed`] the
-//!   distribution to subscribers.
-//! - Stored and sent forms: [`codec`] encodes, [`message`] are requests and responses, [`snapshot`] is a sealed snapshot.
-//! - [`disk`] and [`state_machine`] are the storage of the consensus engine, whose types are in [`raft`]. [`replica`] runs
-//!   it over any [`replica::Transport`]; [`wire`] is the one over TCP.
-//! - [`daemon`] runs a member beside a node, [`follower`] a subscriber, whose state is in a [`subscriber_folder`].
-//!   [`client`] sends requests from outside.
+//! - Pure code without I/O: [`state`] holds the replicated state, [`change_index`] records which log entry changed each
+//!   part of it, [`applied`] applies log entries, [`members`] decides who belongs to the cluster, [`freshness`] decides
+//!   which versions a node may use, and [`feed`] distributes the state to subscribers.
+//! - Stored and sent forms: [`codec`] encodes values, [`message`] defines requests and responses, [`snapshot`] seals
+//!   snapshots.
+//! - [`disk`] and [`state_machine`] are the storage of the consensus engine, whose types are in [`raft`]. [`replica`]
+//!   runs the engine over any [`replica::Transport`]; [`wire`] is the transport over TCP.
+//! - [`daemon`] runs a member beside a node. [`follower`] runs a subscriber, whose state is saved in a
+//!   [`subscriber_folder`]. [`client`] sends requests from outside the cluster.
 
 pub mod applied;
 pub mod change_index;
--- a/crates/store/src/members.rs
+++ b/crates/store/src/members.rs
@@ -1,40 +1,40 @@
-//! The members of a cluster, who is admitted, and which changes of members are safe. Pure.
+//! The members of a cluster: which callers are admitted, and which membership changes are safe. Pure code without I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::message::{Caller, Introduction};
 use crate::raft::MemberId;
 
-/// The members as a replica knows them.
+/// The members of the cluster, as a replica knows them.
 pub type Members = BTreeMap<MemberId, Member>;
 
-/// A member.
+/// A member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The address that it listens at.
+    /// The address that it listens on.
     pub addr: String,
-    /// Whether it is a voter; else it is a learner.
+    /// Whether it is a voter; otherwise it is a learner.
     pub is_voter: bool,
 }
 
-/// Why a caller is not admitted, or a change of members not made.
+/// The reason why a caller is not admitted, or a membership change is not made.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembersError {
     /// The caller belongs to another cluster.
-    #[error("cluster {theirs:032x} is not ours, {ours:032x}")]
+    #[error("cluster {theirs:032x} is not ours, which is {ours:032x}")]
     ForeignCluster {
         /// The caller's cluster.
         theirs: u128,
         /// This cluster.
         ours: u128,
     },
-    /// The caller was never a member, or was removed.
+    /// There is no member with this id: it was never added, or was removed.
     #[error("{0} is not a member: it was removed, or never added")]
     NotMember(MemberId),
-    /// The caller has this member's own id: its disk may be a copy.
+    /// The caller has this member's own id: its disk may be a copy of this member's.
     #[error("{0} is this member's own id: is its disk a copy of this one?")]
     OwnId(MemberId),
-    /// The caller has another address than the members know: its disk may be a copy.
+    /// The caller's address differs from the one that the members know: its disk may be a copy.
     #[error("member {member} is at {known}, not at {found}: is its disk a copy?")]
     AddressMismatch {
         /// The member.
@@ -44,13 +44,13 @@
         /// The address that the caller gives.
         found: String,
     },
-    /// The id is that of a removed member.
-    #[error("{0} was removed, and no id is given twice: make a new store under a new id")]
+    /// The id belonged to a member that was removed.
+    #[error("member {0} was removed, and ids are not reused: create a new store with a new id")]
     Removed(MemberId),
-    /// The new member is a member already.
-    #[error("{0} is a member already")]
+    /// The new member is already a member.
+    #[error("{0} is already a member")]
     AlreadyMember(MemberId),
-    /// The new member's address is another member's.
+    /// The new member's address belongs to another member.
     #[error("{addr} is the address of member {member}")]
     AddressInUse {
         /// The address.
@@ -58,38 +58,38 @@
         /// The member that has it.
         member: MemberId,
     },
-    /// A relay serves subscribers only.
+    /// The caller is not a subscriber, and a relay serves only subscribers.
     #[error("this is a relay: it serves subscribers, and nobody else; ask a member")]
     NotServedByRelay,
     /// The member is the last voter.
-    #[error("{0} is the last member that votes")]
+    #[error("{0} is the last voter and cannot be removed")]
     LastVoter(MemberId),
     /// No quorum of the remaining voters is reachable.
     #[error(
-        "of the {voters} that would vote only {reachable} can be reached, and {quorum} are needed: mend them first, or use --force"
+        "only {reachable} of the {voters} remaining voters can be reached, and {quorum} are needed: repair them first, or use --force"
     )]
     QuorumUnreachable {
-        /// The remaining voters.
+        /// The number of remaining voters.
         voters: usize,
-        /// Those of them that are reachable.
+        /// The number of remaining voters that are reachable.
         reachable: usize,
-        /// The number that makes a quorum.
+        /// The number of voters that makes a quorum.
         quorum: usize,
     },
 }
 
-/// Checks whether this member admits a caller. A member that doesn't know any others yet admits all members of its
-/// cluster: one of them is the leader, and sends it the membership.
+/// Checks whether this member admits a caller. A member that doesn't know any members yet admits every member of its
+/// cluster, because one of them is the leader that sends it the membership.
 ///
 /// # Errors
-/// Why the caller is not admitted.
+/// The reason why the caller is not admitted.
 pub fn admit(
     caller: &Introduction,
     cluster: u128,
     own_id: MemberId,
     members: &Members,
 ) -> Result<(), MembersError> {
-    // A client has the key of this cluster, and need not know its number.
+    // A client holds the key of this cluster, so it need not know the cluster's id.
     let any_cluster = caller.caller == Caller::Client && caller.cluster == 0;
     if caller.cluster != cluster && !any_cluster {
         return Err(MembersError::ForeignCluster { theirs: caller.cluster, ours: cluster });
@@ -112,7 +112,7 @@
 /// Checks whether a member may be added.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason why it may not be added.
 pub fn check_add(
     member: MemberId,
     addr: &str,
@@ -134,7 +134,7 @@
 /// Checks whether a member may be removed: unless `force` is set, a quorum of the remaining voters must be reachable.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason why it may not be removed.
 pub fn check_remove(
     member: MemberId,
     members: &Members,
@@ -144,8 +144,8 @@
     if !members.contains_key(&member) {
         return Err(MembersError::NotMember(member));
     }
-    let others = members.iter().filter(|(id, known)| **id != member && known.is_voter);
-    let voters: Vec<MemberId> = others.map(|(&id, _)| id).collect();
+    let remaining = members.iter().filter(|(id, known)| **id != member && known.is_voter);
+    let voters: Vec<MemberId> = remaining.map(|(&id, _)| id).collect();
     if voters.is_empty() {
         return Err(MembersError::LastVoter(member));
     }
--- a/crates/store/src/message.rs
+++ b/crates/store/src/message.rs
@@ -1,6 +1,6 @@
-//! Requests of members and clients, and the responses to them, whatever carries them.
+//! Requests of members and clients, and the responses to them, independent of the transport.
 //!
-//! Enums are encoded by the position of their variants, structs by the order of their fields.
+//! Enums are encoded by the position of their variants, structs by the order of their fields: neither order may change.
 
 use openraft::error::{InstallSnapshotError, RaftError};
 use openraft::raft::{
@@ -13,48 +13,48 @@
 use crate::raft::{MemberId, TypeConfig};
 use crate::state::{Proposal, Reply, Revision};
 
-/// Who sends requests.
+/// The kind of peer that opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Caller {
-    /// A member, from the address that the members know.
+    /// A member, which listens on the address that the other members know.
     Member(MemberId),
-    /// A client, who has the members' key.
+    /// A client that holds the members' key.
     Client,
-    /// A subscriber to the committed state, who may send no requests.
+    /// A subscriber to the committed state, which may send no requests.
     Subscriber,
 }
 
 /// The first message on a connection: the caller and its cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Introduction {
-    /// The caller's cluster; 0 for a client of whichever cluster it reaches.
+    /// The caller's cluster; 0 for a client that accepts any cluster.
     pub cluster: u128,
     /// The caller.
     pub caller: Caller,
-    /// The address that a member listens at; empty for any other caller.
+    /// The address that a member listens on; empty for any other caller.
     pub addr: String,
 }
 
-/// A request.
+/// A request to a member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// Between members: entries of the log.
+    /// Between members: replicates log entries.
     AppendEntries(AppendEntriesRequest<TypeConfig>),
-    /// Between members: a vote in an election.
+    /// Between members: asks for a vote in an election.
     Vote(VoteRequest<MemberId>),
-    /// Between members: a part of a snapshot.
+    /// Between members: sends a part of a snapshot.
     InstallSnapshot(InstallSnapshotRequest<TypeConfig>),
-    /// A change of the state.
+    /// Proposes a change of the state.
     Propose(Proposal),
-    /// The index up to which everything is committed, confirmed by a quorum.
+    /// Reads the index up to which everything is committed, confirmed by a quorum.
     ReadIndex,
-    /// The status of the replica.
+    /// Reads the status of the replica.
     Status,
-    /// Adds a member, which is a learner until it has caught up and a voter from then on.
+    /// Adds a member, which is a learner until it has caught up, and then becomes a voter.
     AddMember {
         /// The new member.
         member: MemberId,
-        /// The address that it listens at.
+        /// The address that it listens on.
         addr: String,
     },
     /// Removes a member.
@@ -64,34 +64,34 @@
         /// Whether to remove it even if no quorum of the others is reachable.
         force: bool,
     },
-    /// The latest revision of a document, or all that are retained.
+    /// Reads the latest revision of a document, or all retained revisions.
     ReadDocument {
         /// The document's name.
         name: String,
-        /// Whether to read older revisions too.
+        /// Whether to read all retained revisions instead of only the latest.
         history: bool,
     },
-    /// A new snapshot.
+    /// Takes a snapshot of the applied state and returns it.
     ExportSnapshot,
 }
 
-/// A member in a [`Status`].
+/// A member as listed in a [`Status`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The member.
     pub member: MemberId,
-    /// The address that it listens at.
+    /// The address that it listens on.
     pub addr: String,
-    /// Whether it is a voter; else it is a learner.
+    /// Whether the member is a voter; otherwise it is a learner.
     pub is_voter: bool,
 }
 
 /// The status of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The cluster.
+    /// The cluster's id.
     pub cluster: u128,
-    /// The member.
+    /// The id of the member that answers.
     pub member: MemberId,
     /// The leader, as far as the member knows.
     pub leader: Option<MemberId>,
@@ -103,19 +103,19 @@
     pub applied_index: u64,
     /// The index of the last entry that the latest snapshot covers.
     pub snapshot_index: u64,
-    /// The version of the latest committed list that the member knows.
+    /// The version of the endpoint list in the member's applied state; 0 for none.
     pub list_version: u64,
-    /// The list and the configuration that the member's node uses.
+    /// The versions of the list and the configuration that the member's node uses.
     pub in_use: VersionsInUse,
-    /// How long ago a quorum last confirmed what the node uses, in ms.
+    /// The time since a quorum last confirmed the member's state, or since the start if none has, in ms.
     pub stale_ms: u64,
     /// The members of the cluster.
     pub members: Vec<MemberStatus>,
-    /// Why the replica has stopped, if it has.
+    /// The reason why the replica has stopped, if it has.
     pub stopped: Option<String>,
 }
 
-/// A response.
+/// A response to a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Response {
     /// To [`Request::AppendEntries`].
@@ -132,7 +132,7 @@
     Status(Box<Status>),
     /// To [`Request::AddMember`] and [`Request::RemoveMember`], and to any request that is rejected.
     MembersChanged(Result<(), RequestError>),
-    /// To [`Request::ReadDocument`]: revisions, the oldest first.
+    /// To [`Request::ReadDocument`]: the revisions, from the oldest to the latest.
     Document(Vec<Revision>),
     /// To [`Request::ExportSnapshot`]: a sealed snapshot.
     Snapshot(Result<Vec<u8>, RequestError>),
@@ -144,7 +144,7 @@
         Response::MembersChanged(Err(RequestError::Rejected(reason.into())))
     }
 
-    /// The error for whoever gets this response to a request of another kind: the rejection, if it is one.
+    /// The error to report when this is not the expected kind of response: the rejection, if the response is one.
     pub(crate) fn unexpected(&self) -> RequestError {
         match self {
             Response::MembersChanged(Err(error)) => error.clone(),
@@ -153,30 +153,30 @@
     }
 }
 
-/// Why a request fails.
+/// The reason why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum RequestError {
     /// Another member is the leader.
-    #[error("this member does not lead")]
+    #[error("this member is not the leader")]
     NotLeader {
         /// The leader and its address, as far as the member knows.
         leader: Option<(MemberId, String)>,
     },
-    /// There is no quorum, or none was reached in time. A change may still be made: it is to be retried with the same
-    /// sequence number.
-    #[error("no quorum of members within reach in time: changes wait until there is one")]
+    /// There is no quorum, or none was reached in time. The change may still be committed later, so it has to be
+    /// retried with the same sequence number.
+    #[error("no quorum of members could be reached in time: changes wait until there is one")]
     NoQuorum,
     /// Too many proposals are in flight.
-    #[error("too many changes at once: try again")]
+    #[error("too many changes in flight: try again")]
     Busy,
     /// The replica has stopped.
     #[error("the replica has stopped: {0}")]
     Stopped(String),
-    /// The change of members isn't possible.
+    /// The membership change is not possible.
     #[error("{0}")]
     Members(String),
     /// The caller may not send this request.
-    #[error("refused: {0}")]
+    #[error("rejected: {0}")]
     Rejected(String),
     /// There was no response, or not the expected one.
     #[error("{0}")]
@@ -186,6 +186,6 @@
 impl RequestError {
     /// The error for a response to a request of another kind.
     pub(crate) fn unexpected_response() -> RequestError {
-        RequestError::Unreachable("an answer to another question".into())
+        RequestError::Unreachable("the response does not match the request".into())
     }
 }
--- a/crates/store/src/raft.rs
+++ b/crates/store/src/raft.rs
@@ -1,4 +1,4 @@
-//! The type configuration of openraft, the consensus engine, and the async runtime that it uses.
+//! The type configuration of openraft, the consensus engine, and the async runtime that the engine uses.
 
 use std::future::Future;
 use std::io::Cursor;
@@ -8,11 +8,11 @@
 
 use crate::state::{Proposal, Reply};
 
-/// The id of a member, which is never reused.
+/// The id of a member. The id of a removed member is never reused.
 pub type MemberId = u64;
 
 openraft::declare_raft_types!(
-    /// The engine's types.
+    /// The types that openraft is instantiated with.
     pub TypeConfig:
         D = Proposal,
         R = Reply,
@@ -22,24 +22,24 @@
         AsyncRuntime = SeedableRuntime,
 );
 
-/// The engine.
+/// The consensus engine.
 pub type Raft = openraft::Raft<TypeConfig>;
-/// An entry of the log.
+/// An entry of the replicated log.
 pub type Entry = openraft::Entry<TypeConfig>;
-/// The term and index of an entry.
+/// The term and index of a log entry.
 pub type LogId = openraft::LogId<MemberId>;
-/// An error of the disk, in the engine's form.
+/// An error of the storage, as the engine expects it.
 pub type StorageError = openraft::StorageError<MemberId>;
-/// The members as of an entry.
+/// The members as of a log entry.
 pub type StoredMembership = openraft::StoredMembership<MemberId, BasicNode>;
-/// The entries that a snapshot covers.
+/// A snapshot's metadata: the last entry that it covers, and the members as of that entry.
 pub type SnapshotMeta = openraft::SnapshotMeta<MemberId, BasicNode>;
 
-/// Tokio, with random choices (election timeouts) that a simulation can seed.
+/// The Tokio runtime, except that its random numbers, which choose election timeouts, can be seeded by a simulation.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct SeedableRuntime;
 
-/// The thread's generator, which [`fastrand::seed`] seeds.
+/// The thread's random number generator, which [`fastrand::seed`] seeds.
 #[derive(Debug)]
 pub struct ThreadRng;
 
--- a/crates/store/src/replica/membership.rs
+++ b/crates/store/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the cluster's members, which the leader carries out.
+//! Membership changes of the cluster, which the leader carries out.
 
 use std::time::Duration;
 
@@ -16,28 +16,29 @@
 
 /// How long a new member may take to catch up with the log before its addition fails.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(30);
-/// A member that doesn't answer within this counts as unreachable.
+/// How long a member may take to answer before it counts as unreachable.
 const REACHABILITY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl<T: Transport> Replica<T> {
-    /// Adds a member: as a learner first, then as a voter once it has caught up.
+    /// Adds a member, first as a learner, and once it has caught up as a voter.
     pub(super) async fn add_member(&self, member: MemberId, addr: String) -> Result<(), RequestError> {
-        self.read_index().await?; // only the leader knows the members for certain
+        self.read_index().await?; // fails unless this member leads: only the leader's list of members is up to date
         members::check_add(member, &addr, &self.members(), self.shared.read().state.removed_members())
             .map_err(rejected)?;
         let added = self.raft.add_learner(member, BasicNode::new(&addr), false).await;
         let index = added.map_err(change_error)?.log_id.index;
         info!(
             event = "member_added",
-            member, addr, "a learner is added, and becomes a voter once it has caught up"
+            member, addr, "added a learner, which becomes a voter once it has caught up"
         );
         self.wait_until_caught_up(member, index).await?;
         let voter = ChangeMembers::AddVoterIds([member].into());
         self.raft.change_membership(voter, true).await.map_err(change_error)?;
-        info!(event = "member_promoted", member, "a learner has become a voter");
+        info!(event = "member_promoted", member, "promoted a learner to a voter");
         Ok(())
     }
 
+    /// Waits until a learner has replicated the log up to this index.
     async fn wait_until_caught_up(&self, member: MemberId, index: u64) -> Result<(), RequestError> {
         let mut metrics = self.raft.metrics();
         let caught_up = metrics.wait_for(|metrics| {
@@ -48,13 +49,13 @@
             Ok(Ok(metrics)) if metrics.replication.is_some() => Ok(()),
             Ok(_) => Err(RequestError::NotLeader { leader: None }),
             Err(_) => Err(RequestError::Members(format!(
-                "member {member} has not caught up within {} s: it learns on; add it again once it can be reached",
+                "member {member} has not caught up within {} s: it stays a learner; add it again once it can be reached",
                 CATCH_UP_TIMEOUT.as_secs()
             ))),
         }
     }
 
-    /// The members that answer now, this one included.
+    /// The members that can be reached now, this one included.
     async fn reachable_members(&self) -> Vec<MemberId> {
         let own_id = self.identity.member;
         let others = self.members().into_iter().filter(|(id, _)| *id != own_id);
@@ -66,7 +67,7 @@
         join_all(probes).await.into_iter().flatten().chain([own_id]).collect()
     }
 
-    /// Removes a member. Unless `force` is set, a quorum of the remaining voters has to be reachable.
+    /// Removes a member. Unless `force` is set, a quorum of the remaining voters must be reachable.
     pub(super) async fn remove_member(&self, member: MemberId, force: bool) -> Result<(), RequestError> {
         self.read_index().await?;
         let reachable = self.reachable_members().await;
@@ -79,7 +80,7 @@
             ChangeMembers::RemoveNodes([member].into())
         };
         self.raft.change_membership(change, false).await.map_err(change_error)?;
-        info!(event = "member_removed", member, "a member is removed from the cluster");
+        info!(event = "member_removed", member, "removed a member from the cluster");
         Ok(())
     }
 }
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -25,44 +25,45 @@
 use crate::state::{Proposal, Reply};
 use crate::state_machine::StateMachine;
 
-/// How often a leader sends heartbeats, in ms.
+/// The interval at which a leader sends heartbeats, in ms.
 const HEARTBEAT_INTERVAL_MS: u64 = 120;
-/// The shortest time without a heartbeat after which a member campaigns, in ms.
+/// The shortest time without a heartbeat after which a member starts an election, in ms.
 const MIN_ELECTION_TIMEOUT_MS: u64 = 250;
-/// The longest time without a heartbeat after which a member campaigns, in ms.
+/// The longest time without a heartbeat after which a member starts an election, in ms.
 const MAX_ELECTION_TIMEOUT_MS: u64 = 500;
 /// The longest part of a snapshot in one message, in bytes.
 const SNAPSHOT_CHUNK_BYTES: u64 = 256 << 10;
-/// The most entries in one message.
+/// The largest number of log entries in one message.
 const MAX_APPEND_ENTRIES: u64 = 24;
-/// Proposals that may wait for a quorum at a time.
+/// The largest number of proposals that may wait for a quorum at a time.
 const MAX_CONCURRENT_PROPOSALS: usize = 64;
-/// How long one attempt at a proposal or a read index may take.
+/// How long one attempt to commit a proposal or to confirm a read index may take.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// The pause between two attempts.
+/// The pause between two attempts of a request to the leader.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How long the start waits for the other members unless it is configured.
+/// The default of [`Options::startup_timeout`].
 const DEFAULT_STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
-/// Entries after which a snapshot is made unless it is configured.
+/// The default of [`Options::snapshot_interval`], in entries.
 const DEFAULT_SNAPSHOT_INTERVAL: u64 = 512;
-/// Entries that stay in the log behind a snapshot unless it is configured.
+/// The default of [`Options::retained_entries`].
 const DEFAULT_RETAINED_ENTRIES: u64 = 64;
 
-/// How a replica is started.
+/// The options of a replica.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The address that it listens at, as the other members know it.
+    /// The address that the replica listens on, as the other members know it.
     pub addr: String,
-    /// How long the start waits for the other members.
+    /// How long the startup waits for the other members.
     pub startup_timeout: Duration,
-    /// A snapshot is made after this many entries.
+    /// The number of log entries after which a new snapshot is taken.
     pub snapshot_interval: u64,
-    /// Entries that stay in the log behind a snapshot, for replicas that lag a little.
+    /// The number of entries before a snapshot that stay in the log, so that a replica that lags a little needs no
+    /// snapshot.
     pub retained_entries: u64,
 }
 
 impl Options {
-    /// The default options of a replica at this address.
+    /// The default options for a replica at this address.
     pub fn new(addr: impl Into<String>) -> Options {
         Options {
             addr: addr.into(),
@@ -73,28 +74,29 @@
     }
 }
 
-/// Why a replica can't start.
+/// The reason why a replica can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its disk can't be used.
+    /// The replica's disk can't be used.
     #[error("{0}")]
     Disk(#[from] DiskError),
-    /// The engine can't read what is on the disk, or doesn't accept the options.
+    /// The consensus engine can't start: it can't read the disk, or doesn't accept the options.
     #[error("the store can't start: {0}")]
     Engine(String),
 }
 
-/// A running replica; its clones are the same one.
+/// A handle to a running replica. All clones refer to the same replica.
 #[derive(Clone)]
 pub struct Replica<T> {
     raft: Raft,
     identity: Identity,
     addr: String,
     shared: SharedState,
-    applied: watch::Receiver<u64>,
-    proposals: Arc<Semaphore>,
+    applied_index: watch::Receiver<u64>,
+    /// One permit for each proposal that may wait for a quorum.
+    proposal_permits: Arc<Semaphore>,
     freshness: Arc<Mutex<Freshness>>,
-    start: Instant,
+    started_at: Instant,
     transport: T,
 }
 
@@ -105,30 +107,30 @@
     /// If what is on the disk can't be read, or is of another version.
     pub async fn start(disk: Disk, options: Options, transport: T) -> Result<Replica<T>, StartError> {
         let identity = disk.identity();
-        let (sender, applied) = watch::channel(0);
-        let machine = StateMachine::new(disk.clone(), sender)?;
+        let (index_sender, applied_index) = watch::channel(0);
+        let machine = StateMachine::new(disk.clone(), index_sender)?;
         let shared = machine.shared();
         let config = engine_config(identity, &options)?;
         let network = Network { transport: transport.clone() };
         let raft = Raft::new(identity.member, Arc::new(config), network, disk, machine)
             .await
             .map_err(|error| StartError::Engine(error.to_string()))?;
-        let list = shared.read().state.list().map_or(0, |list| list.version);
-        let freshness = Freshness::new(0, options.startup_timeout.as_millis() as u64, list);
+        let list_version = shared.read().state.list().map_or(0, |list| list.version);
+        let freshness = Freshness::new(0, options.startup_timeout.as_millis() as u64, list_version);
         Ok(Replica {
             raft,
             identity,
             addr: options.addr,
             shared,
-            applied,
-            proposals: Arc::new(Semaphore::new(MAX_CONCURRENT_PROPOSALS)),
+            applied_index,
+            proposal_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_PROPOSALS)),
             freshness: Arc::new(Mutex::new(freshness)),
-            start: Instant::now(),
+            started_at: Instant::now(),
             transport,
         })
     }
 
-    /// Makes this member the first and only one of its cluster. It is done once.
+    /// Makes this member the first and only one of its cluster. It must be called only once for each cluster.
     ///
     /// # Errors
     /// If the cluster has members already.
@@ -137,24 +139,25 @@
         self.raft.initialize(members).await.map_err(|error| RequestError::Members(error.to_string()))
     }
 
-    /// The cluster and the member of this replica.
+    /// The cluster and the member that this replica belongs to.
     pub fn identity(&self) -> Identity {
         self.identity
     }
 
-    /// The state as it is applied here.
+    /// The state that this replica has applied.
     pub fn shared(&self) -> &SharedState {
         &self.shared
     }
 
-    /// The index of the last entry applied here, as it grows.
+    /// Watches the index of the last entry that this replica has applied.
     pub fn applied(&self) -> watch::Receiver<u64> {
-        self.applied.clone()
+        self.applied_index.clone()
     }
 
-    /// Runs `work` on this node's freshness, with the time since its start in ms.
+    /// Runs `work` on this node's freshness, updated to the applied state. `work` also gets the time since the
+    /// replica's start, in ms.
     pub fn freshness<R>(&self, work: impl FnOnce(&mut Freshness, u64) -> R) -> R {
-        let now = self.start.elapsed().as_millis() as u64;
+        let now = self.started_at.elapsed().as_millis() as u64;
         let mut freshness = self.freshness.lock().unwrap_or_else(PoisonError::into_inner);
         let applied = self.shared.read();
         freshness.list_committed(applied.state.list().map_or(0, |list| list.version));
@@ -166,18 +169,19 @@
     /// Asks the leader up to which entry everything is committed, and waits until that entry is applied here.
     ///
     /// # Errors
-    /// If no leader has confirmed it, or it is not applied, by the deadline.
+    /// If no leader has confirmed the index, or the entry is not applied, by the deadline.
     pub async fn confirm(&self, deadline: Instant) -> Result<(), RequestError> {
         let mut last_error = RequestError::NoQuorum;
-        let mut applied = self.applied.clone();
+        let mut applied_index = self.applied_index.clone();
         while Instant::now() < deadline {
             let requested_at = self.freshness(|_, now| now);
             match self.request_leader(Request::ReadIndex, deadline).await {
                 Ok(Response::ReadIndex(Ok(index))) => {
                     self.freshness(|freshness, _| freshness.read_index_received(requested_at, index));
-                    let caught_up = timeout_at(deadline, applied.wait_for(|&applied| applied >= index)).await;
+                    let caught_up =
+                        timeout_at(deadline, applied_index.wait_for(|&applied| applied >= index)).await;
                     if caught_up.is_ok_and(|caught_up| caught_up.is_ok()) {
-                        self.freshness(|_, _| ()); // notes what is applied now
+                        self.freshness(|_, _| ()); // records the applied index, which completes the confirmation
                         return Ok(());
                     }
                 }
@@ -192,7 +196,7 @@
     /// Proposes a change to the leader, and retries with the same sequence number until there is a reply.
     ///
     /// # Errors
-    /// If there is no reply by the deadline: the change may have been made nevertheless.
+    /// If there is no reply by the deadline. The change may have been made nevertheless.
     pub async fn propose(&self, proposal: Proposal, deadline: Instant) -> Result<Reply, RequestError> {
         let mut last_error = RequestError::NoQuorum;
         while Instant::now() < deadline {
@@ -224,7 +228,7 @@
         }
     }
 
-    /// The members as this replica knows them.
+    /// The members of the cluster, as this replica knows them.
     pub fn members(&self) -> Members {
         let membership = self.raft.metrics().borrow().membership_config.clone();
         let voters: Vec<MemberId> = membership.voter_ids().collect();
@@ -234,9 +238,9 @@
         membership.nodes().map(member).collect()
     }
 
-    /// Stops the engine. Everything that it has acknowledged is on the disk.
+    /// Stops the consensus engine. Everything that it has acknowledged is already on the disk.
     pub async fn stop(&self) {
-        let _ = self.raft.shutdown().await; // it may have ended already
+        let _ = self.raft.shutdown().await; // the engine may have ended already
     }
 }
 
@@ -256,7 +260,7 @@
     config.validate().map_err(|error| StartError::Engine(error.to_string()))
 }
 
-/// Makes the member of a disk the first and only one of its cluster, which others reach at this address.
+/// Makes the member that owns a disk the first and only one of its cluster. Other members reach it at this address.
 ///
 /// # Errors
 /// If the disk can't be used, or the cluster has members already.
--- a/crates/store/src/replica/network.rs
+++ b/crates/store/src/replica/network.rs
@@ -1,5 +1,5 @@
-//! The consensus engine's network over a [`Transport`].
-#![allow(clippy::result_large_err)] // the engine's own error types
+//! Implements the consensus engine's network interface over a [`Transport`].
+#![allow(clippy::result_large_err)] // the engine defines the error types
 
 use std::error::Error;
 use std::iter;
@@ -20,15 +20,15 @@
 use crate::message::{Request, Response};
 use crate::raft::{MemberId, TypeConfig};
 
-/// Bytes of the entries in one message together, unless a single entry is longer.
+/// The largest total size of the entries in one message, in bytes. A single larger entry is sent alone.
 ///
-/// The engine abandons a response that takes longer than a heartbeat, and sends the same entries again: a message that
-/// can't be sent and synced within that time would never get through.
+/// The engine abandons a request whose response takes longer than a heartbeat interval, and sends the same entries
+/// again: a message that can't be transferred and synced within that time would never succeed.
 const MAX_APPEND_BYTES: usize = 1 << 20;
 
-type Failure<E = RaftError<MemberId>> = RPCError<MemberId, BasicNode, E>;
+type RpcFailure<E = RaftError<MemberId>> = RPCError<MemberId, BasicNode, E>;
 
-/// Creates the connections to other members.
+/// Creates connections to other members.
 pub(super) struct Network<T> {
     pub(super) transport: T,
 }
@@ -49,22 +49,28 @@
 }
 
 impl<T: Transport> MemberConnection<T> {
-    async fn request<E: Error>(&self, request: Request, option: RPCOption) -> Result<Response, Failure<E>> {
+    /// Sends a request to the member. An error of the transport counts as the member being unreachable.
+    async fn request<E: Error>(
+        &self,
+        request: Request,
+        option: RPCOption,
+    ) -> Result<Response, RpcFailure<E>> {
         let response = self.transport.request(self.member, &self.addr, request, option.hard_ttl()).await;
         response.map_err(|error| RPCError::Unreachable(Unreachable::new(&error)))
     }
 
-    fn remote_result<R, E: Error>(&self, result: Result<R, E>) -> Result<R, Failure<E>> {
+    /// Converts an error that the member returned.
+    fn remote_result<R, E: Error>(&self, result: Result<R, E>) -> Result<R, RpcFailure<E>> {
         result.map_err(|error| RPCError::RemoteError(RemoteError::new(self.member, error)))
     }
 }
 
-fn unexpected<E: Error>(response: &Response) -> Failure<E> {
+fn unexpected<E: Error>(response: &Response) -> RpcFailure<E> {
     RPCError::Network(NetworkError::new(&response.unexpected()))
 }
 
-/// How many of the entries fit into a message, if not all of them do. It is at least one: a message takes any single
-/// entry.
+/// The number of leading entries that fit into one message; `None` if all do. It is at least one, because a single
+/// entry of any size is sent.
 fn fitting_entries(request: &AppendEntriesRequest<TypeConfig>) -> Option<u64> {
     let encoded_len = |entry| codec::encode("a log entry", entry).map_or(0, |bytes| bytes.len());
     let running_totals = request.entries.iter().scan(0, |total, entry| {
@@ -81,7 +87,7 @@
         &mut self,
         request: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<MemberId>, Failure> {
+    ) -> Result<AppendEntriesResponse<MemberId>, RpcFailure> {
         if let Some(fitting) = fitting_entries(&request) {
             return Err(PayloadTooLarge::new_entries_hint(fitting).into());
         }
@@ -95,7 +101,8 @@
         &mut self,
         request: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<MemberId>, Failure<RaftError<MemberId, InstallSnapshotError>>> {
+    ) -> Result<InstallSnapshotResponse<MemberId>, RpcFailure<RaftError<MemberId, InstallSnapshotError>>>
+    {
         match self.request(Request::InstallSnapshot(request), option).await? {
             Response::InstallSnapshot(result) => self.remote_result(result),
             other => Err(unexpected(&other)),
@@ -106,7 +113,7 @@
         &mut self,
         request: VoteRequest<MemberId>,
         option: RPCOption,
-    ) -> Result<VoteResponse<MemberId>, Failure> {
+    ) -> Result<VoteResponse<MemberId>, RpcFailure> {
         match self.request(Request::Vote(request), option).await? {
             Response::Vote(result) => self.remote_result(result),
             other => Err(unexpected(&other)),
--- a/crates/store/src/replica/request.rs
+++ b/crates/store/src/replica/request.rs
@@ -1,4 +1,4 @@
-//! Answers to requests of members and clients.
+//! Answers the requests of members and clients.
 
 use openraft::BasicNode;
 use openraft::error::{CheckIsLeaderError, ClientWriteError, ForwardToLeader, RaftError};
@@ -12,20 +12,20 @@
 use crate::snapshot::{MAX_SNAPSHOT_BYTES, seal_snapshot};
 use crate::state::{Proposal, Reply, Revision};
 
-/// Entries of the log that may wait for a quorum. Without one, a leader that is asked again and again would grow its
-/// log without bound.
+/// The largest number of log entries that may wait for a quorum. Without this limit, a leader that has lost its quorum
+/// and keeps receiving proposals would grow its log without bound.
 const MAX_UNCOMMITTED_ENTRIES: u64 = 256;
 
 impl<T: Transport> Replica<T> {
-    /// Answers a request of a caller that has been admitted.
+    /// Answers a request of a caller that has already been admitted.
     pub async fn answer(&self, caller: Caller, request: Request) -> Response {
-        let among_members =
+        let is_member_request =
             matches!(request, Request::AppendEntries(_) | Request::Vote(_) | Request::InstallSnapshot(_));
-        if among_members && !matches!(caller, Caller::Member(_)) {
-            return Response::rejected("only members say that");
+        if is_member_request && !matches!(caller, Caller::Member(_)) {
+            return Response::rejected("only members may send this request");
         }
         if caller == Caller::Subscriber {
-            return Response::rejected("a subscriber follows, and no more");
+            return Response::rejected("a subscriber only follows the state, and may not send requests");
         }
         match request {
             Request::AppendEntries(request) => {
@@ -33,7 +33,7 @@
             }
             Request::Vote(request) => Response::Vote(self.raft.vote(request).await),
             Request::InstallSnapshot(request) => self.install_snapshot(request).await,
-            Request::Propose(proposal) => Response::Proposed(self.write(proposal).await),
+            Request::Propose(proposal) => Response::Proposed(self.commit(proposal).await),
             Request::ReadIndex => Response::ReadIndex(self.read_index().await),
             Request::Status => Response::Status(Box::new(self.status())),
             Request::AddMember { member, addr } => {
@@ -43,7 +43,7 @@
                 Response::MembersChanged(self.remove_member(member, force).await)
             }
             Request::ReadDocument { name, history } => Response::Document(self.document(&name, history)),
-            Request::ExportSnapshot => Response::Snapshot(self.export()),
+            Request::ExportSnapshot => Response::Snapshot(self.export_snapshot()),
         }
     }
 
@@ -72,18 +72,19 @@
 
     async fn install_snapshot(&self, request: InstallSnapshotRequest<TypeConfig>) -> Response {
         if request.offset + request.data.len() as u64 > MAX_SNAPSHOT_BYTES as u64 {
-            return Response::rejected(format!("a snapshot over {MAX_SNAPSHOT_BYTES} bytes"));
+            return Response::rejected(format!("the snapshot is longer than {MAX_SNAPSHOT_BYTES} bytes"));
         }
         Response::InstallSnapshot(self.raft.install_snapshot(request).await)
     }
 
-    async fn write(&self, proposal: Proposal) -> Result<Reply, RequestError> {
-        let _permit = self.proposals.try_acquire().map_err(|_| RequestError::Busy)?;
+    /// Commits a proposal, if this member is the leader.
+    async fn commit(&self, proposal: Proposal) -> Result<Reply, RequestError> {
+        let _permit = self.proposal_permits.try_acquire().map_err(|_| RequestError::Busy)?;
         if self.uncommitted_entries() >= MAX_UNCOMMITTED_ENTRIES {
             return Err(RequestError::NoQuorum);
         }
         match timeout(REQUEST_TIMEOUT, self.raft.client_write(proposal)).await {
-            Ok(Ok(written)) => Ok(written.data),
+            Ok(Ok(response)) => Ok(response.data),
             Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(leader)))) => {
                 Err(not_leader(leader))
             }
@@ -92,6 +93,7 @@
         }
     }
 
+    /// The number of log entries after the last applied one. A committed entry counts until it is applied.
     fn uncommitted_entries(&self) -> u64 {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
@@ -100,7 +102,8 @@
         last.saturating_sub(applied)
     }
 
-    /// The index up to which everything is committed, which a quorum confirms that this member leads at.
+    /// The index up to which everything is committed, after a quorum has confirmed that this member is still the
+    /// leader.
     pub(super) async fn read_index(&self) -> Result<u64, RequestError> {
         match timeout(REQUEST_TIMEOUT, self.raft.get_read_log_id()).await {
             Ok(Ok((read, _))) => Ok(read.map_or(0, |read| read.index)),
@@ -114,6 +117,7 @@
         }
     }
 
+    /// The latest revision of a document, or with `history` all retained revisions from the oldest to the latest.
     fn document(&self, name: &str, history: bool) -> Vec<Revision> {
         let applied = self.shared.read();
         if history {
@@ -123,11 +127,13 @@
         }
     }
 
-    fn export(&self) -> Result<Vec<u8>, RequestError> {
+    /// Seals a snapshot of the applied state.
+    fn export_snapshot(&self) -> Result<Vec<u8>, RequestError> {
         seal_snapshot(&self.shared.read()).map_err(|error| RequestError::Stopped(error.to_string()))
     }
 }
 
+/// The error that names the leader that a request has to be sent to.
 pub(super) fn not_leader(leader: ForwardToLeader<MemberId, BasicNode>) -> RequestError {
     let addr = leader.leader_node.map(|node| node.addr);
     RequestError::NotLeader { leader: leader.leader_id.zip(addr) }
--- a/crates/store/src/replica/transport.rs
+++ b/crates/store/src/replica/transport.rs
@@ -1,4 +1,4 @@
-//! How a replica reaches other members, whatever carries the messages.
+//! The interface through which a replica sends requests to other members.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 use crate::message::{Request, RequestError, Response};
 use crate::raft::MemberId;
 
-/// Carries requests to other members.
+/// Sends requests to other members.
 pub trait Transport: Clone + Send + Sync + 'static {
-    /// Sends a request to the member at an address, and waits for its response until the timeout.
+    /// Sends a request to the member at this address, and waits for the response until the timeout.
     fn request(
         &self,
         member: MemberId,
@@ -19,7 +19,7 @@
     ) -> BoxFuture<'static, Result<Response, RequestError>>;
 }
 
-/// The transport of a cluster with a single member: it reaches nobody.
+/// The transport of a cluster with a single member, which has no other member to reach.
 #[derive(Clone)]
 pub(super) struct NoTransport;
 
@@ -31,6 +31,6 @@
         _: Request,
         _: Duration,
     ) -> BoxFuture<'static, Result<Response, RequestError>> {
-        Box::pin(async { Err(RequestError::Unreachable("there is nobody else".into())) })
+        Box::pin(async { Err(RequestError::Unreachable("the cluster has no other member".into())) })
     }
 }
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -1,4 +1,4 @@
-//! What the threads of a member and of a subscriber beside a node have in common.
+//! Functions that the threads of a member and of a subscriber beside a node share.
 
 use std::io;
 use std::path::Path;
@@ -10,12 +10,12 @@
 
 use crate::wire::{Keys, Tcp};
 
-/// How often a caller without a runtime polls whether the startup is complete.
+/// The interval at which a blocked caller polls whether the startup is complete.
 pub(crate) const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The stack of a service's thread, in bytes.
+/// The stack size of a service's thread, in bytes.
 const STACK_BYTES: usize = 2 << 20;
 
-/// Runs a service on a thread of its own, so that no request of the node waits for its disk.
+/// Runs a service on a separate thread, so that no request of the node waits for the service's disk.
 ///
 /// # Errors
 /// If the thread can't be started.
@@ -24,17 +24,19 @@
     Ok(())
 }
 
-/// Blocks until the startup is complete, or the service has ended.
+/// Blocks the calling thread until the startup is complete, or the service has ended.
 pub(crate) fn block_until_ready(ready: &watch::Receiver<bool>) {
     while !*ready.borrow() && ready.has_changed().is_ok() {
         thread::sleep(READY_POLL_INTERVAL);
     }
 }
 
-/// Reads the key file again; the keys stay as they were if it can't be read.
+/// Rereads the key file. If it can't be read, the previous keys stay in use.
 pub(crate) fn reload_keys(tcp: &Tcp, key_file: &Path) {
     match Keys::read(key_file) {
         Ok(keys) => tcp.set_keys(keys),
-        Err(error) => warn!(event = "store_keys_unreadable", %error, "the keys stay as they were"),
+        Err(error) => {
+            warn!(event = "store_keys_unreadable", %error, "the key file can't be read: the previous keys stay in use")
+        }
     }
 }
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The sealed form of a snapshot.
+//! The sealed (checksummed and versioned) form of a snapshot.
 
 use serde::Deserialize;
 
@@ -11,10 +11,10 @@
 /// The largest snapshot that is accepted, in bytes.
 pub const MAX_SNAPSHOT_BYTES: usize = 16 << 20;
 
-/// What errors call a snapshot.
-pub(crate) const SNAPSHOT: &str = "a snapshot";
+/// The name of a snapshot in error messages.
+pub(crate) const SNAPSHOT_LABEL: &str = "a snapshot";
 
-/// The form of snapshots from before subscribers existed: it ends where the [`ChangeIndex`] would begin.
+/// The older form of a snapshot, from before subscribers existed: it lacks the [`ChangeIndex`] at the end.
 #[derive(Deserialize)]
 struct WithoutChangeIndex {
     last: Option<LogId>,
@@ -34,15 +34,15 @@
 /// # Errors
 /// As [`codec::seal`].
 pub fn seal_snapshot(applied: &AppliedState) -> Result<Vec<u8>, CodecError> {
-    codec::seal(SNAPSHOT, applied)
+    codec::seal(SNAPSHOT_LABEL, applied)
 }
 
 /// Reads a sealed snapshot.
 ///
 /// # Errors
-/// If it is damaged, cut short, or of another version.
+/// If it is damaged, truncated, or of another version.
 pub fn open_snapshot(sealed: &[u8]) -> Result<AppliedState, CodecError> {
-    codec::unseal(SNAPSHOT, sealed).or_else(|error| {
-        codec::unseal::<WithoutChangeIndex>(SNAPSHOT, sealed).map(AppliedState::from).map_err(|_| error)
+    codec::unseal(SNAPSHOT_LABEL, sealed).or_else(|error| {
+        codec::unseal::<WithoutChangeIndex>(SNAPSHOT_LABEL, sealed).map(AppliedState::from).map_err(|_| error)
     })
 }
--- a/crates/store/src/state/change.rs
+++ b/crates/store/src/state/change.rs
@@ -1,24 +1,25 @@
-//! Changes of the state: what is proposed, and the reply to it.
+//! Changes of the replicated state: the proposals of clients, and the replies to them.
 
 use serde::{Deserialize, Serialize};
 
 use super::State;
 use super::limits::ENABLED_OVERRIDE_RETENTION_MS;
 
-/// A change, as a client proposes it.
+/// A change that a client proposes.
 ///
-/// A client numbers its proposals, so that one which is retried after a lost reply is carried out once (Raft, section 8).
+/// A client numbers its proposals, so that a proposal that is retried after its reply was lost is carried out only once
+/// (section 8 of the Raft paper).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The client's id, which it draws at random.
+    /// The client's id, which the client draws at random.
     pub client: u64,
-    /// The number of the client's proposal, from 1.
+    /// The number of this proposal among those of the client, counted from 1.
     pub sequence: u64,
     /// The change.
     pub change: Change,
 }
 
-/// A kind of change. They are encoded by their position: new ones are added at the end.
+/// A change of the state. Variants are encoded by their position, so new ones must be added at the end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// A new revision of a document.
@@ -31,18 +32,19 @@
         author: String,
         /// When it was written, in ms of Unix time by the author's clock.
         at_ms: u64,
-        /// The revision that it has to follow, 0 for a new document. With `None` it follows any.
+        /// The revision that must be the latest one for the change to be made; 0 for a new document. `None` accepts
+        /// any.
         after: Option<u64>,
     },
     /// An endpoint list, as a node received it from discovery.
     List {
-        /// Discovery's version.
+        /// The list's version, which discovery assigned.
         version: u64,
         /// The list as it was received.
         text: String,
         /// The member that received it.
         learned_by: u64,
-        /// When servers were started, in ms of Unix time.
+        /// The servers' ids and start times, in ms of Unix time.
         started: Vec<(String, u64)>,
     },
     /// An operator's administrative override for a server.
@@ -52,58 +54,60 @@
         /// The override.
         admin_override: AdminOverride,
     },
-    /// The state of another cluster's snapshot, restored into a store that is empty.
+    /// Restores the state of another cluster's snapshot into an empty store.
     Restore {
-        /// The state.
+        /// The state in the snapshot.
         state: Box<State>,
     },
-    /// A key whose value must not be served any more. The store retains it for subscribers, and does nothing else with
-    /// it.
+    /// The purge of a key, whose cached value must not be served any more. The store only retains the key for
+    /// subscribers.
     Purge {
-        /// The key.
+        /// The purged key.
         key: String,
     },
 }
 
-/// An operator's decision about a server.
+/// An operator's decision to disable or enable a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdminOverride {
     /// Whether the server is disabled; otherwise it is enabled again.
     pub disabled: bool,
-    /// Since when, in ms of Unix time.
+    /// When the operator decided, in ms of Unix time.
     pub since_ms: u64,
 }
 
 impl AdminOverride {
-    /// Whether it enabled a server so long before a time, in ms of Unix time, that it has no effect any more.
-    pub(crate) fn is_expired(&self, at_ms: u64) -> bool {
-        !self.disabled && at_ms.saturating_sub(self.since_ms) >= ENABLED_OVERRIDE_RETENTION_MS
+    /// Whether the override enabled a server so long before `now_ms`, in ms of Unix time, that it has no effect any
+    /// more.
+    pub(crate) fn is_expired(&self, now_ms: u64) -> bool {
+        !self.disabled && now_ms.saturating_sub(self.since_ms) >= ENABLED_OVERRIDE_RETENTION_MS
     }
 }
 
-/// The result of a log entry.
+/// The result of applying a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The entry is one of the engine's own.
+    /// The entry is one of the consensus engine's own, not a proposal.
     Empty,
-    /// The change is made: the document's revision, the list's version, or else the entry's index.
+    /// The change was made. The value is the document's new revision, the list's version, or otherwise the entry's
+    /// index.
     Applied(u64),
-    /// The change is not made at any replica.
+    /// The change was rejected. All replicas reject it alike.
     Rejected(Rejection),
 }
 
-/// Why a change is not made.
+/// The reason why a change was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// The document has been changed by somebody else.
-    #[error("the latest revision is {found}, not {expected}: read it, and change that")]
+    /// The document has been changed in the meantime.
+    #[error("the latest revision is {found}, not {expected}: read that revision and apply the change to it")]
     Conflict {
-        /// The revision that the change was to follow.
+        /// The revision that the change expected to be the latest.
         expected: u64,
         /// The latest revision.
         found: u64,
     },
-    /// A newer list is committed.
+    /// A list of the same or a newer version is already committed.
     #[error("list version {proposed} is not newer than {committed}")]
     StaleList {
         /// The proposed version.
@@ -112,28 +116,28 @@
         committed: u64,
     },
     /// A text or a name is too long.
-    #[error("{what} of {bytes} bytes: at most {max} are kept")]
+    #[error("{what} of {bytes} bytes is too long: the limit is {max} bytes")]
     TooLong {
-        /// What is too long.
+        /// The kind of value that is too long.
         what: String,
-        /// Its length.
+        /// Its length, in bytes.
         bytes: u64,
-        /// The longest that is accepted.
+        /// The longest accepted length, in bytes.
         max: u64,
     },
     /// A limit of the state is reached.
-    #[error("{what}: {max} are kept, and no more")]
+    #[error("too many {what}: the limit is {max}")]
     LimitExceeded {
         /// What there are too many of.
         what: String,
-        /// How many there may be.
+        /// The largest number that is accepted.
         max: u64,
     },
     /// The store is not empty.
-    #[error("the store holds something already: restore into a new one")]
+    #[error("the store already holds something: restore into a new one")]
     NotEmpty,
     /// A later proposal of the same client has been carried out.
-    #[error("proposal {sequence} comes after a later one of its client, {last}")]
+    #[error("proposal {sequence} is outdated: proposal {last} of the same client has been carried out")]
     Superseded {
         /// The proposal's number.
         sequence: u64,
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The replicated state, and what each change does to it: pure, the same at every replica.
+//! The replicated state, and the effect of each change on it. Pure code without I/O: it yields the same state at every
+//! replica.
 
 mod change;
 pub mod limits;
@@ -17,7 +18,7 @@
 /// A revision of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// The index of the entry that made it, so that it grows from one revision to the next.
+    /// The index of the log entry that wrote it, so revision numbers increase but are not consecutive.
     pub revision: u64,
     /// The document's text.
     pub text: String,
@@ -30,7 +31,7 @@
 /// An endpoint list, as discovery sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerList {
-    /// Discovery's version.
+    /// The list's version, which discovery assigned.
     pub version: u64,
     /// The list as it was received.
     pub text: String,
@@ -38,24 +39,27 @@
     pub learned_by: u64,
 }
 
-/// The last proposal of a client.
+/// The last proposal that was carried out for a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LastProposal {
     sequence: u64,
     reply: Reply,
+    /// The index of the proposal's log entry.
     index: u64,
 }
 
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
+    /// The retained revisions of each document, from the oldest to the latest.
     documents: BTreeMap<String, VecDeque<Revision>>,
     list: Option<ServerList>,
     overrides: BTreeMap<String, AdminOverride>,
-    /// When servers were last seen to start, in ms of Unix time.
+    /// The latest known start time of each server, in ms of Unix time.
     started: BTreeMap<String, u64>,
+    /// The last proposal of each client, by which retried proposals are recognized.
     clients: BTreeMap<u64, LastProposal>,
-    /// Members that were removed: their ids are never reused.
+    /// The ids of removed members, which are never reused.
     removed: BTreeSet<u64>,
 }
 
@@ -65,12 +69,12 @@
         self.documents.get(name)?.back()
     }
 
-    /// The retained revisions of a document, the oldest first.
+    /// The retained revisions of a document, from the oldest to the latest.
     pub fn history(&self, name: &str) -> impl Iterator<Item = &Revision> {
         self.documents.get(name).into_iter().flatten()
     }
 
-    /// The names of the documents.
+    /// The names of all documents.
     pub fn document_names(&self) -> impl Iterator<Item = &str> {
         self.documents.keys().map(String::as_str)
     }
@@ -80,27 +84,28 @@
         self.list.as_ref()
     }
 
-    /// The administrative overrides in force, by server.
+    /// The administrative overrides, by the server's id.
     pub fn overrides(&self) -> &BTreeMap<String, AdminOverride> {
         &self.overrides
     }
 
-    /// When a server was last seen to start, in ms of Unix time.
+    /// The latest known start time of a server, in ms of Unix time.
     pub fn started_at(&self, server: &str) -> Option<u64> {
         self.started.get(server).copied()
     }
 
-    /// The ids of members that were removed, which are never reused.
+    /// The ids of removed members, which are never reused.
     pub fn removed_members(&self) -> &BTreeSet<u64> {
         &self.removed
     }
 
-    /// Records that members were removed.
+    /// Records that members were removed from the cluster.
     pub(crate) fn remove_members(&mut self, members: impl IntoIterator<Item = u64>) {
         self.removed.extend(members);
     }
 
-    /// Carries out the proposal of the entry with this index: once, however often it is proposed.
+    /// Carries out the proposal of the log entry with this index. A repeat of the client's last proposal gets that
+    /// proposal's reply, and an older proposal is rejected; neither changes anything.
     pub fn apply(&mut self, index: u64, proposal: Proposal) -> Reply {
         let Proposal { client, sequence, change } = proposal;
         if let Some(last) = self.clients.get(&client).filter(|last| last.sequence >= sequence) {
@@ -110,7 +115,7 @@
                 Reply::Rejected(Rejection::Superseded { sequence, last: last.sequence })
             };
         }
-        let reply = self.change(index, change).map_or_else(Reply::Rejected, Reply::Applied);
+        let reply = self.apply_change(index, change).map_or_else(Reply::Rejected, Reply::Applied);
         self.clients.insert(client, LastProposal { sequence, reply: reply.clone(), index });
         while self.clients.len() > MAX_CLIENTS {
             let oldest = self.clients.iter().min_by_key(|(_, last)| last.index).map(|(&client, _)| client);
@@ -119,7 +124,7 @@
         reply
     }
 
-    fn change(&mut self, index: u64, change: Change) -> Result<u64, Rejection> {
+    fn apply_change(&mut self, index: u64, change: Change) -> Result<u64, Rejection> {
         match change {
             Change::Document { name, text, author, at_ms, after } => {
                 check_len("a name", name.len(), MAX_NAME_BYTES)?;
@@ -140,28 +145,29 @@
 
     fn set_override(&mut self, index: u64, server: String, new: AdminOverride) -> Result<u64, Rejection> {
         check_len("a server's id", server.len(), MAX_SERVER_ID_BYTES)?;
-        // By the new override's own time, so that all replicas drop the same ones.
+        // Expiry is judged by the new override's own time, so that all replicas drop the same overrides.
         self.overrides.retain(|_, old| !old.is_expired(new.since_ms));
         let added = usize::from(!self.overrides.contains_key(&server));
-        // The text is a part of the replicated reply, which replicas of all versions must store alike: an earlier word for
-        // overrides stays in it.
+        // The text is part of the replicated reply, which replicas of all versions must store alike. It therefore keeps
+        // "orders", an earlier term for overrides.
         check_count("orders", self.overrides.len() + added, MAX_SERVERS)?;
         self.overrides.insert(server, new);
         Ok(index)
     }
 
-    /// Members and clients stay this cluster's own. Of each document the latest revision is restored, with a new number.
-    fn restore(&mut self, index: u64, mut from: State) -> Result<u64, Rejection> {
+    /// Restores another cluster's state into this one, which must be empty. The records of clients and removed members
+    /// stay this cluster's own. Of each document only the latest revision is restored, under a new revision number.
+    fn restore(&mut self, index: u64, mut restored: State) -> Result<u64, Rejection> {
         if !(self.documents.is_empty() && self.list.is_none() && self.overrides.is_empty()) {
             return Err(Rejection::NotEmpty);
         }
-        from.documents.retain(|_, revisions| !revisions.is_empty());
-        for revisions in from.documents.values_mut() {
+        restored.documents.retain(|_, revisions| !revisions.is_empty());
+        for revisions in restored.documents.values_mut() {
             revisions.drain(..revisions.len() - 1);
             revisions[0].revision = index;
         }
         let (clients, removed) = (mem::take(&mut self.clients), mem::take(&mut self.removed));
-        *self = State { clients, removed, ..from };
+        *self = State { clients, removed, ..restored };
         Ok(index)
     }
 
@@ -190,7 +196,8 @@
         Ok(revision)
     }
 
-    /// Drops the oldest revisions until all texts are within their limit. The latest of each document stays.
+    /// Drops the oldest revisions until the total size of all texts is within its limit. The latest revision of each
+    /// document is never dropped.
     fn drop_oldest_revisions(&mut self) {
         let revisions = self.documents.values().flatten();
         let total: usize = revisions.map(|revision| revision.text.len()).sum();
@@ -212,9 +219,10 @@
         }
         for (server, started_ms) in started {
             let latest = self.started.entry(server).or_insert(started_ms);
-            *latest = started_ms.max(*latest); // a list may hold an earlier start
+            *latest = started_ms.max(*latest); // a list may hold an earlier start time than the recorded one
         }
-        // Servers that were started longest ago have warmed up: their start times have no effect any more.
+        // The earliest start times are dropped first: those servers have warmed up, so their start times have no effect
+        // any more.
         while self.started.len() > MAX_SERVERS {
             let oldest = self.started.iter().min_by_key(|(_, at)| **at).map(|(server, _)| server.clone());
             oldest.map(|server| self.started.remove(&server));
--- a/crates/store/src/state_machine.rs
+++ b/crates/store/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The engine's state machine: it applies committed entries, and makes and installs snapshots.
+//! The consensus engine's state machine, which applies committed log entries, and builds and installs snapshots.
 
 use std::io::Cursor;
 use std::mem;
@@ -11,28 +11,29 @@
 use crate::codec::CodecError;
 use crate::disk::{Disk, DiskError};
 use crate::raft::{Entry, LogId, SnapshotMeta, StorageError, StoredMembership, TypeConfig};
-use crate::snapshot::{SNAPSHOT, open_snapshot, seal_snapshot};
+use crate::snapshot::{SNAPSHOT_LABEL, open_snapshot, seal_snapshot};
 use crate::state::Reply;
 
 /// The state machine of a replica.
 pub struct StateMachine {
     disk: Disk,
     shared: SharedState,
-    /// The index of the last applied entry.
-    applied: watch::Sender<u64>,
+    /// Publishes the index of the last applied entry.
+    applied_index: watch::Sender<u64>,
 }
 
 impl StateMachine {
-    /// The state machine of a disk, as of its latest snapshot; the engine applies the rest of the log.
+    /// The state machine of a replica, with the state of the latest snapshot on its disk. The engine then applies the
+    /// rest of the log.
     ///
     /// # Errors
     /// If the snapshot can't be read.
-    pub fn new(disk: Disk, applied: watch::Sender<u64>) -> Result<StateMachine, DiskError> {
+    pub fn new(disk: Disk, applied_index: watch::Sender<u64>) -> Result<StateMachine, DiskError> {
         let shared = SharedState::default();
         if let Some(snapshot) = disk.open_snapshot()? {
             shared.update(|applied| *applied = snapshot);
         }
-        Ok(StateMachine { disk, shared, applied })
+        Ok(StateMachine { disk, shared, applied_index })
     }
 
     /// The applied state that requests read.
@@ -40,9 +41,9 @@
         self.shared.clone()
     }
 
-    fn notify(&self) {
+    fn publish_applied_index(&self) {
         let index = self.shared.read().last_index();
-        self.applied.send_replace(index);
+        self.applied_index.send_replace(index);
     }
 }
 
@@ -65,12 +66,12 @@
     {
         let replies =
             self.shared.update(|applied| entries.into_iter().map(|entry| applied.apply(entry)).collect());
-        self.notify();
+        self.publish_applied_index();
         Ok(replies)
     }
 
     async fn get_snapshot_builder(&mut self) -> SnapshotBuilder {
-        // Sealed at once: a copy of the state itself would cost more.
+        // The state is sealed here rather than cloned for the builder: a clone of the state would cost more.
         let applied = self.shared.read();
         let last = applied.last;
         let meta = SnapshotMeta {
@@ -91,11 +92,11 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError> {
         let sealed = snapshot.into_inner();
-        // Opened before anything is changed, so that a damaged snapshot leaves the state as it was.
+        // The snapshot is decoded before anything is changed, so that a damaged one leaves the state as it was.
         let opened = open_snapshot(&sealed).map_err(|error| snapshot_error(&error))?;
         self.disk.put_snapshot(meta, &sealed).map_err(|error| snapshot_error(&error))?;
         self.shared.update(|applied| *applied = opened);
-        self.notify();
+        self.publish_applied_index();
         Ok(())
     }
 
@@ -106,7 +107,7 @@
     }
 }
 
-/// Writes a snapshot of the state as it was when this was made.
+/// Stores a snapshot of the state as of the builder's creation.
 pub struct SnapshotBuilder {
     disk: Disk,
     meta: SnapshotMeta,
@@ -115,8 +116,8 @@
 
 impl RaftSnapshotBuilder<TypeConfig> for SnapshotBuilder {
     async fn build_snapshot(&mut self) -> Result<Snapshot<TypeConfig>, StorageError> {
-        // The engine builds once; a second call has nothing to write.
-        let sealed = mem::replace(&mut self.sealed, Err(CodecError::Empty(SNAPSHOT)));
+        // The engine calls this once for each builder: a second call would find nothing to write.
+        let sealed = mem::replace(&mut self.sealed, Err(CodecError::Empty(SNAPSHOT_LABEL)));
         let sealed = sealed.map_err(|error| snapshot_error(&error))?;
         self.disk.put_snapshot(&self.meta, &sealed).map_err(|error| snapshot_error(&error))?;
         Ok(Snapshot { meta: self.meta.clone(), snapshot: Box::new(Cursor::new(sealed)) })
