--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -100,7 +100,7 @@
             Ok(SubscriberState::start(settings).map_err(Failure::unusable)?)
         }
         (Role::Member, Some(listen), _) => {
-            let settings = daemon::Settings { dir, listen, key_file, startup_timeout };
+            let settings = daemon::MemberSettings { dir, listen, key_file, startup_timeout };
             let daemon = daemon::start(settings).map_err(Failure::unusable)?;
             daemon.wait();
             Ok(MemberState::new(daemon))
--- a/crates/store/src/daemon.rs
+++ b/crates/store/src/daemon.rs
@@ -23,7 +23,7 @@
 
 /// The settings of a node's member of the store.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct MemberSettings {
     /// The folder that holds the store's file.
     pub dir: PathBuf,
     /// The loopback address that the member listens on.
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// If its folder, key or address can't be used. On an error nothing is left running.
-pub fn start(settings: Settings) -> Result<MemberDaemon, MemberDaemonError> {
+pub fn start(settings: MemberSettings) -> Result<MemberDaemon, MemberDaemonError> {
     if !settings.listen.ip().is_loopback() {
         return Err(MemberDaemonError::NotLoopback(settings.listen));
     }
@@ -109,11 +109,11 @@
     replica: Replica<Tcp>,
     listener: TcpListener,
     tcp: Tcp,
-    settings: Settings,
+    settings: MemberSettings,
 }
 
 impl MemberThread {
-    async fn start(settings: Settings) -> Result<MemberThread, MemberDaemonError> {
+    async fn start(settings: MemberSettings) -> Result<MemberThread, MemberDaemonError> {
         let keys = Keys::read(&settings.key_file)?;
         let disk = Disk::open(&settings.dir)?;
         let addr = settings.listen;
@@ -162,7 +162,7 @@
 async fn confirm_regularly(
     replica: &Replica<Tcp>,
     tcp: &Tcp,
-    settings: &Settings,
+    settings: &MemberSettings,
     mut was_confirmed: bool,
     stop: &CancellationToken,
 ) {
