--- a/crates/lab/src/measure/store.rs
+++ b/crates/lab/src/measure/store.rs
@@ -5,7 +5,7 @@
 
 use stonefold_store::disk::{Disk, DiskError, Identity};
 use stonefold_store::message::{Caller, Request, RequestError, Response};
-use stonefold_store::replica::{Options, Replica, StartError};
+use stonefold_store::replica::{Replica, ReplicaOptions, StartError};
 use stonefold_store::wire::{Key, Keys, Tcp, serve};
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
@@ -155,7 +155,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), CLUSTER, member, addr.clone());
-    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
+    let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await?;
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     Ok(Member { replica, addr })
 }
--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::message::{Caller, Request, Response};
-use stonefold_store::replica::{Options, Replica};
+use stonefold_store::replica::{Replica, ReplicaOptions};
 use stonefold_store::state::{Change, Proposal};
 use stonefold_store::wire::{Key, Keys, Tcp, serve};
 use support::{Failure, cpu_seconds, resident_kib};
@@ -34,7 +34,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
-    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
+    let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     Ok(Member { replica, addr, stop, dir })
--- a/crates/store/examples/quorum_cost.rs
+++ b/crates/store/examples/quorum_cost.rs
@@ -18,7 +18,7 @@
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::message::{Caller, Request, RequestError, Response};
 use stonefold_store::raft::MemberId;
-use stonefold_store::replica::{Options, Replica, Transport};
+use stonefold_store::replica::{Replica, ReplicaOptions, Transport};
 use stonefold_store::wire::{Key, Keys, Tcp, serve};
 use support::{Failure, cpu_seconds};
 use tokio::net::TcpListener;
@@ -71,7 +71,7 @@
     let addr = listener.local_addr()?.to_string();
     let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
     let counted = CountingTransport { tcp: tcp.clone(), bytes };
-    let replica = Replica::start(disk, Options::new(addr.clone()), counted).await?;
+    let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), counted).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     Ok(Member { replica, addr, stop })
--- a/crates/store/examples/subscribers/fleet.rs
+++ b/crates/store/examples/subscribers/fleet.rs
@@ -11,7 +11,7 @@
 use stonefold_store::feed::subscriber::{Counters, Event, Subscriber};
 use stonefold_store::feed::table::Table;
 use stonefold_store::message::{Caller, Request, Response};
-use stonefold_store::replica::{Options, Replica};
+use stonefold_store::replica::{Replica, ReplicaOptions};
 use stonefold_store::wire::{Feed, Key, Keys, Tcp, follow, serve, serve_relay};
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Handle};
@@ -75,7 +75,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     let tcp = Tcp::member(keys(), CLUSTER, member, addr.clone());
-    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
+    let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     let (confirms, ends) = (replica.clone(), stop.clone());
--- a/crates/store/src/daemon.rs
+++ b/crates/store/src/daemon.rs
@@ -14,7 +14,7 @@
 
 use crate::disk::{Disk, DiskError};
 use crate::message::RequestError;
-use crate::replica::{Options, Replica, StartError};
+use crate::replica::{Replica, ReplicaOptions, StartError};
 use crate::service::{block_until_ready, reload_keys, spawn};
 use crate::wire::{KeyError, Keys, Tcp, serve};
 
@@ -121,7 +121,10 @@
             TcpListener::bind(addr).await.map_err(|error| MemberDaemonError::Listen(addr, error))?;
         let identity = disk.identity();
         let tcp = Tcp::member(keys, identity.cluster, identity.member, addr.to_string());
-        let options = Options { startup_timeout: settings.startup_timeout, ..Options::new(addr.to_string()) };
+        let options = ReplicaOptions {
+            startup_timeout: settings.startup_timeout,
+            ..ReplicaOptions::new(addr.to_string())
+        };
         let replica = Replica::start(disk, options, tcp.clone()).await?;
         info!(event = "store_started", member = identity.member, at = %addr, "the store's replica has started");
         Ok(MemberThread { replica, listener, tcp, settings })
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -41,16 +41,16 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 /// The pause between two attempts of a request to the leader.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The default of [`Options::startup_timeout`].
+/// The default of [`ReplicaOptions::startup_timeout`].
 const DEFAULT_STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
-/// The default of [`Options::snapshot_interval`], in entries.
+/// The default of [`ReplicaOptions::snapshot_interval`], in entries.
 const DEFAULT_SNAPSHOT_INTERVAL: u64 = 512;
-/// The default of [`Options::retained_entries`].
+/// The default of [`ReplicaOptions::retained_entries`].
 const DEFAULT_RETAINED_ENTRIES: u64 = 64;
 
 /// The options of a replica.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct ReplicaOptions {
     /// The address that the replica listens on, as the other members know it.
     pub addr: String,
     /// How long the startup waits for the other members.
@@ -62,10 +62,10 @@
     pub retained_entries: u64,
 }
 
-impl Options {
+impl ReplicaOptions {
     /// The default options for a replica at this address.
-    pub fn new(addr: impl Into<String>) -> Options {
-        Options {
+    pub fn new(addr: impl Into<String>) -> ReplicaOptions {
+        ReplicaOptions {
             addr: addr.into(),
             startup_timeout: DEFAULT_STARTUP_TIMEOUT,
             snapshot_interval: DEFAULT_SNAPSHOT_INTERVAL,
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     /// If what is on the disk can't be read, or is of another version.
-    pub async fn start(disk: Disk, options: Options, transport: T) -> Result<Replica<T>, StartError> {
+    pub async fn start(disk: Disk, options: ReplicaOptions, transport: T) -> Result<Replica<T>, StartError> {
         let identity = disk.identity();
         let (index_sender, applied_index) = watch::channel(0);
         let machine = StateMachine::new(disk.clone(), index_sender)?;
@@ -244,7 +244,7 @@
     }
 }
 
-fn engine_config(identity: Identity, options: &Options) -> Result<Config, StartError> {
+fn engine_config(identity: Identity, options: &ReplicaOptions) -> Result<Config, StartError> {
     let config = Config {
         cluster_name: format!("{:032x}", identity.cluster),
         heartbeat_interval: HEARTBEAT_INTERVAL_MS,
@@ -265,7 +265,7 @@
 /// # Errors
 /// If the disk can't be used, or the cluster has members already.
 pub async fn bootstrap(disk: Disk, addr: String) -> Result<(), StartError> {
-    let replica = Replica::start(disk, Options::new(addr), NoTransport).await?;
+    let replica = Replica::start(disk, ReplicaOptions::new(addr), NoTransport).await?;
     let result = replica.bootstrap().await;
     replica.stop().await;
     result.map_err(|error| StartError::Engine(error.to_string()))
--- a/crates/store/tests/following/nodes.rs
+++ b/crates/store/tests/following/nodes.rs
@@ -10,7 +10,7 @@
 use stonefold_store::feed::subscriber::{Event, Subscriber};
 use stonefold_store::feed::table::Table;
 use stonefold_store::message::{Caller, Request, Response};
-use stonefold_store::replica::{Options, Replica};
+use stonefold_store::replica::{Replica, ReplicaOptions};
 use stonefold_store::state::{Change, Proposal};
 use stonefold_store::subscriber_folder::SubscriberFolder;
 use stonefold_store::wire::{self, Feed, Keys, Source, Tcp, follow, serve, serve_relay};
@@ -39,7 +39,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     let tcp = Tcp::member(keys(1), CLUSTER, member, addr.clone());
-    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await.unwrap();
+    let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
     let confirms = replica.clone();
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -18,7 +18,7 @@
 use stonefold_store::freshness::Verdict;
 use stonefold_store::message::{Caller, Request};
 use stonefold_store::raft::MemberId;
-use stonefold_store::replica::{Options, Replica};
+use stonefold_store::replica::{Replica, ReplicaOptions};
 use stonefold_store::state::{AdminOverride, Change, Proposal};
 use tokio::time::{Instant, sleep};
 
@@ -147,7 +147,11 @@
             Err(error) => return self.wrong = Some(format!("a disk after a power cut: {error}")),
         };
         let disk = if self.broken == Broken::Sync { disk.unsynced() } else { disk };
-        let options = Options { snapshot_interval: 12, retained_entries: 3, ..Options::new(addr(member)) };
+        let options = ReplicaOptions {
+            snapshot_interval: 12,
+            retained_entries: 3,
+            ..ReplicaOptions::new(addr(member))
+        };
         let Ok(replica) = Replica::start(disk, options, wire).await else { return };
         self.net.links().running.insert(member, (incarnation, replica.clone()));
         tokio::spawn(use_lists(member, incarnation, replica, self.net.clone(), self.records.clone()));
--- a/crates/store/tests/simulation.rs
+++ b/crates/store/tests/simulation.rs
@@ -10,7 +10,7 @@
 use sim::{Broken, run};
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::message::{Caller, Request, Response};
-use stonefold_store::replica::{Options, Replica};
+use stonefold_store::replica::{Replica, ReplicaOptions};
 use stonefold_store::state::{AdminOverride, Change, Proposal};
 use tokio::time::Instant;
 
@@ -52,7 +52,7 @@
         for member in [1, 2] {
             let disk = Disk::with_backend(MemoryDisk::default(), Identity { cluster: 1, member }).unwrap();
             let wire = SimulatedTransport { net: net.clone(), me: member, incarnation: member };
-            let replica = Replica::start(disk, Options::new(addr(member)), wire).await.unwrap();
+            let replica = Replica::start(disk, ReplicaOptions::new(addr(member)), wire).await.unwrap();
             net.links().running.insert(member, (member, replica));
         }
         let first = net.replica(1).unwrap();
--- a/crates/store/tests/wire.rs
+++ b/crates/store/tests/wire.rs
@@ -8,7 +8,7 @@
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::message::{Request, RequestError, Response};
 use stonefold_store::raft::Entry;
-use stonefold_store::replica::{Options, Replica, Transport};
+use stonefold_store::replica::{Replica, ReplicaOptions, Transport};
 use stonefold_store::state::limits::MAX_LIST_BYTES;
 use stonefold_store::state::{AdminOverride, Change, Proposal, Reply};
 use stonefold_store::wire::{
@@ -163,7 +163,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     let tcp = Tcp::member(keys(1), 9, member, addr.clone());
-    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await.unwrap();
+    let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
     Served { addr, replica, tcp, stop, _dir: dir }
