--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -9,7 +9,7 @@
 use stonefold_node::shared::{BoxFuture, SharedState};
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::daemon::MemberDaemon;
-use stonefold_store::freshness::Verdict;
+use stonefold_store::freshness::VersionCheck;
 use stonefold_store::state::{AdminOverride, Change, Proposal, Rejection, Reply};
 use tokio::time::{Instant, sleep};
 use tracing::warn;
@@ -185,8 +185,8 @@
 
     fn adopt_list(&self, version: u64) -> Result<(), u64> {
         match self.daemon.replica.freshness(|freshness, _| freshness.use_list(version)) {
-            Verdict::Newer | Verdict::Current => Ok(()),
-            Verdict::Stale { known } => Err(known),
+            VersionCheck::Newer | VersionCheck::Current => Ok(()),
+            VersionCheck::Stale { known } => Err(known),
         }
     }
 
--- a/crates/cli/src/shared_state/subscriber.rs
+++ b/crates/cli/src/shared_state/subscriber.rs
@@ -9,7 +9,7 @@
 use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::subscriber::Event;
 use stonefold_store::follower::{self, Settings, SubscriberDaemon, SubscriberDaemonError};
-use stonefold_store::freshness::{Freshness, Verdict};
+use stonefold_store::freshness::{Freshness, VersionCheck};
 use tracing::debug;
 
 use super::{CONFIG_DOCUMENT, ConfigRevision, SharedConfig, parse_list};
@@ -102,11 +102,11 @@
 
     fn adopt_list(&self, version: u64) -> Result<(), u64> {
         match self.with_freshness(|freshness| freshness.use_list(version)) {
-            Verdict::Newer | Verdict::Current => {
+            VersionCheck::Newer | VersionCheck::Current => {
                 self.daemon.feed.use_list(version);
                 Ok(())
             }
-            Verdict::Stale { known } => Err(known),
+            VersionCheck::Stale { known } => Err(known),
         }
     }
 
--- a/crates/store/src/freshness.rs
+++ b/crates/store/src/freshness.rs
@@ -45,7 +45,7 @@
 
 /// The result of checking whether a version may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum VersionCheck {
     /// The version is newer than the one in use, and may be used.
     Newer,
     /// The version is already in use.
@@ -79,24 +79,24 @@
 
     /// Decides whether a list may be used, and if so records it as in use. The list may come from the store, or from
     /// discovery, whose list may be newer than the committed one.
-    pub fn use_list(&mut self, version: u64) -> Verdict {
+    pub fn use_list(&mut self, version: u64) -> VersionCheck {
         let known = self.committed_list.max(self.list);
         if version < known {
-            return Verdict::Stale { known };
+            return VersionCheck::Stale { known };
         }
         let is_current = version == self.list;
         self.list = version;
-        if is_current { Verdict::Current } else { Verdict::Newer }
+        if is_current { VersionCheck::Current } else { VersionCheck::Newer }
     }
 
     /// Decides whether a configuration may be used, and if so records it as in use.
-    pub fn use_config(&mut self, revision: u64) -> Verdict {
+    pub fn use_config(&mut self, revision: u64) -> VersionCheck {
         if revision < self.config {
-            return Verdict::Stale { known: self.config };
+            return VersionCheck::Stale { known: self.config };
         }
         let is_current = revision == self.config;
         self.config = revision;
-        if is_current { Verdict::Current } else { Verdict::Newer }
+        if is_current { VersionCheck::Current } else { VersionCheck::Newer }
     }
 
     /// Records the leader's answer to a request that was sent at `requested_at`: the index up to which everything is
--- a/crates/store/tests/rules.rs
+++ b/crates/store/tests/rules.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
-use stonefold_store::freshness::{Freshness, Verdict};
+use stonefold_store::freshness::{Freshness, VersionCheck};
 use stonefold_store::members::{Member, Members, MembersError, admit, check_add, check_remove};
 use stonefold_store::message::{Caller, Introduction};
 use stonefold_store::state::limits::{
@@ -99,7 +99,7 @@
                 next.asked = None;
             }
             Step::Act(version) => {
-                if matches!(next.node.use_list(version), Verdict::Newer) {
+                if matches!(next.node.use_list(version), VersionCheck::Newer) {
                     next.went_back |= version < next.acted;
                     next.behind |= version < next.applied;
                     next.acted = version;
@@ -147,13 +147,16 @@
     let mut node = Freshness::new(1_000, 500, 7);
     assert!(!node.startup_complete(999) && !node.startup_complete(1_499) && node.startup_complete(1_500));
     assert_eq!((node.stale_for(0), node.stale_for(1_700)), (0, 700));
-    assert_eq!(node.use_list(6), Verdict::Stale { known: 7 });
+    assert_eq!(node.use_list(6), VersionCheck::Stale { known: 7 });
     assert_eq!(
         (node.use_list(9), node.use_list(9)),
-        (Verdict::Newer, Verdict::Current),
+        (VersionCheck::Newer, VersionCheck::Current),
         "discovery may be ahead"
     );
-    assert_eq!((node.use_config(4), node.use_config(3)), (Verdict::Newer, Verdict::Stale { known: 4 }));
+    assert_eq!(
+        (node.use_config(4), node.use_config(3)),
+        (VersionCheck::Newer, VersionCheck::Stale { known: 4 })
+    );
     node.read_index_received(1_600, 12);
     node.index_applied(11);
     assert!(!node.is_confirmed());
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -15,7 +15,7 @@
 use net::{Network, SimulatedTransport, addr};
 use stonefold_store::applied::AppliedState;
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::freshness::Verdict;
+use stonefold_store::freshness::VersionCheck;
 use stonefold_store::message::{Caller, Request};
 use stonefold_store::raft::MemberId;
 use stonefold_store::replica::{Replica, ReplicaOptions};
@@ -293,7 +293,7 @@
     loop {
         let list = replica.shared().read().state.list().map_or(0, |list| list.version);
         let verdict = replica.freshness(|freshness, _| freshness.use_list(list));
-        if verdict == Verdict::Newer && net.is_running(member, incarnation) {
+        if verdict == VersionCheck::Newer && net.is_running(member, incarnation) {
             records.lock().unwrap().list_uses.push(ListUse { member, incarnation, list });
         }
         if applied.changed().await.is_err() {
