--- a/crates/store/src/disk/mod.rs
+++ b/crates/store/src/disk/mod.rs
@@ -59,7 +59,7 @@
 
 /// The summary of a disk that was read completely and found undamaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verified {
+pub struct DiskSummary {
     /// The cluster and the member that it belongs to.
     pub identity: Identity,
     /// The index of the first entry in the log, after those that log compaction has removed.
@@ -70,7 +70,7 @@
     pub snapshot: Option<u64>,
 }
 
-impl Display for Verified {
+impl Display for DiskSummary {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let Identity { cluster, member } = self.identity;
         let (entries, first) = (self.entries, self.first);
@@ -197,7 +197,7 @@
     ///
     /// # Errors
     /// For the first value that can't be read or is missing.
-    pub fn verify(&self) -> Result<Verified> {
+    pub fn verify(&self) -> Result<DiskSummary> {
         let entries = self.entries(..)?;
         let purged: Option<LogId> = self.get(KEY_PURGED)?;
         let first = purged.map_or(0, |purged| purged.index + 1);
@@ -207,7 +207,7 @@
             }
         }
         let snapshot = self.open_snapshot()?.and_then(|applied| applied.last).map(|last| last.index);
-        Ok(Verified { identity: self.identity, first, entries: entries.len(), snapshot })
+        Ok(DiskSummary { identity: self.identity, first, entries: entries.len(), snapshot })
     }
 
     /// The cluster and the member that the disk belongs to.
--- a/crates/store/tests/compatibility/disk.rs
+++ b/crates/store/tests/compatibility/disk.rs
@@ -9,7 +9,7 @@
 use openraft::Vote;
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt};
 use redb::{Builder, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
-use stonefold_store::disk::{Disk, Identity, Verified};
+use stonefold_store::disk::{Disk, DiskSummary, Identity};
 use stonefold_store::snapshot::open_snapshot;
 use stonefold_store::state_machine::StateMachine;
 use tokio::sync::watch;
@@ -104,7 +104,7 @@
     unpack(folder.path());
     let mut disk = Disk::open(folder.path()).unwrap();
     assert_eq!(disk.identity(), IDENTITY);
-    let verified = Verified { identity: IDENTITY, first: 5, entries: 6, snapshot: Some(6) };
+    let verified = DiskSummary { identity: IDENTITY, first: 5, entries: 6, snapshot: Some(6) };
     assert_eq!(disk.verify().unwrap(), verified);
     assert_eq!(disk.entries(..).unwrap(), history::entries()[4..]);
     assert_eq!(disk.read_vote().await.unwrap(), Some(Vote::new_committed(3, 2)));
