--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -166,7 +166,7 @@
     }
 
     fn changed(&self) -> bool {
-        let index = *self.daemon.replica.applied().borrow();
+        let index = *self.daemon.replica.applied_index().borrow();
         self.seen_index.swap(index, Ordering::Relaxed) != index
     }
 
@@ -202,7 +202,7 @@
 
     fn config_after(&self, revision: u64) -> BoxFuture<'_, u64> {
         Box::pin(async move {
-            let mut applied = self.daemon.replica.applied();
+            let mut applied = self.daemon.replica.applied_index();
             loop {
                 if let Some(latest) = self.config().filter(|latest| latest.revision > revision) {
                     return latest.revision;
--- a/crates/store/src/replica/mod.rs
+++ b/crates/store/src/replica/mod.rs
@@ -150,7 +150,7 @@
     }
 
     /// Watches the index of the last entry that this replica has applied.
-    pub fn applied(&self) -> watch::Receiver<u64> {
+    pub fn applied_index(&self) -> watch::Receiver<u64> {
         self.applied_index.clone()
     }
 
--- a/crates/store/src/wire/publish.rs
+++ b/crates/store/src/wire/publish.rs
@@ -67,7 +67,7 @@
     }
 
     fn changes(&self) -> watch::Receiver<u64> {
-        self.replica.applied()
+        self.replica.applied_index()
     }
 }
 
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -289,7 +289,7 @@
     records: Arc<Mutex<Records>>,
 ) {
     let _ = replica.confirm(Instant::now() + Duration::from_secs(2)).await;
-    let mut applied = replica.applied();
+    let mut applied = replica.applied_index();
     loop {
         let list = replica.shared().read().state.list().map_or(0, |list| list.version);
         let verdict = replica.freshness(|freshness, _| freshness.use_list(list));
--- a/crates/store/tests/wire.rs
+++ b/crates/store/tests/wire.rs
@@ -204,7 +204,7 @@
     let add = Request::AddMember { member: 2, addr: late.addr.clone() };
     let answer = served.replica.answer(stonefold_store::message::Caller::Client, add).await;
     assert!(matches!(answer, Response::MembersChanged(Ok(()))), "{answer:?}");
-    let mut applied = late.replica.applied();
+    let mut applied = late.replica.applied_index();
     let list = || late.replica.shared().read().state.list().map(|list| list.version);
     while list() != Some(8) {
         applied.changed().await.unwrap();
