--- a/crates/store/examples/feed_simulate.rs
+++ b/crates/store/examples/feed_simulate.rs
@@ -1,4 +1,4 @@
-//! Many seeds of the simulation of distribution that the tests run few of:
+//! Runs the simulation of the distribution to subscribers with many seeds; the tests run it with only a few:
 //!
 //!     cargo run --release -p stonefold-store --example feed_simulate -- FIRST COUNT [WORKERS]
 
@@ -12,7 +12,7 @@
 use feed_sim::{Broken, run};
 
 fn main() {
-    let mut numbers = support::number_args::<u64>().expect("numbers").into_iter();
+    let mut numbers = support::number_args::<u64>().expect("arguments must be numbers").into_iter();
     let (first, count) = (numbers.next().unwrap_or(0), numbers.next().unwrap_or(1_000));
     let workers = numbers.next().unwrap_or(2) as usize;
     let [changes, purges, kills, disconnected, failed] = [0; 5].map(AtomicU64::new);
@@ -22,13 +22,13 @@
         purges.fetch_add(report.purges, Ordering::Relaxed);
         kills.fetch_add(report.kills, Ordering::Relaxed);
         disconnected.fetch_add(report.disconnected, Ordering::Relaxed);
-        if let Err(what) = report.verdict {
+        if let Err(violation) = report.verdict {
             failed.fetch_add(1, Ordering::Relaxed);
-            println!("seed {seed}: {what}");
+            println!("seed {seed}: {violation}");
         }
     });
     println!(
-        "{count} seeds: {} changes, {} of them purges, {} kills, {} slow subscribers cut, {} seeds wrong",
+        "{count} seeds: {} changes, {} of them purges, {} kills, {} slow subscribers disconnected, {} seeds failed",
         changes.into_inner(),
         purges.into_inner(),
         kills.into_inner(),
--- a/crates/store/examples/simulate.rs
+++ b/crates/store/examples/simulate.rs
@@ -1,4 +1,4 @@
-//! Many seeds of the simulation that the tests run few of:
+//! Runs the simulation of the members with many seeds; the tests run it with only a few:
 //!
 //!     cargo run --release -p stonefold-store --example simulate -- FIRST COUNT MEMBERS
 
@@ -13,7 +13,7 @@
 use sim::{Broken, run};
 
 fn main() {
-    let mut numbers = support::number_args::<u64>().expect("numbers").into_iter();
+    let mut numbers = support::number_args::<u64>().expect("arguments must be numbers").into_iter();
     let (first, count) = (numbers.next().unwrap_or(0), numbers.next().unwrap_or(1_000));
     let members = numbers.next().unwrap_or(3);
     let [operations, kills, failed] = [0; 3].map(AtomicU64::new);
@@ -22,13 +22,13 @@
         let report = run(seed, members, Broken::Nothing);
         operations.fetch_add(report.answered as u64, Ordering::Relaxed);
         kills.fetch_add(report.kills, Ordering::Relaxed);
-        if let Err(what) = report.verdict {
+        if let Err(violation) = report.verdict {
             failed.fetch_add(1, Ordering::Relaxed);
-            println!("seed {seed}: {what}");
+            println!("seed {seed}: {violation}");
         }
     });
     println!(
-        "{count} seeds of {members} members: {} operations answered, {} members killed, {} seeds wrong",
+        "{count} seeds of {members} members: {} operations answered, {} members killed, {} seeds failed",
         operations.into_inner(),
         kills.into_inner(),
         failed.load(Ordering::Relaxed)
--- a/crates/store/examples/subscribers/load.rs
+++ b/crates/store/examples/subscribers/load.rs
@@ -1,4 +1,4 @@
-//! The load, and how long its changes take to arrive.
+//! The load on the store, and the latency with which its changes arrive.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -10,36 +10,41 @@
 use stonefold_store::wire::Tcp;
 use tokio::time::{Instant, sleep_until};
 
-use crate::support::Failure;
+use crate::support::ExampleError;
 
 /// How often a key is purged.
 const PURGE_INTERVAL: Duration = Duration::from_millis(83);
 /// How often a document or the list changes.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// When what was made: by purged key, and by document text or list version.
-pub(crate) type Made = Arc<Mutex<HashMap<String, Instant>>>;
-pub(crate) type Took = Arc<Mutex<Histogram<u64>>>;
+/// When each change was proposed. The keys are purged keys, `list VERSION` and `revision REVISION`.
+pub(crate) type ProposalTimes = Arc<Mutex<HashMap<String, Instant>>>;
+/// A histogram of latencies in microseconds.
+pub(crate) type LatencyHistogram = Arc<Mutex<Histogram<u64>>>;
 
-pub(crate) fn histogram() -> Result<Took, Failure> {
+pub(crate) fn new_histogram() -> Result<LatencyHistogram, ExampleError> {
     Ok(Arc::new(Mutex::new(Histogram::new(3)?)))
 }
 
-pub(crate) fn record(made: &Made, took: &Took, what: &str) {
-    let at = made.lock().ok().and_then(|made| made.get(what).copied());
-    if let (Some(at), Ok(mut took)) = (at, took.lock()) {
-        let _ = took.record(at.elapsed().as_micros() as u64);
+/// Records the time since the change with this key was proposed. A change without a known time is ignored.
+pub(crate) fn record_latency(proposed: &ProposalTimes, latencies: &LatencyHistogram, key: &str) {
+    let proposed_at = proposed.lock().ok().and_then(|proposed| proposed.get(key).copied());
+    if let (Some(proposed_at), Ok(mut latencies)) = (proposed_at, latencies.lock()) {
+        let _ = latencies.record(proposed_at.elapsed().as_micros() as u64);
     }
 }
 
+/// The proposed changes, and the latencies with which they arrived at subscribers.
 #[derive(Clone)]
-pub(crate) struct Watched {
-    pub(crate) made: Made,
-    pub(crate) purges: Took,
-    pub(crate) changes: Took,
+pub(crate) struct DeliveryLatencies {
+    pub(crate) proposed: ProposalTimes,
+    pub(crate) purges: LatencyHistogram,
+    /// The latencies of changes of documents and of the list.
+    pub(crate) changes: LatencyHistogram,
 }
 
-pub(crate) fn list(version: u64) -> String {
+/// The text of an endpoint list of 340 servers, one of which has another weight in each version.
+pub(crate) fn list_text(version: u64) -> String {
     let server = |n: u64| {
         let weight = if n == version % 340 { version } else { 1 };
         format!(
@@ -52,9 +57,9 @@
     format!(r#"{{"full":true,"servers":[{}],"version":{version}}}"#, servers.join(","))
 }
 
-/// A list change, and the name under which its time is noted.
+/// A list change, and the key under which its proposal time is recorded.
 pub(crate) fn list_change(version: u64) -> (String, Change) {
-    let change = Change::List { version, text: list(version), learned_by: 1, started: vec![] };
+    let change = Change::List { version, text: list_text(version), learned_by: 1, started: vec![] };
     (format!("list {version}"), change)
 }
 
@@ -63,61 +68,67 @@
     Change::Document { name: "config".into(), text, author: "me".into(), at_ms: 0, after: None }
 }
 
-/// Changes and purges for so long; each is noted before it is proposed.
-pub(crate) async fn load(
+/// Proposes purges and changes for this duration, numbered from the one after `last_number`. Returns the last number.
+/// The proposal time of a purge or list is recorded before it is proposed; that of a document once its revision is
+/// known.
+pub(crate) async fn run_load(
     replica: Replica<Tcp>,
-    made: Made,
-    lasts: Duration,
-    from: u64,
-) -> Result<u64, Failure> {
-    let (until, mut next, mut n) = (Instant::now() + lasts, Instant::now(), from);
-    let (mut change_at, mut turn) = (Instant::now(), 0);
-    while Instant::now() < until {
+    proposed: ProposalTimes,
+    duration: Duration,
+    last_number: u64,
+) -> Result<u64, ExampleError> {
+    let (end, mut next_purge, mut n) = (Instant::now() + duration, Instant::now(), last_number);
+    let (mut next_change, mut change_count) = (Instant::now(), 0);
+    while Instant::now() < end {
         n += 1;
         let key = format!("{n:08}-a-key-of-32-bytes-in-all-");
         let mut changes = vec![(key.clone(), Change::Purge { key })];
-        if Instant::now() >= change_at {
-            change_at += CHANGE_INTERVAL;
-            turn += 1;
-            changes.push(if turn % 2 == 0 { list_change(n) } else { (String::new(), document_change(n)) });
+        if Instant::now() >= next_change {
+            next_change += CHANGE_INTERVAL;
+            change_count += 1;
+            changes.push(if change_count % 2 == 0 {
+                list_change(n)
+            } else {
+                (String::new(), document_change(n))
+            });
         }
-        for (what, change) in changes {
-            let begun = Instant::now();
-            if !what.is_empty()
-                && let Ok(mut made) = made.lock()
+        for (key, change) in changes {
+            let proposed_at = Instant::now();
+            if !key.is_empty()
+                && let Ok(mut proposed) = proposed.lock()
             {
-                made.insert(what.clone(), begun);
+                proposed.insert(key.clone(), proposed_at);
             }
             let proposal = Proposal { client: fastrand::u64(..), sequence: 1, change };
             let reply = replica.propose(proposal, Instant::now() + Duration::from_secs(5)).await?;
-            if let (true, stonefold_store::state::Reply::Applied(revision), Ok(mut made)) =
-                (what.is_empty(), reply, made.lock())
+            if let (true, stonefold_store::state::Reply::Applied(revision), Ok(mut proposed)) =
+                (key.is_empty(), reply, proposed.lock())
             {
-                made.insert(format!("revision {revision}"), begun);
+                proposed.insert(format!("revision {revision}"), proposed_at);
             }
         }
-        next += PURGE_INTERVAL;
-        sleep_until(next).await;
+        next_purge += PURGE_INTERVAL;
+        sleep_until(next_purge).await;
     }
     Ok(n)
 }
 
-/// p50, p99 and p100 in ms, and how many there were.
-pub(crate) fn quantiles(took: &Took) -> Result<String, Failure> {
-    let took = took.lock().map_err(|_| "a histogram")?;
-    let at = |quantile| took.value_at_quantile(quantile) as f64 / 1e3;
-    Ok(format!("{:.0}, {:.0}, {:.0} ({})", at(0.5), at(0.99), at(1.0), took.len()))
+/// The p50, p99 and p100 latencies in ms, and their number.
+pub(crate) fn format_quantiles(latencies: &LatencyHistogram) -> Result<String, ExampleError> {
+    let latencies = latencies.lock().map_err(|_| "a histogram's lock is poisoned")?;
+    let ms = |quantile| latencies.value_at_quantile(quantile) as f64 / 1e3;
+    Ok(format!("{:.0}, {:.0}, {:.0} ({})", ms(0.5), ms(0.99), ms(1.0), latencies.len()))
 }
 
-/// What was made, as (purges, other changes), since this was last asked; all figures begin anew.
-pub(crate) fn anew(watched: &Watched) -> Result<(usize, usize), Failure> {
-    let mut made = watched.made.lock().map_err(|_| "what was made")?;
+/// Resets all latencies. Returns how many purges and how many other changes were proposed since the last reset.
+pub(crate) fn reset_latencies(latencies: &DeliveryLatencies) -> Result<(usize, usize), ExampleError> {
+    let mut proposed = latencies.proposed.lock().map_err(|_| "the lock of the proposal times is poisoned")?;
     let changes =
-        made.keys().filter(|what| what.starts_with("list ") || what.starts_with("revision ")).count();
-    let count = (made.len() - changes, changes);
-    made.clear();
-    for took in [&watched.purges, &watched.changes] {
-        took.lock().map_err(|_| "a histogram")?.reset();
+        proposed.keys().filter(|key| key.starts_with("list ") || key.starts_with("revision ")).count();
+    let counts = (proposed.len() - changes, changes);
+    proposed.clear();
+    for histogram in [&latencies.purges, &latencies.changes] {
+        histogram.lock().map_err(|_| "a histogram's lock is poisoned")?.reset();
     }
-    Ok(count)
+    Ok(counts)
 }
