--- a/crates/store/src/members.rs
+++ b/crates/store/src/members.rs
@@ -84,25 +84,25 @@
 /// # Errors
 /// The reason why the caller is not admitted.
 pub fn admit(
-    caller: &Introduction,
+    introduction: &Introduction,
     cluster: u128,
     own_id: MemberId,
     members: &Members,
 ) -> Result<(), MembersError> {
     // A client holds the key of this cluster, so it need not know the cluster's id.
-    let any_cluster = caller.caller == Caller::Client && caller.cluster == 0;
-    if caller.cluster != cluster && !any_cluster {
-        return Err(MembersError::ForeignCluster { theirs: caller.cluster, ours: cluster });
+    let any_cluster = introduction.caller == Caller::Client && introduction.cluster == 0;
+    if introduction.cluster != cluster && !any_cluster {
+        return Err(MembersError::ForeignCluster { theirs: introduction.cluster, ours: cluster });
     }
-    let Caller::Member(member) = caller.caller else { return Ok(()) };
+    let Caller::Member(member) = introduction.caller else { return Ok(()) };
     if member == own_id {
         return Err(MembersError::OwnId(own_id));
     }
     match members.get(&member) {
         _ if members.is_empty() => Ok(()),
         None => Err(MembersError::NotMember(member)),
-        Some(known) if known.addr != caller.addr => {
-            let (known, found) = (known.addr.clone(), caller.addr.clone());
+        Some(known) if known.addr != introduction.addr => {
+            let (known, found) = (known.addr.clone(), introduction.addr.clone());
             Err(MembersError::AddressMismatch { member, known, found })
         }
         Some(_) => Ok(()),
