--- a/crates/store/examples/quorum_cost.rs
+++ b/crates/store/examples/quorum_cost.rs
@@ -105,9 +105,7 @@
         let new = start_member(folder, member, bytes.clone()).await?;
         let add = Request::AddMember { member, addr: new.addr.clone() };
         match members[0].replica.answer(Caller::Client, add).await {
-            Response::MembersChanged(result) => {
-                result.map_err(|error| format!("member {member}: {error}"))?
-            }
+            Response::MembersChanged(done) => done.map_err(|error| format!("member {member}: {error}"))?,
             other => return Err(format!("{other:?}").into()),
         }
         members.push(new);
--- a/crates/store/examples/subscribers/main.rs
+++ b/crates/store/examples/subscribers/main.rs
@@ -31,17 +31,15 @@
 /// same load.
 async fn measure_failures(
     members: &[Member],
-    [region_relays, site_relays]: [&[(Feed, CancellationToken)]; 2],
+    [region, site]: [&[(Feed, CancellationToken)]; 2],
     subscribers: &[Feed],
     latencies: &DeliveryLatencies,
     member_runtime: &RuntimeThread,
     mut last_number: u64,
 ) -> Result<(), ExampleError> {
     reset_latencies(latencies)?;
-    let disconnects = || {
-        sum_counters(subscribers).disconnects
-            + sum_counters(all_relays(region_relays, site_relays)).disconnects
-    };
+    let disconnects =
+        || sum_counters(subscribers).disconnects + sum_counters(all_relays(region, site)).disconnects;
     for failure in ["a relay of each region killed", "a relay of each site killed", "the leader killed"] {
         let leader = members[0].replica.status().leader.ok_or("there is no leader")? as usize - 1;
         let other = &members[(leader + 1) % members.len()].replica;
@@ -54,12 +52,8 @@
         ));
         sleep(Duration::from_secs(1)).await;
         match failure {
-            "a relay of each region killed" => {
-                region_relays.iter().step_by(2).for_each(|(_, stop)| stop.cancel())
-            }
-            "a relay of each site killed" => {
-                site_relays.iter().step_by(2).for_each(|(_, stop)| stop.cancel())
-            }
+            "a relay of each region killed" => region.iter().step_by(2).for_each(|(_, stop)| stop.cancel()),
+            "a relay of each site killed" => site.iter().step_by(2).for_each(|(_, stop)| stop.cancel()),
             _ => {
                 members[leader].stop.cancel();
                 let replica = members[leader].replica.clone();
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -17,7 +17,7 @@
     Empty(&'static str),
     /// The value is of another version.
     #[error(
-        "{what} is of version {found}; this program reads version {VERSION}: use the program that wrote it, or a newer one"
+        "{what} is of version {found}; this program reads {VERSION}: use the program that wrote it, or a newer one"
     )]
     Version {
         /// The kind of the value.
--- a/crates/store/src/disk/error.rs
+++ b/crates/store/src/disk/error.rs
@@ -25,7 +25,7 @@
     },
     /// The file's layout is of another version.
     #[error(
-        "the store's file is of format version {0}; this program reads version {FORMAT_VERSION}: use the program that wrote it"
+        "the store's file is of format version {0}; this program reads {FORMAT_VERSION}: use the program that wrote it"
     )]
     Format(u32),
     /// A value in the file can't be decoded.
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -35,8 +35,6 @@
 pub(crate) fn reload_keys(tcp: &Tcp, key_file: &Path) {
     match Keys::read(key_file) {
         Ok(keys) => tcp.set_keys(keys),
-        Err(error) => {
-            warn!(event = "store_keys_unreadable", %error, "the key file can't be read: the previous keys stay in use")
-        }
+        Err(error) => warn!(event = "store_keys_unreadable", %error, "the previous keys stay in use"),
     }
 }
