--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -9,7 +9,7 @@
 use stonefold_node::shared::{BoxFuture, SharedState};
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::daemon::MemberDaemon;
-use stonefold_store::freshness::Verdict;
+use stonefold_store::freshness::VersionCheck;
 use stonefold_store::state::{AdminOverride, Change, Proposal, Rejection, Reply};
 use tokio::time::{Instant, sleep};
 use tracing::warn;
@@ -166,7 +166,7 @@
     }
 
     fn changed(&self) -> bool {
-        let index = *self.daemon.replica.applied().borrow();
+        let index = *self.daemon.replica.applied_index().borrow();
         self.seen_index.swap(index, Ordering::Relaxed) != index
     }
 
@@ -185,8 +185,8 @@
 
     fn adopt_list(&self, version: u64) -> Result<(), u64> {
         match self.daemon.replica.freshness(|freshness, _| freshness.use_list(version)) {
-            Verdict::Newer | Verdict::Current => Ok(()),
-            Verdict::Stale { known } => Err(known),
+            VersionCheck::Newer | VersionCheck::Current => Ok(()),
+            VersionCheck::Stale { known } => Err(known),
         }
     }
 
@@ -202,7 +202,7 @@
 
     fn config_after(&self, revision: u64) -> BoxFuture<'_, u64> {
         Box::pin(async move {
-            let mut applied = self.daemon.replica.applied();
+            let mut applied = self.daemon.replica.applied_index();
             loop {
                 if let Some(latest) = self.config().filter(|latest| latest.revision > revision) {
                     return latest.revision;
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -15,10 +15,10 @@
 use net::{Network, SimulatedTransport, addr};
 use stonefold_store::applied::AppliedState;
 use stonefold_store::disk::{Disk, Identity};
-use stonefold_store::freshness::Verdict;
+use stonefold_store::freshness::VersionCheck;
 use stonefold_store::message::{Caller, Request};
 use stonefold_store::raft::MemberId;
-use stonefold_store::replica::{Options, Replica};
+use stonefold_store::replica::{Replica, ReplicaOptions};
 use stonefold_store::state::{AdminOverride, Change, Proposal};
 use tokio::time::{Instant, sleep};
 
@@ -147,7 +147,11 @@
             Err(error) => return self.wrong = Some(format!("a disk after a power cut: {error}")),
         };
         let disk = if self.broken == Broken::Sync { disk.unsynced() } else { disk };
-        let options = Options { snapshot_interval: 12, retained_entries: 3, ..Options::new(addr(member)) };
+        let options = ReplicaOptions {
+            snapshot_interval: 12,
+            retained_entries: 3,
+            ..ReplicaOptions::new(addr(member))
+        };
         let Ok(replica) = Replica::start(disk, options, wire).await else { return };
         self.net.links().running.insert(member, (incarnation, replica.clone()));
         tokio::spawn(use_lists(member, incarnation, replica, self.net.clone(), self.records.clone()));
@@ -285,11 +289,11 @@
     records: Arc<Mutex<Records>>,
 ) {
     let _ = replica.confirm(Instant::now() + Duration::from_secs(2)).await;
-    let mut applied = replica.applied();
+    let mut applied = replica.applied_index();
     loop {
         let list = replica.shared().read().state.list().map_or(0, |list| list.version);
         let verdict = replica.freshness(|freshness, _| freshness.use_list(list));
-        if verdict == Verdict::Newer && net.is_running(member, incarnation) {
+        if verdict == VersionCheck::Newer && net.is_running(member, incarnation) {
             records.lock().unwrap().list_uses.push(ListUse { member, incarnation, list });
         }
         if applied.changed().await.is_err() {
--- a/crates/store/tests/wire.rs
+++ b/crates/store/tests/wire.rs
@@ -8,7 +8,7 @@
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::message::{Request, RequestError, Response};
 use stonefold_store::raft::Entry;
-use stonefold_store::replica::{Options, Replica, Transport};
+use stonefold_store::replica::{Replica, ReplicaOptions, Transport};
 use stonefold_store::state::limits::MAX_LIST_BYTES;
 use stonefold_store::state::{AdminOverride, Change, Proposal, Reply};
 use stonefold_store::wire::{
@@ -163,7 +163,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
     let tcp = Tcp::member(keys(1), 9, member, addr.clone());
-    let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await.unwrap();
+    let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
     Served { addr, replica, tcp, stop, _dir: dir }
@@ -204,7 +204,7 @@
     let add = Request::AddMember { member: 2, addr: late.addr.clone() };
     let answer = served.replica.answer(stonefold_store::message::Caller::Client, add).await;
     assert!(matches!(answer, Response::MembersChanged(Ok(()))), "{answer:?}");
-    let mut applied = late.replica.applied();
+    let mut applied = late.replica.applied_index();
     let list = || late.replica.shared().read().state.list().map(|list| list.version);
     while list() != Some(8) {
         applied.changed().await.unwrap();
