--- a/crates/net/src/error_kind.rs
+++ b/crates/net/src/error_kind.rs
@@ -1,4 +1,4 @@
-//! Classification of system call errors on a socket by who is at fault and what the caller can do.
+//! Classification of the errors of socket system calls, by the party at fault and by what the caller can do.
 
 use std::io;
 
@@ -17,7 +17,7 @@
     /// Another resource of this machine, such as memory or local ports, is exhausted for now. Nothing was sent, and the
     /// peer is not at fault.
     ResourcesExhausted,
-    /// Any other error: the caller is at fault.
+    /// Any other error, such as an invalid argument: the caller is at fault.
     Caller,
 }
 
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -8,7 +8,7 @@
 use crate::error_kind::SocketErrorKind;
 use crate::socket::Socket;
 
-/// Accepts connections. An error of a single pending connection is not reported as an error of the listener.
+/// A listening socket. An error of a single pending connection is not reported as an error of the listener.
 #[derive(Debug)]
 pub struct Listener(TcpListener);
 
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -105,7 +105,8 @@
     pub async fn wait_for_input(&self) -> io::Result<bool> {
         loop {
             self.0.readable().await?;
-            // Through the runtime, so that a peek that would block clears the readiness and waits for the next event.
+            // The peek goes through the runtime, so that one that would block clears the readiness and the next
+            // iteration waits for an event.
             let peeked = retry_interrupted(|| self.0.try_io(Interest::READABLE, || self.peek()));
             if !would_block(&peeked) {
                 return peeked.map(|bytes| bytes > 0);
@@ -121,7 +122,7 @@
     /// Cancel safe: the socket is unchanged.
     pub async fn peer_closed(&self) {
         // The socket is not registered for priority data, so this waits only for the end of the read side. An error
-        // ends the connection too.
+        // also means that the connection has ended.
         let _ = self.0.ready(Interest::PRIORITY).await;
     }
 
@@ -139,8 +140,8 @@
         SockRef::from(&self.0).peek(&mut [MaybeUninit::uninit()])
     }
 
-    /// Peeks with a system call even if the runtime believes that there is nothing to read. Where the runtime believes
-    /// that there is, a peek that would block clears its readiness, so that the next read waits for an event at once.
+    /// Peeks with a system call even if the runtime has no readiness event recorded. If it has one and the peek would
+    /// block, the event is cleared, so that the next read waits for a new event at once.
     fn peek_now(&self) -> io::Result<usize> {
         let mut called = false;
         let peeked = retry_interrupted(|| {
