--- a/crates/store/src/feed/delta.rs
+++ b/crates/store/src/feed/delta.rs
@@ -1,5 +1,5 @@
-//! The difference between two texts. Texts are compared by pieces that end at each `}`, so that in an endpoint list a
-//! piece is an entry. The difference of any two texts can be expressed; for some of them it is not short.
+//! The difference between two texts. Texts are compared in pieces, each of which ends with a `}`, so that a piece of an
+//! endpoint list is one entry. The difference of any two texts can be expressed, but it is not always short.
 
 use std::collections::HashMap;
 
@@ -21,7 +21,7 @@
         /// The number of pieces.
         count: u32,
     },
-    /// Appends a new text.
+    /// Appends text that the old text doesn't have.
     Insert(String),
 }
 
@@ -33,17 +33,17 @@
     checksum: [u8; CHECKSUM_BYTES],
 }
 
-/// Why a difference can't be applied.
+/// Why a delta can't be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// It copies pieces that the old text doesn't have.
+    /// The delta copies pieces that the old text doesn't have: it was made for another one.
     #[error("a difference to another text")]
     Pieces,
     /// The checksum of the result differs.
-    #[error("a difference that does not give the text it was made for")]
+    #[error("the result of a difference has another checksum than the text it was made for")]
     Checksum,
     /// The result is too long.
-    #[error("a difference that gives more than {MAX_LIST_BYTES} bytes")]
+    #[error("the result of a difference is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
 
@@ -57,7 +57,7 @@
     checksum
 }
 
-/// The difference that turns `old` into `new`.
+/// Returns the difference that turns `old` into `new`.
 pub fn diff(old: &str, new: &str) -> Delta {
     let indexes: HashMap<&str, u32> = (0..).zip(pieces(old)).map(|(index, piece)| (piece, index)).collect();
     let mut ops: Vec<Op> = Vec::new();
@@ -73,10 +73,10 @@
 }
 
 impl Delta {
-    /// The new text, made from the old one.
+    /// Returns the new text, computed from the old one.
     ///
     /// # Errors
-    /// If the difference was made for another old text, or the new text is too long.
+    /// If the delta was made for another old text, or the new text is too long.
     pub fn apply(&self, old: &str) -> Result<String, DeltaError> {
         let pieces = pieces(old);
         let mut new = String::new();
@@ -86,7 +86,8 @@
                 Op::Copy { first, count } => {
                     let end = first.checked_add(*count).ok_or(DeltaError::Pieces)?;
                     let copied = pieces.get(*first as usize..end as usize).ok_or(DeltaError::Pieces)?;
-                    // Checked before it is copied: a few bytes can copy the whole text many times over.
+                    // The length is checked before copying, as a delta of a few bytes can copy the whole text many
+                    // times.
                     let bytes: usize = copied.iter().map(|piece| piece.len()).sum();
                     if new.len() + bytes > MAX_LIST_BYTES {
                         return Err(DeltaError::TooLong);
--- a/crates/store/src/feed/frame.rs
+++ b/crates/store/src/feed/frame.rs
@@ -1,6 +1,6 @@
-//! Frames of publishers and subscribers, behind a version byte ([`crate::codec`]).
+//! The frames that publishers and subscribers send, each after a version byte ([`crate::codec`]).
 //!
-//! Enums are encoded by the position of their variants, structs by the order of their fields.
+//! The encoding is positional: it depends on the order of the variants of an enum and of the fields of a struct.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -15,11 +15,11 @@
 
 /// The longest frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 32 << 10;
-/// The longest item, in bytes. One that is longer than a frame goes out in parts.
+/// The longest item, in bytes. An item that is too long for a frame is sent in parts.
 pub const MAX_ITEM_BYTES: usize = MAX_LIST_BYTES + (4 << 10);
-/// What errors call an item.
+/// The name of an item in errors.
 const ITEM: &str = "an item";
-/// What errors call a frame.
+/// The name of a frame in errors.
 const FRAME: &str = "a frame";
 
 /// What identifies an item.
@@ -33,18 +33,18 @@
     Override(String),
 }
 
-/// The latest value of one thing in the state.
+/// The latest value of one part of the state that is distributed by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Item {
     /// A document.
     Document {
-        /// Its name.
+        /// The document's name.
         name: String,
-        /// Its text.
+        /// The document's text.
         text: String,
-        /// Who wrote it.
+        /// Who wrote this text.
         author: String,
-        /// When it was written, in ms of Unix time by the author's clock.
+        /// When the text was written, in ms of Unix time by the author's clock.
         at_ms: u64,
     },
     /// The complete endpoint list.
@@ -56,11 +56,11 @@
     },
     /// The endpoint list, for a subscriber that has an older one.
     ListDelta {
-        /// The version that the subscriber needs to have.
+        /// The version that the subscriber must have.
         from: u64,
-        /// The version that it has then.
+        /// The version that the delta leads to.
         version: u64,
-        /// The difference.
+        /// The difference between the two lists.
         delta: Delta,
     },
     /// An administrative override.
@@ -73,7 +73,7 @@
 }
 
 impl Item {
-    /// What identifies it.
+    /// The key that identifies the item.
     pub fn key(&self) -> ItemKey {
         match self {
             Item::Document { name, .. } => ItemKey::Document(name.clone()),
@@ -85,7 +85,7 @@
     /// Decodes an item.
     ///
     /// # Errors
-    /// If the bytes are no item, or a part of it is too long.
+    /// If the bytes are not an encoded item, or a field of the item is too long.
     pub fn decode(bytes: &[u8]) -> Result<Item, FrameError> {
         let item: Item = decode(ITEM, bytes)?;
         match &item {
@@ -112,7 +112,7 @@
 pub struct Record {
     /// The entry that set the item.
     pub revision: u64,
-    /// The encoded item, which a relay passes on as it came.
+    /// The encoded item.
     pub item: Vec<u8>,
 }
 
@@ -125,16 +125,18 @@
     pub offset: u32,
     /// The length of the encoded item.
     pub total: u32,
-    /// The part.
+    /// The bytes of this part.
     pub bytes: Vec<u8>,
 }
 
 /// How fresh a publisher is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublisherStatus {
-    /// The last time of the subscriber's clock that the publisher has received, in ms: this status is no older.
+    /// The latest time of the subscriber's clock that the publisher has received, in ms. This status is no older than
+    /// that.
     pub echoed_time: Millis,
-    /// The publisher has everything that was committed this many ms ago; nothing if that is unknown.
+    /// The age of the publisher's state, in ms: it has everything that was committed that long ago. `None` if this is
+    /// unknown.
     pub stale_ms: Option<Millis>,
     /// Whether the subscriber has everything that the publisher has, once it has applied this frame.
     pub is_complete: bool,
@@ -144,7 +146,7 @@
     pub last_purge: u64,
 }
 
-/// Changes since the last frame; a heartbeat if there are none.
+/// The changes since the last frame. Without changes, this is a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// How fresh the publisher is.
@@ -153,13 +155,13 @@
     pub after: u64,
     /// The subscriber's revision once it has applied this frame.
     pub through: u64,
-    /// The items that changed, by revision.
+    /// The items that have changed, in the order of their revisions.
     pub records: Vec<Record>,
-    /// A part of the item that changed next.
+    /// A part of the next item after the records, if that item is too long for one frame.
     pub part: Option<ItemPart>,
-    /// The number of the last purge that the subscriber knows.
+    /// The number of the last purge before those of this frame.
     pub purges_after: u64,
-    /// Whether purges up to `purges_after` are no longer known, and the subscriber may lack some of them.
+    /// Whether the publisher no longer retains all purges up to `purges_after`, so that the subscriber may lack some.
     pub purge_gap: bool,
     /// The keys of the next purges, numbered without gaps.
     pub purges: Vec<String>,
@@ -168,7 +170,7 @@
 /// A frame of a publisher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublisherFrame {
-    /// Changes, or a heartbeat.
+    /// Changes or a heartbeat.
     Update(Box<Update>),
     /// The publisher ends the session.
     Rejected(SessionRejection),
@@ -177,8 +179,8 @@
 /// Why a publisher ends a session, or doesn't begin one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum SessionRejection {
-    /// The subscriber is ahead of the publisher, which lags or has another state. The numbers are revisions, or those of the
-    /// last purges, which the message calls revisions too.
+    /// The subscriber is ahead of the publisher, which lags or has another state. Both numbers are revisions or both
+    /// are numbers of last purges; the message calls either a revision.
     #[error("revision {theirs} is from the future: the publisher is at {ours}")]
     Ahead {
         /// The subscriber's revision or last purge.
@@ -186,21 +188,21 @@
         /// The publisher's revision or last purge.
         ours: u64,
     },
-    /// The publisher no longer knows all purges that the subscriber lacks.
-    #[error("purges after {theirs} are wanted, and those up to {ours} are not known here")]
+    /// The publisher no longer retains all purges that the subscriber lacks.
+    #[error("the purges after {theirs} are needed, but those up to {ours} are no longer retained")]
     PurgesDropped {
         /// The last purge that the subscriber knows.
         theirs: u64,
-        /// The last purge that the publisher doesn't know any more.
+        /// The last purge that the publisher no longer retains.
         ours: u64,
     },
     /// The subscriber has acknowledged nothing for this time, in ms.
-    #[error("nothing was taken for {0} ms: reconnect and resume")]
+    #[error("nothing was acknowledged for {0} ms: reconnect and resume")]
     TooSlow(Millis),
-    /// The subscriber has sent an invalid frame.
-    #[error("refused: {0}")]
+    /// The subscriber has sent an invalid frame, or the publisher can't encode its own.
+    #[error("invalid frame: {0}")]
     Malformed(String),
-    /// The publisher serves this many subscribers, and no more.
+    /// The publisher serves the maximum number of subscribers, which is given.
     #[error("{0} subscribers are served, and no more")]
     SubscriberLimitReached(u64),
 }
@@ -208,31 +210,32 @@
 /// A frame of a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubscriberFrame {
-    /// The first frame: where the subscriber resumes.
+    /// The first frame, which says where the subscriber resumes.
     Hello(Hello),
-    /// Sent regularly: how much it has received.
+    /// Sent regularly; says how much the subscriber has received.
     Ack(Ack),
 }
 
 /// Where a subscriber resumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its revision.
+    /// The subscriber's revision.
     pub revision: u64,
-    /// The version of the list that it has; 0 for none.
+    /// The version of the list that the subscriber has; 0 for none.
     pub list_version: u64,
-    /// The last purge that it knows; nothing if it has just started, and has cached nothing that could be purged.
+    /// The last purge that the subscriber knows. `None` if it has just started, and has cached nothing that could be
+    /// purged.
     pub last_purge: Option<u64>,
-    /// The time of its clock, in ms.
+    /// The time of the subscriber's clock, in ms.
     pub time: Millis,
 }
 
 /// How much a subscriber has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// Bytes of the frames that it has received on this connection.
+    /// The total length of the frames that the subscriber has received on this connection, in bytes.
     pub received_bytes: u64,
-    /// The time of its clock, in ms.
+    /// The time of the subscriber's clock, in ms.
     pub time: Millis,
 }
 
@@ -242,22 +245,22 @@
     /// The frame is too long.
     #[error("a frame of {0} bytes: at most {MAX_FRAME_BYTES} are read")]
     FrameTooLong(usize),
-    /// It can't be decoded, or is of another version.
+    /// The frame can't be decoded, or is of another version.
     #[error("{0}")]
     Codec(#[from] CodecError),
-    /// A part of it is too long.
+    /// A field of the frame is too long.
     #[error("{what} of {bytes} bytes: at most {max} are read")]
     TooLong {
         /// What is too long.
         what: &'static str,
-        /// Its length.
+        /// The length, in bytes.
         bytes: usize,
-        /// The longest that is accepted.
+        /// The greatest length that is accepted, in bytes.
         max: usize,
     },
 }
 
-/// Checks the length of a part of a frame.
+/// Checks the length of a field of a frame.
 pub(super) fn check_len(what: &'static str, bytes: usize, max: usize) -> Result<(), FrameError> {
     if bytes <= max { Ok(()) } else { Err(FrameError::TooLong { what, bytes, max }) }
 }
@@ -265,7 +268,7 @@
 /// Encodes a frame.
 ///
 /// # Errors
-/// If it is too long.
+/// If the frame is too long.
 pub fn encode_frame<T: Serialize>(frame: &T) -> Result<Vec<u8>, FrameError> {
     let bytes = encode(FRAME, frame)?;
     if bytes.len() > MAX_FRAME_BYTES { Err(FrameError::FrameTooLong(bytes.len())) } else { Ok(bytes) }
@@ -274,7 +277,7 @@
 /// Decodes a frame.
 ///
 /// # Errors
-/// If it is too long, of another version, or no frame.
+/// If the frame is too long, of another version, or invalid.
 pub fn decode_frame<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
     if bytes.len() > MAX_FRAME_BYTES {
         return Err(FrameError::FrameTooLong(bytes.len()));
--- a/crates/store/src/feed/publisher/limits.rs
+++ b/crates/store/src/feed/publisher/limits.rs
@@ -2,24 +2,24 @@
 
 use crate::freshness::Millis;
 
-/// The limits of a session.
+/// The limits of a publisher's session with one subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The sustained rate at which a subscriber is sent to, in bytes a second with headers.
+    /// The sustained rate of sending to the subscriber, in bytes per second, headers included.
     pub bytes_per_second: u64,
-    /// Bytes that may be sent at once after an idle time, beyond the sustained rate.
+    /// The most bytes that may be sent in a burst above the sustained rate: the capacity of the token bucket.
     pub burst_bytes: u64,
-    /// Further bytes that may be sent for purges only.
+    /// Further bytes that may be sent for purges alone: the most by which they may overdraw the token bucket.
     pub purge_reserve_bytes: u64,
-    /// The most bytes of records and purges in a frame.
+    /// The most bytes of records and purges in one frame.
     pub max_payload_bytes: usize,
-    /// The shortest time between two frames, in ms: changes within it go out together.
+    /// The shortest time between two frames, in ms. Changes that occur within it are sent in one frame.
     pub min_frame_interval: Millis,
-    /// The most bytes in flight, sent but not acknowledged.
+    /// The number of bytes in flight (sent but not acknowledged) at which sending stops.
     pub max_in_flight_bytes: u64,
-    /// A subscriber that acknowledges nothing of what is in flight for this long is disconnected, in ms.
+    /// How long a subscriber with bytes in flight may acknowledge nothing before it is disconnected, in ms.
     pub ack_timeout: Millis,
-    /// The longest time between two frames, in ms.
+    /// The longest time between two frames, in ms. With nothing to send, the frame is a heartbeat.
     pub heartbeat_interval: Millis,
 }
 
--- a/crates/store/src/feed/publisher/mod.rs
+++ b/crates/store/src/feed/publisher/mod.rs
@@ -1,8 +1,9 @@
-//! A publisher's session with one subscriber. Pure: the time is a parameter. The publisher is a member or a relay.
+//! A publisher's session with one subscriber. The publisher is a member or a relay. This module does no I/O and takes
+//! the time as a parameter.
 //!
 //! A session has no queue. It has a position in the publisher's [`Table`], where newer items replace older ones and the
-//! latest purges are retained. A subscriber that doesn't acknowledge what it is sent is disconnected; it resumes from its
-//! own revision.
+//! latest purges are retained. A subscriber that doesn't acknowledge what was sent to it is disconnected. After it has
+//! reconnected, it resumes from its own revision.
 
 mod limits;
 mod token_bucket;
@@ -18,52 +19,55 @@
 use super::table::{Position, Table};
 use crate::freshness::Millis;
 
-/// The overhead of a frame in bytes: the message's length and MAC, IP and TCP headers.
+/// The overhead of a frame on the network, in bytes: the message's length field and MAC, and the IP and TCP headers.
 const HEADER_BYTES: u64 = 72;
-/// The most bytes that a record takes in a frame beyond its item.
+/// The most bytes that a record takes in a frame in addition to its item.
 const RECORD_OVERHEAD_BYTES: usize = 8;
-/// The most bytes that a purge takes in a frame beyond its key.
+/// The most bytes that a purge takes in a frame in addition to its key.
 const PURGE_OVERHEAD_BYTES: usize = 2;
 
-/// An item that goes out in parts.
-struct PartialItem {
+/// An item that is too long for one frame and is being sent in parts.
+struct PartiallySentItem {
+    /// The position of the session once the whole item is sent.
     position: Position,
     bytes: Arc<[u8]>,
+    /// The number of bytes that were sent.
     offset: usize,
 }
 
-/// A session.
+/// A session with one subscriber.
 pub struct Session {
     limits: Limits,
-    /// The position after the last item that was sent.
+    /// The position after the last item that was sent completely.
     position: Position,
     /// The revision that the subscriber has once it has applied everything that was sent.
     through: u64,
-    partial: Option<PartialItem>,
-    /// The list that the subscriber has once it has applied everything that was sent.
+    partial: Option<PartiallySentItem>,
+    /// The version of the list that the subscriber has once it has applied everything that was sent.
     list_version: u64,
     /// The last purge that the subscriber knows once it has applied everything that was sent.
     last_purge: u64,
-    /// Whether the next frame has to report a gap in the purges.
+    /// Whether the next frame has to report that the subscriber may lack purges up to `last_purge`.
     purge_gap: bool,
-    /// The last time of the subscriber's clock that was received.
+    /// The latest time of the subscriber's clock that it has sent.
     subscriber_time: Millis,
     bucket: TokenBucket,
     last_sent_at: Option<Millis>,
     sent_bytes: u64,
     acked_bytes: u64,
-    /// When the subscriber last acknowledged something, or had nothing to acknowledge.
+    /// When the subscriber last acknowledged further bytes, or was sent a frame while nothing was in flight.
     progressed_at: Millis,
 }
 
 impl Session {
-    /// Begins a session.
+    /// Begins a session with a subscriber that has sent `hello`.
     ///
-    /// `is_member`: a member is authoritative, and may report purges that are lost for good. A relay rejects the
-    /// subscriber, as another publisher may know them.
+    /// `is_member` decides what happens if the subscriber lacks purges that the publisher no longer retains. A member
+    /// is authoritative and reports them as lost. A relay rejects the subscriber, because another publisher may still
+    /// retain them.
     ///
     /// # Errors
-    /// If the subscriber is ahead of this publisher, or another publisher may serve it better.
+    /// If the subscriber is ahead of this publisher, or lacks purges that this relay no longer retains.
     pub fn open(
         hello: &Hello,
         table: &Table,
@@ -100,10 +104,10 @@
         })
     }
 
-    /// Takes an acknowledgement.
+    /// Processes an acknowledgement.
     ///
     /// # Errors
-    /// If more is acknowledged than was sent, or the subscriber's time went back.
+    /// If more bytes are acknowledged than were sent or fewer than before, or if the subscriber's clock has gone back.
     pub fn on_ack(&mut self, ack: Ack, now: Millis) -> Result<(), SessionRejection> {
         let is_valid = (self.acked_bytes..=self.sent_bytes).contains(&ack.received_bytes);
         if !is_valid || ack.time < self.subscriber_time {
@@ -121,12 +125,12 @@
         self.sent_bytes - self.acked_bytes
     }
 
-    /// The level of the bucket above which purges may be sent.
+    /// The level of the token bucket above which purges may be sent.
     fn purge_level(&self) -> i64 {
         -(self.limits.purge_reserve_bytes as i64)
     }
 
-    /// When [`Session::poll`] has something to do at the latest, unless the table changes before.
+    /// The time at which [`Session::poll`] must be called next, unless the table changes earlier.
     pub fn next_poll_at(&self, now: Millis, table: &Table) -> Millis {
         let Some(last_sent_at) = self.last_sent_at else { return now };
         let ack_deadline = self.progressed_at + self.limits.ack_timeout;
@@ -147,16 +151,16 @@
         next
     }
 
-    /// Whether the subscriber lacks items of the table.
+    /// Whether there are items in the table that were not sent completely.
     fn has_pending_items(&self, table: &Table) -> bool {
         self.partial.is_some() || table.next_after(&self.position).is_some()
     }
 
-    /// The next frame, encoded, if one is to be sent now. `stale_ms`: the table has everything that was committed so long
-    /// ago.
+    /// Returns the next encoded frame if one is to be sent now. `stale_ms` is the age of the state in the table: the
+    /// table has everything that was committed that many ms ago.
     ///
     /// # Errors
-    /// Why the session is over.
+    /// The reason for ending the session.
     pub fn poll(
         &mut self,
         now: Millis,
@@ -183,6 +187,7 @@
         self.send(update, now).map(Some)
     }
 
+    /// Checks that the subscriber acknowledges in time, and that the table retains the purges it lacks.
     fn check_subscriber(&self, now: Millis, table: &Table) -> Result<(), SessionRejection> {
         let since_progress = now.saturating_sub(self.progressed_at);
         if self.in_flight_bytes() > 0 && since_progress >= self.limits.ack_timeout {
@@ -195,7 +200,7 @@
         Ok(())
     }
 
-    /// An update with as many purges and items as may be sent now.
+    /// Returns an update with as many purges and items as may be sent now.
     fn next_changes(&mut self, table: &mut Table) -> Update {
         let mut update = Update {
             after: self.through,
@@ -214,8 +219,8 @@
     }
 
     fn publisher_status(&mut self, table: &Table, stale_ms: Option<Millis>) -> PublisherStatus {
-        // The subscriber's revision advances only once it has all items. Before that, an item that it was not sent yet may
-        // have been replaced by one of a later revision.
+        // The subscriber's revision advances only once all items are sent. Until then, an item that the subscriber
+        // lacks may have been replaced by one of a later revision, which was not sent yet.
         let has_all_items = !self.has_pending_items(table);
         if has_all_items {
             self.through = self.through.max(table.revision());
@@ -258,22 +263,22 @@
         loop {
             if self.partial.is_some() {
                 update.part = self.next_part(*capacity);
-                return; // a part is the last of its frame
+                return; // a part is always the last content of its frame
             }
             let Some((key, item)) = table.next_after(&self.position) else { return };
             let (revision, complete) = (item.revision, item.bytes.clone());
             let position = Position { revision, after_item: Some(key.clone()) };
             let Some(bytes) = self.bytes_to_send(&position, complete, table) else {
-                self.position = position; // the subscriber has it
+                self.position = position; // the subscriber has this list already
                 continue;
             };
             let bytes_in_frame = bytes.len() + RECORD_OVERHEAD_BYTES;
             if bytes_in_frame > self.limits.max_payload_bytes {
-                self.partial = Some(PartialItem { position, bytes, offset: 0 });
+                self.partial = Some(PartiallySentItem { position, bytes, offset: 0 });
                 continue;
             }
             if bytes_in_frame > *capacity {
-                return; // it goes into the next frame
+                return; // the item is sent in the next frame
             }
             *capacity -= bytes_in_frame;
             if position.after_item == Some(ItemKey::List) {
@@ -284,7 +289,7 @@
         }
     }
 
-    /// The next part of the item that goes out in parts; nothing if there is no capacity for any of it.
+    /// Returns the next part of the item that is sent in parts, or `None` if the frame has no capacity left.
     fn next_part(&mut self, capacity: usize) -> Option<ItemPart> {
         let partial = self.partial.as_mut()?;
         let end = partial.offset + capacity.min(partial.bytes.len() - partial.offset);
@@ -303,8 +308,8 @@
         part
     }
 
-    /// An item as it is sent to this subscriber: the list as a delta from the one that the subscriber has. Nothing if it
-    /// has the newest list.
+    /// Returns an item as it is sent to this subscriber: the list as a delta from the subscriber's version if there is
+    /// one, any other item complete. Returns `None` for the list if the subscriber has the newest version.
     fn bytes_to_send(
         &mut self,
         position: &Position,
@@ -319,7 +324,8 @@
         }
         let bytes = table.delta_from(self.list_version).unwrap_or(complete);
         if bytes.len() + RECORD_OVERHEAD_BYTES > self.limits.max_payload_bytes {
-            self.list_version = table.list_version(); // it goes out in parts, all of which are sent
+            // The list is sent in parts, and all of them are sent even if the table changes in between.
+            self.list_version = table.list_version();
         }
         Some(bytes)
     }
--- a/crates/store/src/feed/subscriber/mod.rs
+++ b/crates/store/src/feed/subscriber/mod.rs
@@ -1,5 +1,5 @@
-//! A subscriber: which publisher it is connected to, the state that it receives, and how fresh that is. Pure: the time is
-//! a parameter.
+//! A subscriber: which publisher it is connected to, the state that it receives, and how fresh this state is. This
+//! module does no I/O and takes the time as a parameter.
 
 mod event;
 mod receive;
@@ -7,92 +7,94 @@
 use std::mem;
 
 pub use self::event::{Action, CloseReason, Counters, Event, ReceiveError};
-use self::receive::PartialItem;
+use self::receive::PartiallyReceivedItem;
 use super::frame::{Ack, Hello, SessionRejection, SubscriberFrame, encode_frame};
 use super::selector::PublisherSelector;
 use super::table::Table;
 use crate::freshness::Millis;
 
-/// How long a connection and its handshake may take, in ms.
+/// How long connecting and the handshake may take, in ms.
 const CONNECT_TIMEOUT_MS: Millis = 3_000;
-/// A publisher that sends nothing for this long is disconnected, in ms. It sends a heartbeat each second.
+/// How long a publisher may send nothing before the subscriber disconnects, in ms. A publisher sends a heartbeat each
+/// second.
 const SILENCE_TIMEOUT_MS: Millis = 3_500;
-/// How often an acknowledgement is sent, in ms.
+/// The time between two acknowledgements, in ms.
 const ACK_INTERVAL_MS: Millis = 1_000;
-/// Bytes after which an acknowledgement is sent before its time.
+/// The number of unacknowledged bytes at which an acknowledgement is sent before [`ACK_INTERVAL_MS`] has passed.
 const ACK_BYTES: u64 = 16 << 10;
 /// The greatest age at which state counts as fresh, in ms.
 pub const MAX_FRESH_AGE_MS: Millis = 6_000;
-/// How long a publisher may be stale after it was connected, in ms.
+/// How long the state may be stale after the connection to a publisher was established, in ms.
 const STALE_GRACE_MS: Millis = 4_000;
-/// A publisher that has served for this long is healthy, in ms.
+/// How long a publisher has to serve the subscriber to count as healthy, in ms.
 const HEALTHY_AFTER_MS: Millis = 10_000;
-/// The shortest time on another publisher than the preferred one before a preferred one is tried again, in ms.
+/// The shortest time for which the subscriber stays with a publisher that is not its first choice before it tries a
+/// preferred one again, in ms.
 const MIN_PREFERRED_RETRY_MS: Millis = 20_000;
-/// The longest such time, in ms.
+/// The longest time before the subscriber tries a preferred publisher again, in ms.
 const MAX_PREFERRED_RETRY_MS: Millis = 60_000;
 
 #[derive(Debug)]
-enum Connection {
+enum ConnectionState {
     None,
     Connecting { publisher: usize, since: Millis },
-    Open(Session),
+    Open(EstablishedConnection),
 }
 
-/// A connection that stands.
+/// An established connection.
 #[derive(Debug)]
-struct Session {
+struct EstablishedConnection {
     publisher: usize,
     since: Millis,
     last_received_at: Millis,
     received_bytes: u64,
     last_ack_at: Millis,
     acked_bytes: u64,
-    /// The revision of the last record.
+    /// The revision of the last record that was applied; 0 before the first.
     position: u64,
-    /// When a preferred publisher is tried again.
+    /// When a preferred publisher is tried again; never if this one is the first choice.
     preferred_retry_at: Millis,
 }
 
-impl Session {
+impl EstablishedConnection {
     fn ack_is_due(&self, now: Millis) -> bool {
         now >= self.last_ack_at + ACK_INTERVAL_MS || self.received_bytes >= self.acked_bytes + ACK_BYTES
     }
 }
 
-/// A subscriber.
+/// A subscriber: its connection to a publisher and the state that it has received.
 #[derive(Debug)]
 pub struct Subscriber {
-    /// The state that it has received.
+    /// The state that the subscriber has received.
     pub table: Table,
     selector: PublisherSelector,
-    connection: Connection,
-    partial: Option<PartialItem>,
-    /// Whether the next list has to come as a complete one, as a delta could not be applied.
+    connection: ConnectionState,
+    partial: Option<PartiallyReceivedItem>,
+    /// Whether to request the next list complete, because a delta could not be applied.
     needs_complete_list: bool,
-    /// Whether any publisher has sent the number of its last purge since the start.
+    /// Whether a publisher has sent the number of its last purge since the start.
     knows_purges: bool,
-    /// The table has everything that was committed at this time, in ms; negative before the start.
+    /// The table has everything that was committed by this time, in ms; negative for a time before the start.
     fresh_as_of: Option<i64>,
-    /// How many times in a row a publisher was stale.
-    stale_publishers: u32,
-    /// Whether the publisher has rejected the session with a reason that another one may not have.
+    /// The number of publishers in a row that were left because they were stale.
+    consecutive_stale_publishers: u32,
+    /// Whether the publisher has rejected the session for a reason that may not hold for another one.
     is_declined: bool,
     counters: Counters,
 }
 
 impl Subscriber {
-    /// A subscriber that has a table already.
+    /// Creates a subscriber that resumes from `table`.
     pub fn new(table: Table, selector: PublisherSelector) -> Subscriber {
         Subscriber {
             table,
             selector,
-            connection: Connection::None,
+            connection: ConnectionState::None,
             partial: None,
             needs_complete_list: false,
             knows_purges: false,
             fresh_as_of: None,
-            stale_publishers: 0,
+            consecutive_stale_publishers: 0,
             is_declined: false,
             counters: Counters::default(),
         }
@@ -103,44 +105,45 @@
         self.counters
     }
 
-    /// The table has everything that was committed this many ms ago; nothing if no publisher has confirmed it yet.
+    /// The age of the state, in ms: the table has everything that was committed that long ago. `None` if no publisher
+    /// has confirmed this since the start.
     pub fn stale_ms(&self, now: Millis) -> Option<Millis> {
         Some((now as i64).saturating_sub(self.fresh_as_of?).max(0) as u64)
     }
 
-    /// The publisher that it is connected to.
+    /// The address of the publisher that the subscriber is connected to.
     pub fn publisher(&self) -> Option<&str> {
         match &self.connection {
-            Connection::Open(session) => Some(self.selector.addr(session.publisher)),
+            ConnectionState::Open(session) => Some(self.selector.addr(session.publisher)),
             _ => None,
         }
     }
 
-    /// When [`Subscriber::poll`] has something to do at the latest.
+    /// The time at which [`Subscriber::poll`] must be called next.
     pub fn next_poll_at(&self, now: Millis) -> Millis {
         match &self.connection {
-            Connection::None => self.selector.next_attempt_at(),
-            Connection::Connecting { since, .. } => since + CONNECT_TIMEOUT_MS,
-            Connection::Open(session) if session.ack_is_due(now) => now,
-            Connection::Open(session) => {
+            ConnectionState::None => self.selector.next_attempt_at(),
+            ConnectionState::Connecting { since, .. } => since + CONNECT_TIMEOUT_MS,
+            ConnectionState::Open(session) if session.ack_is_due(now) => now,
+            ConnectionState::Open(session) => {
                 (session.last_received_at + SILENCE_TIMEOUT_MS).min(session.last_ack_at + ACK_INTERVAL_MS)
             }
         }
     }
 
-    /// The next action that is due now, if there is one.
+    /// Returns the next action if one is due now.
     pub fn poll(&mut self, now: Millis) -> Option<Action> {
         match &self.connection {
-            Connection::None => self.connect(now),
-            Connection::Connecting { since, .. } if now < since + CONNECT_TIMEOUT_MS => None,
-            Connection::Connecting { .. } => Some(self.disconnect(now, CloseReason::Unreachable)),
-            Connection::Open(session) => {
+            ConnectionState::None => self.connect(now),
+            ConnectionState::Connecting { since, .. } if now < since + CONNECT_TIMEOUT_MS => None,
+            ConnectionState::Connecting { .. } => Some(self.disconnect(now, CloseReason::Unreachable)),
+            ConnectionState::Open(session) => {
                 if let Some(reason) = self.close_reason(session, now) {
                     return Some(self.disconnect(now, reason));
                 }
                 let since = session.since;
                 if now >= since + STALE_GRACE_MS && self.is_fresh(now) {
-                    self.stale_publishers = 0;
+                    self.consecutive_stale_publishers = 0;
                 }
                 if now >= since + HEALTHY_AFTER_MS {
                     self.selector.on_healthy();
@@ -155,7 +158,7 @@
             return None;
         }
         let publisher = self.selector.select(now)?;
-        self.connection = Connection::Connecting { publisher, since: now };
+        self.connection = ConnectionState::Connecting { publisher, since: now };
         Some(Action::Connect(self.selector.addr(publisher).to_owned()))
     }
 
@@ -163,8 +166,8 @@
         self.stale_ms(now).is_some_and(|stale_ms| stale_ms < MAX_FRESH_AGE_MS)
     }
 
-    /// Why the connection is to be closed now, if it is.
-    fn close_reason(&self, session: &Session, now: Millis) -> Option<CloseReason> {
+    /// Returns a reason to close the connection now, if there is one.
+    fn close_reason(&self, session: &EstablishedConnection, now: Millis) -> Option<CloseReason> {
         if now >= session.last_received_at + SILENCE_TIMEOUT_MS {
             return Some(CloseReason::Silent);
         }
@@ -179,9 +182,9 @@
         None
     }
 
-    /// An acknowledgement, if one is due.
+    /// Returns the action that sends an acknowledgement, if one is due.
     fn ack(&mut self, now: Millis) -> Option<Action> {
-        let Connection::Open(session) = &mut self.connection else { return None };
+        let ConnectionState::Open(session) = &mut self.connection else { return None };
         if !session.ack_is_due(now) {
             return None;
         }
@@ -192,12 +195,12 @@
         Some(Action::Send(frame))
     }
 
-    /// The publisher of the connection, whether it stands or not yet.
+    /// The publisher of the current connection, established or not.
     fn current_publisher(&self) -> Option<usize> {
         match &self.connection {
-            Connection::None => None,
-            Connection::Connecting { publisher, .. } => Some(*publisher),
-            Connection::Open(session) => Some(session.publisher),
+            ConnectionState::None => None,
+            ConnectionState::Connecting { publisher, .. } => Some(*publisher),
+            ConnectionState::Open(session) => Some(session.publisher),
         }
     }
 
@@ -206,8 +209,8 @@
         match reason {
             CloseReason::Unreachable | CloseReason::Silent => self.selector.on_failure(publisher, now),
             CloseReason::Stale => {
-                self.stale_publishers = self.stale_publishers.saturating_add(1);
-                self.selector.on_stale(publisher, now, self.stale_publishers);
+                self.consecutive_stale_publishers = self.consecutive_stale_publishers.saturating_add(1);
+                self.selector.on_stale(publisher, now, self.consecutive_stale_publishers);
             }
             CloseReason::PreferredAvailable => {}
         }
@@ -217,19 +220,19 @@
 
     fn reset_connection(&mut self) {
         self.counters.disconnects += 1;
-        self.connection = Connection::None;
+        self.connection = ConnectionState::None;
         self.partial = None;
         self.is_declined = false;
     }
 
-    /// Notes that the connection stands; the hello to send first.
+    /// Records that the connection is established. Returns the hello, which is the first frame to send.
     pub fn on_connected(&mut self, now: Millis) -> Vec<u8> {
-        if let Connection::Connecting { publisher, .. } = self.connection {
+        if let ConnectionState::Connecting { publisher, .. } = self.connection {
             let preferred_retry_at = match publisher {
                 0 => Millis::MAX,
                 _ => now + self.selector.random_between(MIN_PREFERRED_RETRY_MS, MAX_PREFERRED_RETRY_MS),
             };
-            self.connection = Connection::Open(Session {
+            self.connection = ConnectionState::Open(EstablishedConnection {
                 publisher,
                 since: now,
                 last_received_at: now,
@@ -249,7 +252,7 @@
         encode_frame(&SubscriberFrame::Hello(hello)).unwrap_or_default() // a hello is short
     }
 
-    /// Notes that the connection has ended, or could not be made.
+    /// Records that the connection has ended, or could not be established.
     pub fn on_closed(&mut self, now: Millis) {
         let Some(publisher) = self.current_publisher() else { return };
         if mem::take(&mut self.is_declined) {
@@ -260,7 +263,7 @@
         self.reset_connection();
     }
 
-    /// Notes that a frame was too long, or damaged on its way.
+    /// Counts a frame that was too long, or damaged in transit.
     pub fn on_unreadable_frame(&mut self) {
         self.counters.rejected_frames += 1;
     }
@@ -268,14 +271,15 @@
     /// Applies a frame of the publisher.
     ///
     /// # Errors
-    /// Why nothing of it is applied. The connection is to be closed, and [`Subscriber::on_closed`] called.
+    /// If the frame is rejected. Nothing of it is applied then; the connection has to be closed and
+    /// [`Subscriber::on_closed`] called.
     pub fn on_frame(&mut self, bytes: &[u8], now: Millis) -> Result<Vec<Event>, ReceiveError> {
         let result = self.apply_frame(bytes, now);
         match &result {
             Ok(_) => {
                 self.counters.frames += 1;
                 self.counters.bytes += bytes.len() as u64;
-                if let Connection::Open(session) = &mut self.connection {
+                if let ConnectionState::Open(session) = &mut self.connection {
                     session.last_received_at = now;
                     session.received_bytes += bytes.len() as u64;
                 }
--- a/crates/store/src/feed/subscriber/receive.rs
+++ b/crates/store/src/feed/subscriber/receive.rs
@@ -1,8 +1,8 @@
-//! Checks a publisher's frame against the subscriber's state, and applies it. All of a frame is checked before any of it
-//! is applied.
+//! Checks a publisher's frame against the subscriber's state and applies it. The whole frame is checked before any of
+//! it is applied.
 
 use super::event::{Event, ReceiveError};
-use super::{Connection, Subscriber};
+use super::{ConnectionState, Subscriber};
 use crate::feed::delta::{Delta, DeltaError};
 use crate::feed::frame::{
     FrameError, Item, ItemPart, MAX_ITEM_BYTES, PublisherFrame, PublisherStatus, Update, check_len,
@@ -11,19 +11,20 @@
 use crate::freshness::Millis;
 use crate::state::limits::{MAX_DOCUMENTS, MAX_SERVERS};
 
-/// An item that comes in parts.
+/// An item that is being received in parts.
 #[derive(Debug)]
-pub(super) struct PartialItem {
+pub(super) struct PartiallyReceivedItem {
     revision: u64,
     total: usize,
     bytes: Vec<u8>,
 }
 
-impl PartialItem {
+impl PartiallyReceivedItem {
     fn is_complete(&self) -> bool {
         self.bytes.len() == self.total
     }
 
+    /// Whether `part` is the next part of this item.
     fn is_followed_by(&self, part: &ItemPart) -> bool {
         self.revision == part.revision
             && self.total == part.total as usize
@@ -31,7 +32,7 @@
     }
 }
 
-/// A checked item, to be applied at its revision.
+/// An item that has passed the checks, and its revision.
 struct CheckedItem {
     revision: u64,
     item: Item,
@@ -80,7 +81,7 @@
         Ok(check_purge_keys(&update.purges)?)
     }
 
-    /// Checks an encoded item, and adds it to the checked ones unless the subscriber has it or a newer one.
+    /// Checks an encoded item, and adds it to `checked` unless the subscriber has this revision of it or a newer one.
     fn check_item(
         &self,
         revision: u64,
@@ -89,7 +90,7 @@
         checked: &mut Vec<CheckedItem>,
     ) -> Result<(), ReceiveError> {
         let position = match &self.connection {
-            Connection::Open(session) => session.position,
+            ConnectionState::Open(session) => session.position,
             _ => 0,
         };
         let position = checked.last().map_or(position, |last| last.revision);
@@ -100,7 +101,7 @@
         check_not_ahead("record", revision, publisher.head_revision)?;
         let mut item = Item::decode(bytes)?;
         match self.table.items().get(&item.key()) {
-            Some(held) if held.revision >= revision => return Ok(()), // of another publisher, or sent again
+            Some(held) if held.revision >= revision => return Ok(()), // received from another publisher, or sent twice
             None if self.table.items().len() + checked.len() > MAX_DOCUMENTS + MAX_SERVERS => {
                 return Err(ReceiveError::ItemLimitExceeded);
             }
@@ -124,8 +125,8 @@
         delta.apply(old.ok_or(DeltaError::Pieces)?)
     }
 
-    /// The item that comes in parts, with this part.
-    fn assemble(&self, part: &ItemPart) -> Result<PartialItem, ReceiveError> {
+    /// Returns the item that is being received in parts, with this part appended.
+    fn assemble(&self, part: &ItemPart) -> Result<PartiallyReceivedItem, ReceiveError> {
         let total = part.total as usize;
         check_len("an item", total, MAX_ITEM_BYTES)?;
         let bytes = match &self.partial {
@@ -140,12 +141,12 @@
         if bytes.len() > total {
             return Err(FrameError::TooLong { what: "an item", bytes: bytes.len(), max: total }.into());
         }
-        Ok(PartialItem { revision: part.revision, total, bytes })
+        Ok(PartiallyReceivedItem { revision: part.revision, total, bytes })
     }
 
     fn apply_update(&mut self, update: Update, items: Vec<CheckedItem>) -> Vec<Event> {
         let mut events = Vec::new();
-        if let (Connection::Open(session), Some(last)) = (&mut self.connection, items.last()) {
+        if let (ConnectionState::Open(session), Some(last)) = (&mut self.connection, items.last()) {
             session.position = last.revision;
         }
         for CheckedItem { revision, item } in &items {
@@ -172,7 +173,7 @@
         events
     }
 
-    /// A publisher's freshness is the subscriber's once the subscriber has everything that the publisher has.
+    /// Takes over the publisher's freshness if the subscriber has everything that the publisher has.
     fn update_freshness(&mut self, publisher: PublisherStatus) {
         if let Some(stale_ms) = publisher.stale_ms.filter(|_| publisher.is_complete) {
             let stale_ms = i64::try_from(stale_ms).unwrap_or(i64::MAX);
--- a/crates/store/src/feed/table.rs
+++ b/crates/store/src/feed/table.rs
@@ -1,4 +1,5 @@
-//! The state of a publisher or a subscriber: the latest value of each item by revision, and the latest purges.
+//! The state of a publisher or a subscriber: the latest value of each item, in the order of revisions, and the latest
+//! purges.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::ops::Bound;
@@ -9,9 +10,9 @@
 use crate::applied::AppliedState;
 use crate::state::limits::MAX_RETAINED_PURGES;
 
-/// List versions whose texts are retained, to compute deltas from.
+/// The number of list versions whose texts are retained, to compute deltas from.
 const MAX_RETAINED_LISTS: usize = 4;
-/// A delta is sent if the complete list is at least this many times as long.
+/// A delta is sent instead of the complete list if the list is at least this many times as long.
 const MIN_DELTA_RATIO: usize = 2;
 
 /// A position in the order of revisions.
@@ -19,7 +20,7 @@
 pub struct Position {
     /// The revision.
     pub revision: u64,
-    /// The last item of this revision that is before the position; with `None` it is after all of them.
+    /// The last item of this revision that precedes the position. `None` if all items of the revision precede it.
     pub after_item: Option<ItemKey>,
 }
 
@@ -32,7 +33,7 @@
     pub bytes: Arc<[u8]>,
 }
 
-/// The text of a list version.
+/// A version of the list and its text.
 #[derive(Clone, Debug)]
 struct ListText {
     version: u64,
@@ -44,23 +45,25 @@
 pub struct Table {
     revision: u64,
     items: BTreeMap<ItemKey, EncodedItem>,
+    /// The keys of all items, in the order of their revisions.
     by_revision: BTreeSet<(u64, ItemKey)>,
     /// The keys of the latest purges, the newest last.
     purges: VecDeque<Arc<str>>,
     last_purge: u64,
     /// The latest lists, the newest last.
     lists: VecDeque<ListText>,
-    /// Encoded deltas to the newest list by the version they start from; `None` where one isn't worth sending.
+    /// Encoded deltas to the newest list, by the version that they start from. `None` if a delta is too long to be
+    /// worth sending.
     deltas: HashMap<u64, Option<Arc<[u8]>>>,
 }
 
 impl Table {
-    /// The revision up to which the table is complete: it has each item as of this revision or newer.
+    /// The revision up to which the table is complete: it has each item at this revision or a later one.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The newest revision of any item.
+    /// The newest revision of any item, or that up to which the table is complete if it is newer.
     pub fn head_revision(&self) -> u64 {
         self.by_revision.last().map_or(0, |(revision, _)| *revision).max(self.revision)
     }
@@ -70,7 +73,7 @@
         self.last_purge
     }
 
-    /// The number of the last purge that is not known any more: those after it are.
+    /// The number of the last purge that is no longer retained. All later ones are.
     pub fn last_dropped_purge(&self) -> u64 {
         self.last_purge - self.purges.len() as u64
     }
@@ -90,17 +93,17 @@
         &self.items
     }
 
-    /// An item and its revision.
+    /// Returns an item and its revision.
     pub fn item(&self, key: &ItemKey) -> Option<(u64, Item)> {
         let item = self.items.get(key)?;
         Some((item.revision, Item::decode(&item.bytes).ok()?))
     }
 
-    /// The next item after a position.
+    /// Returns the next item after a position.
     pub fn next_after(&self, position: &Position) -> Option<(&ItemKey, &EncodedItem)> {
         let start = match &position.after_item {
             Some(key) => Bound::Excluded((position.revision, key.clone())),
-            // The least key of the next revision.
+            // The smallest possible key at the next revision.
             None => {
                 let next_revision = position.revision.saturating_add(1);
                 Bound::Included((next_revision, ItemKey::Document(String::new())))
@@ -110,7 +113,7 @@
         self.items.get(key).map(|item| (key, item))
     }
 
-    /// The keys of the purges after a number, the oldest first.
+    /// The keys of the retained purges after the one with this number, the oldest first.
     pub fn purges_after(&self, number: u64) -> impl Iterator<Item = &Arc<str>> {
         self.purges.iter().skip(number.saturating_sub(self.last_dropped_purge()) as usize)
     }
@@ -136,7 +139,7 @@
         self.by_revision.insert((revision, key));
     }
 
-    /// Removes the overrides that enabled a server long before this time.
+    /// Removes the overrides that enabled a server so long before this time that they have no effect any more.
     fn remove_expired_overrides(&mut self, at_ms: u64) {
         let is_expired = |item: &EncodedItem| match Item::decode(&item.bytes) {
             Ok(Item::Override { admin_override, .. }) => admin_override.is_expired(at_ms),
@@ -165,13 +168,14 @@
         }
     }
 
-    /// Forgets all purges, and sets the number that the next one follows.
+    /// Drops all retained purges, and sets the number of the last purge.
     pub fn reset_purges(&mut self, last_purge: u64) {
         self.purges.clear();
         self.last_purge = last_purge;
     }
 
-    /// The encoded delta from an older version of the list, if it is short enough to be sent instead of the list.
+    /// Returns the encoded delta from an older version of the list, if it is short enough to be sent instead of the
+    /// list.
     pub fn delta_from(&mut self, from: u64) -> Option<Arc<[u8]>> {
         let newest = self.lists.back()?;
         let old = self.lists.iter().find(|list| list.version == from && from < newest.version)?;
@@ -183,7 +187,7 @@
         self.deltas.entry(from).or_insert_with(encode).clone()
     }
 
-    /// Takes over what a member has applied since the last time.
+    /// Copies the changes that a member has applied since the last call.
     pub fn sync_from(&mut self, applied: &AppliedState) {
         let index = applied.last_index();
         if index <= self.revision && self.revision > 0 {
@@ -203,7 +207,7 @@
     }
 }
 
-/// The items that a member's applied state has changed after a revision, with their revisions.
+/// Returns the items of a member's applied state that have changed after a revision, with their revisions.
 fn changed_items(after: u64, applied: &AppliedState) -> Vec<(u64, Item)> {
     let (state, changes) = (&applied.state, &applied.changes);
     let documents = state.document_names().filter_map(|name| {
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -1,5 +1,6 @@
-//! A subscriber beside a node, or a relay, on a thread of its own. It is no follower in Raft's sense: it never votes.
-//! The module's name is the target of the thread's log events, and stays for those who filter by it.
+//! Runs a subscriber beside a node, as a relay if it is configured, on a thread of its own. It is not a follower in
+//! Raft's sense: it never votes. The module's name is the target of the thread's log events, and is kept for operators
+//! who filter by it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,31 +21,31 @@
 use crate::subscriber_folder::{FolderError, SubscriberFolder};
 use crate::wire::{Feed, KeyError, Keys, OnPurge, Tcp, follow, serve_relay};
 
-/// How often, after the startup, the freshness is checked and the key file is read again.
+/// The interval at which, after the startup, the freshness is checked and the key file is read again.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The settings of a node's subscriber.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The folder that it saves the state in.
+    /// The folder in which the subscriber saves the state.
     pub dir: PathBuf,
-    /// The loopback address at which it serves others as a relay; without one it doesn't.
+    /// The loopback address at which the subscriber serves others as a relay. `None` if it is not a relay.
     pub listen: Option<SocketAddr>,
-    /// The file of the subscribers' key.
+    /// The file with the subscribers' keys.
     pub key_file: PathBuf,
-    /// The cluster that it follows.
+    /// The cluster that the subscriber follows.
     pub cluster: u128,
-    /// Publishers by tier, the nearest first; the last are members.
+    /// The publishers' addresses by tier, the nearest first. Members are in the last tier.
     pub publishers: Vec<Vec<SocketAddr>>,
-    /// How long the node's startup waits for a publisher.
+    /// How long the startup waits for a publisher to confirm that the state is fresh.
     pub startup_timeout: Duration,
 }
 
 /// Why a subscriber can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum SubscriberDaemonError {
-    /// The address is no loopback address.
-    #[error("{0} is no loopback address: the store listens on those alone")]
+    /// The address is not a loopback address.
+    #[error("{0} is not a loopback address: the store listens on loopback addresses only")]
     NotLoopback(SocketAddr),
     /// The key file can't be used.
     #[error("{0}")]
@@ -52,19 +53,20 @@
     /// The folder can't be used.
     #[error("{0}")]
     Folder(#[from] FolderError),
-    /// The address can't be listened at.
+    /// Listening at the address has failed.
     #[error("cannot listen at {0}: {1}")]
     Listen(SocketAddr, io::Error),
     /// The thread can't be started.
-    #[error("the subscriber's thread: {0}")]
+    #[error("cannot start the subscriber's thread: {0}")]
     Thread(io::Error),
 }
 
-/// A running subscriber, which stops when this is dropped.
+/// A running subscriber. Dropping this stops it.
 pub struct SubscriberDaemon {
-    /// The state that it follows.
+    /// The state that the subscriber receives.
     pub feed: Feed,
-    /// Whether the startup is complete: what is committed is known, or the startup has timed out.
+    /// Whether the startup is complete: a publisher has confirmed that the state is fresh, or the startup has timed
+    /// out.
     pub ready: watch::Receiver<bool>,
     /// The version of the newest list that the node used before this start; 0 for none.
     pub list_in_use: u64,
@@ -81,7 +83,8 @@
 /// Starts a subscriber on a thread of its own. `on_purge` is called on that thread, and must not block.
 ///
 /// # Errors
-/// If its folder, key or address can't be used. Nothing is left running then.
+/// If the folder, the key file or the address can't be used, or the thread can't be started. Nothing is left running
+/// then.
 pub fn start(settings: Settings, on_purge: OnPurge) -> Result<SubscriberDaemon, SubscriberDaemonError> {
     if let Some(listen) = settings.listen.filter(|listen| !listen.ip().is_loopback()) {
         return Err(SubscriberDaemonError::NotLoopback(listen));
@@ -93,7 +96,8 @@
     let (folder, table) = SubscriberFolder::open(&settings.dir, settings.cluster)?;
     let listener = settings.listen.map(|addr| bind(&runtime, addr)).transpose()?;
     let list_in_use = folder.list_in_use();
-    let selector = PublisherSelector::new(folder.subscriber(), &publishers(&settings), fastrand::u64(..));
+    let selector =
+        PublisherSelector::new(folder.subscriber(), &publisher_addresses(&settings), fastrand::u64(..));
     let feed = Feed::new(settings.cluster, Subscriber::new(table, selector));
     let stop = CancellationToken::new();
     let (ready_sender, ready) = watch::channel(false);
@@ -107,12 +111,13 @@
     runtime.block_on(TcpListener::bind(addr)).map_err(|error| SubscriberDaemonError::Listen(addr, error))
 }
 
-fn publishers(settings: &Settings) -> Vec<Vec<String>> {
+/// The publishers' addresses as text, by tier.
+fn publisher_addresses(settings: &Settings) -> Vec<Vec<String>> {
     let addresses = |tier: &Vec<SocketAddr>| tier.iter().map(SocketAddr::to_string).collect();
     settings.publishers.iter().map(addresses).collect()
 }
 
-/// The subscriber as its thread runs it.
+/// A subscriber, as its thread runs it.
 struct SubscriberThread {
     settings: Settings,
     feed: Feed,
@@ -130,16 +135,16 @@
             info!(
                 event = "relay_listening",
                 at = addr.map(tracing::field::display),
-                "other subscribers may follow this node"
+                "the relay accepts subscribers"
             );
             let limits = Limits::default();
             tokio::spawn(serve_relay(listener, feed.clone(), tcp.clone(), limits, stop.clone()));
         }
         tokio::spawn(follow(feed.clone(), tcp.clone(), Some(folder), on_purge, stop.clone()));
-        info!(event = "subscriber_started", "the store's state is followed");
+        info!(event = "subscriber_started", "the subscriber follows the store's state");
         tokio::select! {
             () = stop.cancelled() => {}
-            () = monitor(&feed, &tcp, &settings, ready) => {}
+            () = monitor_freshness(&feed, &tcp, &settings, ready) => {}
         }
     }
 }
@@ -148,15 +153,18 @@
     feed.stale_ms().is_some_and(|stale_ms| stale_ms <= MAX_FRESH_AGE_MS)
 }
 
-/// Signals when the startup is complete, then logs when the state gets stale or is fresh again.
-async fn monitor(feed: &Feed, tcp: &Tcp, settings: &Settings, ready: watch::Sender<bool>) {
+/// Signals when the startup is complete, and then logs when the state becomes stale or fresh again.
+async fn monitor_freshness(feed: &Feed, tcp: &Tcp, settings: &Settings, ready: watch::Sender<bool>) {
     let deadline = Instant::now() + settings.startup_timeout;
     while !is_fresh(feed) && Instant::now() < deadline {
         sleep(READY_POLL_INTERVAL).await;
     }
     let mut was_fresh = is_fresh(feed);
     if !was_fresh {
-        warn!(event = "store_unconfirmed", "the node uses the state on its own disk, which may be stale");
+        warn!(
+            event = "store_unconfirmed",
+            "no publisher has confirmed the state in time; the node uses the state on its disk, which may be stale"
+        );
     }
     ready.send_replace(true);
     loop {
@@ -164,9 +172,9 @@
         reload_keys(tcp, &settings.key_file);
         let (fresh, stale_ms) = (is_fresh(feed), feed.stale_ms());
         if fresh && !was_fresh {
-            info!(event = "store_confirmed", "a publisher confirms what is committed");
+            info!(event = "store_confirmed", "a publisher confirms that the state is fresh");
         } else if was_fresh && !fresh {
-            warn!(event = "store_stale", stale_ms, "no publisher confirms what is committed");
+            warn!(event = "store_stale", stale_ms, "no publisher confirms that the state is fresh");
         }
         was_fresh = fresh;
     }
--- a/crates/store/src/subscriber_folder.rs
+++ b/crates/store/src/subscriber_folder.rs
@@ -1,5 +1,5 @@
-//! A subscriber's folder: the state that its node used last, so that after a restart it resumes from there and never
-//! goes back to an older one.
+//! A subscriber's folder. It contains the state that the node used last, so that the subscriber resumes from it after a
+//! restart and the node never goes back to an older state.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -12,10 +12,10 @@
 use crate::feed::frame::{FrameError, Item, ItemKey};
 use crate::feed::table::{EncodedItem, Table};
 
-/// What errors call the file's contents.
-const CONTENTS: &str = "what a subscriber keeps";
+/// The name of the file's contents in errors.
+const CONTENTS: &str = "a subscriber's saved state";
 const FILE_NAME: &str = "subscriber";
-/// The file that is written before it replaces the last one.
+/// The name under which a new file is written before it replaces the previous one.
 const NEW_FILE_NAME: &str = "subscriber.new";
 const LOCK_FILE_NAME: &str = "lock";
 
@@ -28,37 +28,41 @@
     /// Another process uses the folder.
     #[error("{path}: another process uses this folder", path = .0.display())]
     InUse(PathBuf),
-    /// The contents can't be read.
-    #[error("{path}: {1}: move the file away to start anew, from what publishers hold", path = .0.display())]
+    /// The contents are damaged or of another version.
+    #[error("{path}: {1}: move the file away to start again with the publishers' state", path = .0.display())]
     Damaged(PathBuf, CodecError),
-    /// An item in the contents can't be read.
-    #[error("{path}: {1}: move the file away to start anew, from what publishers hold", path = .0.display())]
+    /// An item in the contents can't be decoded.
+    #[error("{path}: {1}: move the file away to start again with the publishers' state", path = .0.display())]
     Item(PathBuf, FrameError),
     /// The folder belongs to another cluster.
     #[error("{path} is of cluster {theirs:032x}, not of {ours:032x}", path = .path.display())]
     ForeignCluster {
         /// The file.
         path: PathBuf,
-        /// Its cluster.
+        /// The cluster that the folder belongs to.
         theirs: u128,
         /// The cluster that the subscriber follows.
         ours: u128,
     },
 }
 
+/// The contents of the file. The encoding is positional: it depends on the order of the fields.
 #[derive(Serialize, Deserialize)]
 struct Contents {
     cluster: u128,
-    /// Drawn at the first start; it decides the order in which publishers are preferred.
+    /// The subscriber's id, drawn at random at the first start. It determines the order in which the subscriber prefers
+    /// publishers.
     subscriber: u64,
-    /// The version of the newest list that the node has used, whichever way it came.
+    /// The version of the newest list that the node has used, from whatever source.
     list_in_use: u64,
+    /// The revision up to which the items are complete.
     revision: u64,
+    /// The encoded items with their revisions.
     items: Vec<(u64, Vec<u8>)>,
 }
 
 impl Contents {
-    /// The table that was saved.
+    /// Returns the table that was saved.
     fn table(&self) -> Result<Table, FrameError> {
         let mut table = Table::default();
         for (revision, bytes) in &self.items {
@@ -69,7 +73,7 @@
     }
 }
 
-/// A subscriber's folder, locked for as long as this lives.
+/// A subscriber's folder, which is locked until this is dropped.
 #[derive(Debug)]
 pub struct SubscriberFolder {
     dir: PathBuf,
@@ -79,10 +83,10 @@
 }
 
 impl SubscriberFolder {
-    /// Opens a folder, which is created if it is absent, and reads the table that was saved in it.
+    /// Opens a folder, creating it if it is absent, and reads the table that was saved in it.
     ///
     /// # Errors
-    /// If another process uses it, it is another cluster's, or it can't be read.
+    /// If another process uses the folder, it belongs to another cluster, or its contents can't be read.
     pub fn open(dir: &Path, cluster: u128) -> Result<(SubscriberFolder, Table), FolderError> {
         let lock = lock(dir)?;
         let path = dir.join(FILE_NAME);
@@ -104,15 +108,16 @@
         self.subscriber
     }
 
-    /// The version of the newest list that the node has used, before a restart too; 0 for none.
+    /// The version of the newest list that the node has used, also before the last restart; 0 for none.
     pub fn list_in_use(&self) -> u64 {
         self.list_in_use
     }
 
-    /// Saves the items of a table, and which list is in use. The file is replaced at once.
+    /// Saves the items of a table and the version of the list in use. The file is replaced atomically, and is on disk
+    /// when this returns.
     ///
     /// # Errors
-    /// If it can't be written: the node must not use any of it then.
+    /// If the file can't be written. The node must not use any of this state then.
     pub fn save(
         &mut self,
         cluster: u128,
@@ -135,7 +140,7 @@
     }
 }
 
-/// Creates a folder if it is absent, and locks it.
+/// Creates a folder if it is absent, and locks it against other processes.
 fn lock(dir: &Path) -> Result<File, FolderError> {
     let io_error = |error| FolderError::Io(dir.to_owned(), error);
     fs::create_dir_all(dir).map_err(io_error)?;
@@ -148,7 +153,7 @@
     }
 }
 
-/// Reads the file's contents; nothing if there is no file yet.
+/// Reads the file's contents. Returns `None` if there is no file yet.
 fn read(path: &Path) -> Result<Option<Contents>, FolderError> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
--- a/crates/store/src/wire/connection.rs
+++ b/crates/store/src/wire/connection.rs
@@ -1,4 +1,4 @@
-//! An authenticated connection, and the messages on it.
+//! An authenticated connection, and sending and receiving messages on it.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,15 +19,15 @@
 use crate::feed::frame::FrameError;
 use crate::message::Introduction;
 
-/// How long a handshake may take, and each message by which a session begins: an introduction, a subscriber's hello. A
-/// subscriber's acknowledgement has to be sent within it too.
+/// How long a handshake may take, and each of the messages that begin a session (an introduction, a subscriber's
+/// hello). Sending a subscriber's acknowledgement may take this long, too.
 pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// What errors call an introduction.
+/// The name of an introduction in errors.
 pub(super) const INTRODUCTION: &str = "an introduction";
-/// What errors call the answer to an introduction.
+/// The name of the answer to an introduction in errors.
 pub(super) const INTRODUCTION_ANSWER: &str = "an introduction's answer";
 
-/// Why a connection can't be used any further.
+/// Why a connection can't be used any longer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WireError {
     #[error("{0}")]
@@ -40,14 +40,14 @@
     Codec(#[from] CodecError),
     #[error("{0}")]
     Frame(#[from] FrameError),
-    #[error("refused: {0}")]
+    #[error("rejected: {0}")]
     Rejected(String),
-    #[error("no proof within {} s", HANDSHAKE_TIMEOUT.as_secs())]
-    /// A step bounded by [`HANDSHAKE_TIMEOUT`] took longer; the other side may be authenticated already.
+    /// A step that [`HANDSHAKE_TIMEOUT`] limits took longer. The other side may be authenticated already.
+    #[error("the handshake or the start of the session took longer than {} s", HANDSHAKE_TIMEOUT.as_secs())]
     HandshakeTimeout,
 }
 
-/// Locks a mutex, whether or not a thread has panicked while it had it.
+/// Locks a mutex, even if a thread has panicked while it held the lock.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -60,13 +60,13 @@
 
 /// An authenticated connection.
 pub(super) struct Connection {
-    /// Whether the other side has only proved that it has a subscriber's key.
+    /// Whether the other side has authenticated with a subscriber's key rather than a member's.
     pub has_subscriber_key: bool,
     sender: MessageSender,
     receiver: MessageReceiver,
 }
 
-/// The sending half of a connection. The direction is shut down when this is dropped.
+/// The sending half of a connection. Dropping it shuts down this direction of the connection.
 pub(super) struct MessageSender {
     socket: Arc<Socket>,
     sealer: Sealer,
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Authenticates a caller. `keys` are the members'; the subscribers' keys are derived from them.
+    /// Authenticates a caller by `keys`, which are the members', or by the subscribers' keys that are derived from
+    /// them.
     pub(super) async fn accept(stream: TcpStream, keys: &Keys) -> Result<Connection, WireError> {
         let mut socket = Socket::new(stream)?;
         let mut hello = [0; HELLO_BYTES];
@@ -128,7 +129,7 @@
         Ok(Connection::new(socket, has_subscriber_key, sealer, opener))
     }
 
-    /// Sends a value, which errors call `what`.
+    /// Sends a value. `what` is its name in errors.
     pub(super) async fn send<T: Serialize>(
         &mut self,
         what: &'static str,
@@ -137,7 +138,7 @@
         self.sender.send(&codec::encode(what, value)?).await
     }
 
-    /// Receives a value, which errors call `what`.
+    /// Receives a value. `what` is its name in errors.
     pub(super) async fn receive<T: DeserializeOwned>(&mut self, what: &'static str) -> Result<T, WireError> {
         self.receiver.receive_with(usize::MAX, |bytes| Ok(codec::decode(what, bytes)?)).await
     }
@@ -148,7 +149,7 @@
 }
 
 impl MessageSender {
-    /// Sends a message.
+    /// Seals and sends a message.
     pub(super) async fn send(&mut self, bytes: &[u8]) -> Result<(), WireError> {
         let sealed = self.sealer.seal(bytes)?;
         Ok(self.socket.write_all(&sealed).await?)
@@ -161,6 +162,7 @@
         self.receive_with(max, |bytes| Ok(bytes.to_vec())).await
     }
 
+    /// Receives a message of at most `max` bytes, and passes it to `read`.
     async fn receive_with<T>(
         &mut self,
         max: usize,
@@ -174,7 +176,7 @@
         if body_len > max {
             return Err(FrameError::FrameTooLong(body_len).into());
         }
-        // The buffer grows with what has arrived, not with what was announced.
+        // The buffer grows with the bytes that arrive rather than being allocated for the announced length.
         let mut sealed = Vec::new();
         socket.take(sealed_len as u64).read_to_end(&mut sealed).await?;
         if sealed.len() < sealed_len {
--- a/crates/store/src/wire/feed.rs
+++ b/crates/store/src/wire/feed.rs
@@ -1,4 +1,4 @@
-//! The state that a subscriber receives, as its node and its relay's subscribers read it.
+//! The state that a subscriber has received, shared with its node and with the subscribers of its relay.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,10 +15,10 @@
 use crate::feed::table::{EncodedItem, Table};
 use crate::freshness::Millis;
 
-/// The shortest time until the subscriber is polled again, so that it isn't polled in a busy loop.
+/// The shortest time until the subscriber is polled again, which prevents a busy loop.
 const MIN_POLL_DELAY: Duration = Duration::from_millis(1);
 
-/// The state that a node may use: it is saved on its disk.
+/// The state that a node may use. If the subscriber has a folder, this state is saved there first.
 #[derive(Debug, Default)]
 pub struct View {
     items: BTreeMap<ItemKey, EncodedItem>,
@@ -26,7 +26,7 @@
 }
 
 impl View {
-    /// An item, and its revision.
+    /// Returns an item and its revision.
     pub fn item(&self, key: &ItemKey) -> Option<(u64, Item)> {
         let item = self.items.get(key)?;
         Some((item.revision, Item::decode(&item.bytes).ok()?))
@@ -37,13 +37,13 @@
         &self.items
     }
 
-    /// The version of the list; 0 for none.
+    /// The version of the endpoint list; 0 for none.
     pub fn list_version(&self) -> u64 {
         self.list_version
     }
 }
 
-/// The state of a subscriber; its clones are the same one.
+/// A handle to a subscriber and the state that it has received. Clones share them.
 #[derive(Clone)]
 pub struct Feed(Arc<Inner>);
 
@@ -51,17 +51,17 @@
     cluster: u128,
     subscriber: Mutex<Subscriber>,
     view: RwLock<View>,
-    /// Counts changes of the view.
+    /// The number of changes of the view.
     view_changes: watch::Sender<u64>,
-    /// Counts frames.
+    /// The number of frames that were applied to the table.
     table_changes: watch::Sender<u64>,
-    /// The newest list that the node has used.
+    /// The version of the newest list that the node has used.
     list_in_use: AtomicU64,
     start: Instant,
 }
 
 impl Feed {
-    /// The feed of a cluster's subscriber.
+    /// Creates the feed of a cluster's subscriber, whose table is the first view.
     pub fn new(cluster: u128, subscriber: Subscriber) -> Feed {
         let (items, list_version) = (subscriber.table.items().clone(), subscriber.table.list_version());
         Feed(Arc::new(Inner {
@@ -75,22 +75,24 @@
         }))
     }
 
-    /// The state that the node may use now.
+    /// Returns the state that the node may use now. The view doesn't change while the guard is held.
     pub fn view(&self) -> RwLockReadGuard<'_, View> {
         self.0.view.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts the changes of the view.
+    /// Returns a receiver that is notified of each change of the view.
     pub fn view_changes(&self) -> watch::Receiver<u64> {
         self.0.view_changes.subscribe()
     }
 
-    /// Everything that was committed this many ms ago has been received; nothing if no publisher has confirmed it yet.
+    /// The age of the received state, in ms: everything that was committed that long ago has been received. `None` if
+    /// no publisher has confirmed this yet.
     pub fn stale_ms(&self) -> Option<Millis> {
         lock(&self.0.subscriber).stale_ms(self.now())
     }
 
-    /// Notes that the node uses a list, whichever way it came. It is saved with the next frame.
+    /// Records that the node uses this version of the list, from whatever source. The version is saved when the next
+    /// frame is applied.
     pub fn use_list(&self, version: u64) {
         self.0.list_in_use.fetch_max(version, Ordering::Relaxed);
     }
@@ -105,26 +107,28 @@
         lock(&self.0.subscriber).table.revision()
     }
 
-    /// The publisher that the subscriber is connected to.
+    /// The address of the publisher that the subscriber is connected to.
     pub fn publisher(&self) -> Option<String> {
         lock(&self.0.subscriber).publisher().map(str::to_owned)
     }
 
+    /// The version of the newest list that the node has used since the start; 0 for none.
     pub(super) fn list_in_use(&self) -> u64 {
         self.0.list_in_use.load(Ordering::Relaxed)
     }
 
+    /// The time of the subscriber's clock.
     fn now(&self) -> Millis {
         self.0.start.elapsed().as_millis() as Millis
     }
 
-    /// Runs `work` on the subscriber, with the current time.
+    /// Runs `work` with the subscriber, which is locked meanwhile, and the time of its clock.
     pub(super) fn with_subscriber<R>(&self, work: impl FnOnce(&mut Subscriber, Millis) -> R) -> R {
         let now = self.now();
         work(&mut lock(&self.0.subscriber), now)
     }
 
-    /// The point in time at which the subscriber's clock shows this, or shortly if that is past.
+    /// Converts a time of the subscriber's clock; at least [`MIN_POLL_DELAY`] from now.
     pub(super) fn instant(&self, time: Millis) -> Instant {
         (self.0.start + Duration::from_millis(time)).max(Instant::now() + MIN_POLL_DELAY)
     }
@@ -137,6 +141,7 @@
         self.0.view_changes.send_modify(|changes| *changes += 1);
     }
 
+    /// Notifies the relay's sessions that the table may have changed.
     pub(super) fn notify_table_change(&self) {
         self.0.table_changes.send_modify(|changes| *changes += 1);
     }
--- a/crates/store/src/wire/follow.rs
+++ b/crates/store/src/wire/follow.rs
@@ -1,4 +1,5 @@
-//! A subscriber's connections: it connects to publishers, applies their frames, and saves the state that its node uses.
+//! Runs a subscriber's connections: connects to publishers, applies their frames, and saves the state that the node
+//! uses.
 
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout};
@@ -14,12 +15,14 @@
 use crate::message::{Caller, Introduction};
 use crate::subscriber_folder::{FolderError, SubscriberFolder};
 
-/// Received frames that may wait to be applied.
+/// The maximum number of received frames that wait to be applied.
 const FRAME_QUEUE_LEN: usize = 4;
 
-/// Is called with [`Event::Purged`] and [`Event::PurgesUnknown`], once for each event and in order. It must not block.
+/// A callback for [`Event::Purged`] and [`Event::PurgesUnknown`], called once for each event and in order. It must not
+/// block.
 pub type OnPurge = Box<dyn FnMut(&Event) + Send>;
 
+/// Why a connection to a publisher has failed.
 #[derive(Debug, thiserror::Error)]
 enum FollowError {
     #[error("{0}")]
@@ -28,7 +31,8 @@
     Receive(#[from] ReceiveError),
 }
 
-/// Follows the state until it is stopped. `tcp` has the keys. Without a folder nothing is saved.
+/// Follows the committed state until `stop` is cancelled. `tcp` has the subscribers' keys. Without a folder, nothing is
+/// saved.
 pub async fn follow(
     feed: Feed,
     tcp: Tcp,
@@ -44,7 +48,7 @@
             });
             match action {
                 Ok(Action::Connect(addr)) => run_connection(&feed, &addr, &tcp, &mut applier).await,
-                Ok(Action::Send(_) | Action::Close(_)) => {} // there is no connection
+                Ok(Action::Send(_) | Action::Close(_)) => {} // there is no connection to act on
                 Err(next_poll_at) => sleep_until(feed.instant(next_poll_at)).await,
             }
         }
@@ -55,21 +59,22 @@
     }
 }
 
+/// Runs one connection to a publisher, and reports its end to the subscriber and to the log.
 async fn run_connection(feed: &Feed, addr: &str, tcp: &Tcp, applier: &mut FrameApplier) {
-    let result = session(feed, addr, tcp, applier).await;
+    let result = run_session(feed, addr, tcp, applier).await;
     feed.with_subscriber(|subscriber, now| subscriber.on_closed(now));
     match result {
         Ok(()) => {
             debug!(
                 event = "publisher_disconnected",
-                addr, "the session is over; a publisher is selected again"
+                addr, "the session has ended; a publisher is selected again"
             );
         }
         Err(error) => log_lost_publisher(feed, addr, &error),
     }
 }
 
-/// Logs a lost publisher whenever their number has doubled.
+/// Logs a failed connection if the number of disconnects is a power of two.
 fn log_lost_publisher(feed: &Feed, addr: &str, error: &FollowError) {
     let counters = feed.counters();
     let (disconnects, rejected_frames) = (counters.disconnects, counters.rejected_frames);
@@ -81,8 +86,13 @@
     }
 }
 
-/// Runs one connection, until the subscriber closes it or it fails.
-async fn session(feed: &Feed, addr: &str, tcp: &Tcp, applier: &mut FrameApplier) -> Result<(), FollowError> {
+/// Connects to a publisher and receives its frames, until the subscriber closes the connection or it fails.
+async fn run_session(
+    feed: &Feed,
+    addr: &str,
+    tcp: &Tcp,
+    applier: &mut FrameApplier,
+) -> Result<(), FollowError> {
     let caller = Introduction { cluster: feed.cluster(), caller: Caller::Subscriber, addr: String::new() };
     let keys = tcp.keys();
     let connection = timeout(HANDSHAKE_TIMEOUT, Connection::connect(addr, &keys, &caller)).await;
@@ -96,7 +106,7 @@
     }
 }
 
-/// Receives frames into the queue until the connection fails.
+/// Receives frames into the queue until the connection fails, and returns the error.
 async fn receive_frames(
     feed: &Feed,
     receiver: &mut MessageReceiver,
@@ -104,7 +114,7 @@
 ) -> WireError {
     loop {
         match receiver.receive(MAX_FRAME_BYTES).await {
-            Ok(frame) => _ = queue.send(frame).await, // the receiver lives as long as this future
+            Ok(frame) => _ = queue.send(frame).await, // the queue's receiver lives as long as this future
             Err(error @ WireError::Io(_)) => return error,
             Err(error) => {
                 feed.with_subscriber(|subscriber, _| subscriber.on_unreadable_frame());
@@ -114,7 +124,8 @@
     }
 }
 
-/// Applies frames from the queue, and sends what the subscriber wants to send, until it closes the connection.
+/// Applies frames from the queue and sends the subscriber's acknowledgements, until the subscriber closes the
+/// connection.
 async fn apply_frames(
     feed: &Feed,
     addr: &str,
@@ -154,12 +165,13 @@
 struct FrameApplier {
     feed: Feed,
     folder: Option<SubscriberFolder>,
-    /// Whether items have changed that are not saved yet. The node doesn't see them before.
+    /// Whether items have changed that are not saved yet. The node sees them only once they are saved.
     has_unsaved_items: bool,
     on_purge: OnPurge,
 }
 
 impl FrameApplier {
+    /// Applies a frame, reports its purges, and saves the state if it has changed.
     fn apply(&mut self, frame: &[u8]) -> Result<(), FollowError> {
         for event in self.feed.with_subscriber(|subscriber, now| subscriber.on_frame(frame, now))? {
             match event {
@@ -172,9 +184,12 @@
         if self.has_unsaved_items || has_unsaved_list {
             match self.save() {
                 Ok(()) => self.has_unsaved_items = false,
-                // It is retried with the next frame: there is one each second.
+                // Saving is retried with the next frame; a publisher sends at least one each second.
                 Err(error) => {
-                    warn!(event = "state_not_saved", %error, "the node doesn't use the changed state");
+                    warn!(
+                        event = "state_not_saved",
+                        %error, "the changed state could not be saved, and the node does not use it"
+                    );
                 }
             }
         }
@@ -182,7 +197,7 @@
         Ok(())
     }
 
-    /// Saves the state, and then lets the node see it.
+    /// Saves the state, and makes it visible to the node if that succeeds.
     fn save(&mut self) -> Result<(), FolderError> {
         let (revision, items, list_version) = self.feed.with_subscriber(|subscriber, _| {
             let table = &subscriber.table;
--- a/crates/store/src/wire/keys.rs
+++ b/crates/store/src/wire/keys.rs
@@ -1,4 +1,4 @@
-//! The key that all members share, or two of them while it is rotated, and the keys that are derived from it.
+//! The key that all members share (two keys while it is being rotated), and the keys that are derived from it.
 
 use std::fmt;
 use std::fs::{self, OpenOptions};
@@ -19,27 +19,27 @@
 const KEY_FILE_MODE: u32 = 0o600;
 /// The permission bits of a file's mode.
 const PERMISSION_BITS: u32 = 0o777;
-/// The permission bits of the group and of others.
+/// The permission bits of the group and of other users.
 const NON_OWNER_BITS: u32 = 0o077;
 
-/// A key: random bytes.
+/// A secret key.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key([u8; KEY_BYTES]);
 
 impl fmt::Debug for Key {
-    /// Shows the key's id only.
+    /// Writes the key's id only, never the key.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "Key({:02x?})", self.id())
     }
 }
 
 impl Key {
-    /// A key of these bytes.
+    /// Creates a key from its bytes.
     pub fn new(bytes: [u8; KEY_BYTES]) -> Key {
         Key(bytes)
     }
 
-    /// The key's id on the wire, which reveals nothing of the key.
+    /// The id by which messages name the key. It is a hash, which doesn't reveal the key.
     pub(super) fn id(&self) -> [u8; KEY_ID_BYTES] {
         let digest = Sha256::new().chain_update(b"stonefold key name").chain_update(self.0).finalize();
         let mut id = [0; KEY_ID_BYTES];
@@ -57,23 +57,23 @@
         mac
     }
 
-    /// The HMAC-SHA256 (RFC 2104) of some parts, each after its length.
+    /// Computes the HMAC-SHA256 (RFC 2104) of some parts, each of them preceded by its length.
     pub(super) fn mac(&self, parts: &[&[u8]]) -> [u8; MAC_BYTES] {
         self.mac_of(parts).finalize().into_bytes().into()
     }
 
-    /// Whether this is the beginning of the parts' MAC, compared in constant time.
+    /// Whether `mac` is the parts' MAC or a prefix of it, compared in constant time.
     pub(super) fn verify(&self, parts: &[&[u8]], mac: &[u8]) -> bool {
         self.mac_of(parts).verify_truncated_left(mac).is_ok()
     }
 
-    /// A key that is derived from this one.
+    /// Derives a key from this one and the parts.
     pub(super) fn derive(&self, parts: &[&[u8]]) -> Key {
         Key(self.mac(parts))
     }
 }
 
-/// The keys in force: the first is used, all are accepted.
+/// The keys in use: the first one authenticates this side, and all are accepted from the other side.
 #[derive(Clone, Debug)]
 pub struct Keys(Vec<Key>);
 
@@ -83,14 +83,14 @@
     /// The file can't be read or written.
     #[error("{path}: {1}", path = .0.display())]
     Io(PathBuf, io::Error),
-    /// Others than the owner have access to the file.
-    #[error("{path}: others may read it (mode {1:03o}): chmod 600", path = .0.display())]
+    /// Users other than the owner have access to the file.
+    #[error("{path}: users other than its owner have access to it (mode {1:03o}): chmod 600", path = .0.display())]
     Permissions(PathBuf, u32),
-    /// A line is no key.
+    /// A line is not a valid key.
     #[error("{path}:{1}: no key: expected 64 hex digits", path = .0.display())]
     Line(PathBuf, usize),
-    /// There are too few keys or too many.
-    #[error("{path}: {1} keys: expected one, or two while the key is changed", path = .0.display())]
+    /// There are no keys, or too many.
+    #[error("{path}: {1} keys: expected one, or two while the key is being rotated", path = .0.display())]
     Count(PathBuf, usize),
 }
 
@@ -100,25 +100,27 @@
     Some(Key(key))
 }
 
-fn write(path: &Path, remark: &str, keys: &[Key]) -> Result<(), KeyError> {
+/// Writes a new key file that begins with a comment line.
+fn write(path: &Path, comment: &str, keys: &[Key]) -> Result<(), KeyError> {
     let io_error = |error| KeyError::Io(path.to_owned(), error);
     let mut options = OpenOptions::new();
     let mut file = options.write(true).create_new(true).mode(KEY_FILE_MODE).open(path).map_err(io_error)?;
-    writeln!(file, "{remark}").map_err(io_error)?;
+    writeln!(file, "{comment}").map_err(io_error)?;
     keys.iter().try_for_each(|key| writeln!(file, "{}", hex::encode(key.0))).map_err(io_error)?;
     file.sync_all().map_err(io_error)
 }
 
 impl Keys {
-    /// These keys, the first of which is used.
+    /// Creates a set of keys, of which the first is used by this side and both are accepted.
     pub fn new(first: Key, other: Option<Key>) -> Keys {
         Keys([first].into_iter().chain(other).collect())
     }
 
-    /// Reads a key file: a key on each line, remarks after `#`. Only its owner may have access to it.
+    /// Reads a key file, with a key on each line. Empty lines, and lines that begin with `#`, are ignored. Only the
+    /// file's owner may have access to it.
     ///
     /// # Errors
-    /// What is wrong with the file, and where.
+    /// If the file can't be read, is accessible to other users, or has an invalid line or a wrong number of keys.
     pub fn read(path: &Path) -> Result<Keys, KeyError> {
         let io_error = |error| KeyError::Io(path.to_owned(), error);
         let mode = fs::metadata(path).map_err(io_error)?.permissions().mode() & PERMISSION_BITS;
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Writes a new file with a random key, which only its owner may access.
+    /// Writes a new key file with a random key. Only the file's owner has access to it.
     ///
     /// # Errors
     /// If the file exists, or can't be written.
@@ -148,17 +150,17 @@
         write(path, "# The key that all members of a store share.", &[Key(key)])
     }
 
-    /// The subscribers' keys, derived from these. With them a node may follow the committed state, and nothing else.
+    /// Derives the subscribers' keys. They allow a node to follow the committed state, and nothing else.
     pub fn subscriber_keys(&self) -> Keys {
         Keys(self.0.iter().map(|key| key.derive(&[b"stonefold subscriber"])).collect())
     }
 
-    /// Keys for the nodes' gossip membership, derived from these; the first is used.
+    /// Derives the keys of the nodes' gossip membership. The first one is used, all are accepted.
     pub fn membership_keys(&self) -> Vec<[u8; KEY_BYTES]> {
         self.0.iter().map(|key| key.derive(&[b"stonefold membership"]).0).collect()
     }
 
-    /// Writes a new file with the subscribers' keys, which only its owner may access.
+    /// Writes a new key file with the subscribers' keys. Only the file's owner has access to it.
     ///
     /// # Errors
     /// If the file exists, or can't be written.
@@ -166,6 +168,7 @@
         write(path, "# The key of a store's subscribers.", &self.subscriber_keys().0)
     }
 
+    /// These keys, followed by the subscribers' keys that are derived from them.
     pub(super) fn with_subscriber_keys(&self) -> Keys {
         Keys(self.0.iter().cloned().chain(self.subscriber_keys().0).collect())
     }
@@ -178,7 +181,7 @@
         &self.0[0]
     }
 
-    /// The key with an id.
+    /// Returns the key with this id.
     pub(super) fn find(&self, id: &[u8]) -> Option<&Key> {
         self.0.iter().find(|key| key.id() == id)
     }
--- a/crates/store/src/wire/limiter.rs
+++ b/crates/store/src/wire/limiter.rs
@@ -1,40 +1,43 @@
-//! Limits on connections: a limit on all of them, and a ban for an address whose callers fail to authenticate. Pure: the
-//! time is a parameter.
+//! Limits on connections: maximum numbers of connections and of subscribers, and a ban for an address whose callers
+//! fail to authenticate. This module does no I/O and takes the time as a parameter.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// The most connections at a time, those of subscribers aside.
+/// The maximum number of open connections, not counting those of subscribers.
 pub const MAX_CONNECTIONS: usize = 64;
-/// The most subscribers at a time: twice the nodes of a fleet, as all of them may reconnect before their last connections
-/// have ended. Each takes a descriptor and some kilobytes.
+/// The maximum number of connected subscribers: twice the nodes of a fleet, because all of them may reconnect before
+/// their previous connections have ended. Each takes a file descriptor and some kilobytes.
 pub const MAX_SUBSCRIBERS: usize = 2_048;
-/// Failures of an address within [`FAILURE_WINDOW_MS`] after which it is banned for the rest of that time.
+/// The number of failures of an address within [`FAILURE_WINDOW_MS`] after which it is banned for the rest of that
+/// time.
 const MAX_FAILURES: u32 = 10;
 /// The time over which the failures of an address are counted, in ms.
 const FAILURE_WINDOW_MS: u64 = 10_000;
-/// The most addresses whose failures are counted.
+/// The maximum number of addresses whose failures are counted.
 const MAX_TRACKED_ADDRESSES: usize = 4_096;
 
-/// The failures of an address.
+/// How often callers from an address have recently failed to authenticate or have timed out.
 #[derive(Clone, Copy, Debug)]
 struct Failures {
     count: u32,
+    /// The time of the first of these failures, in ms.
     since_ms: u64,
 }
 
-/// Counts connections and failures.
+/// Counts connections and failed callers, and decides which connections are admitted.
 #[derive(Debug, Default)]
 pub struct ConnectionLimiter {
+    /// The number of open connections, not counting those of subscribers.
     open: usize,
     subscribers: usize,
     failures: HashMap<IpAddr, Failures>,
-    /// Connections that were closed before anything was read from them.
+    /// The number of connections that were closed before anything was read from them.
     pub rejected_connections: u64,
-    /// Authenticated callers that were rejected.
+    /// The number of callers that were rejected.
     rejected_callers: u64,
-    /// Why the last of them was.
-    last_reason: String,
+    /// The reason for the last of these rejections.
+    last_rejection_reason: String,
 }
 
 impl ConnectionLimiter {
@@ -51,12 +54,12 @@
         true
     }
 
-    /// Notes that a connection is closed.
+    /// Records that a connection is closed.
     pub fn on_closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Counts a connection with the subscribers' from now on; false if there are too many of them.
+    /// Counts an admitted connection as a subscriber's from now on. Returns false if there are too many subscribers.
     pub fn admit_subscriber(&mut self) -> bool {
         let has_capacity = self.subscribers < MAX_SUBSCRIBERS;
         if has_capacity {
@@ -66,23 +69,23 @@
         has_capacity
     }
 
-    /// Notes that a subscriber's connection is closed.
+    /// Records that a subscriber's connection is closed.
     pub fn on_subscriber_closed(&mut self) {
         self.subscribers = self.subscribers.saturating_sub(1);
     }
 
-    /// Counts a rejected caller. Returns their number if it is to be logged: for another reason than the last one, or when
-    /// the number has doubled.
+    /// Counts a rejected caller. Returns the number of rejected callers if it has to be logged: if the reason differs
+    /// from the last one, or the number is a power of two.
     pub fn on_rejected(&mut self, reason: &str) -> Option<u64> {
         self.rejected_callers += 1;
-        let is_new = self.last_reason != reason;
+        let is_new = self.last_rejection_reason != reason;
         if is_new {
-            reason.clone_into(&mut self.last_reason);
+            reason.clone_into(&mut self.last_rejection_reason);
         }
         (is_new || self.rejected_callers.is_power_of_two()).then_some(self.rejected_callers)
     }
 
-    /// Notes that a caller from an address has failed to authenticate.
+    /// Records that a caller from this address has failed to authenticate or has timed out.
     pub fn on_failure(&mut self, from: IpAddr, now_ms: u64) {
         if self.failures.len() < MAX_TRACKED_ADDRESSES || self.failures.contains_key(&from) {
             let failures = self.failures.entry(from).or_insert(Failures { count: 0, since_ms: now_ms });
--- a/crates/store/src/wire/mod.rs
+++ b/crates/store/src/wire/mod.rs
@@ -1,5 +1,6 @@
-//! Connections between members, clients, publishers and subscribers over TCP: framed and bounded messages, of which none
-//! is read before both sides have proved that they have the same key. Messages are not encrypted; TLS beneath is for that.
+//! TCP connections between members, clients, publishers and subscribers. Messages have a length prefix and a maximum
+//! length, and none is read before both sides have proved that they have the same key. Messages are authenticated but
+//! not encrypted; where encryption is needed, TLS has to provide it below this layer.
 
 mod connection;
 mod feed;
--- a/crates/store/src/wire/publish.rs
+++ b/crates/store/src/wire/publish.rs
@@ -1,4 +1,4 @@
-//! A publisher's connection with a subscriber.
+//! A publisher's connection to one subscriber.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -15,23 +15,23 @@
 use crate::freshness::Millis;
 use crate::replica::{Replica, Transport};
 
-/// How long sending a rejection may take.
+/// How long sending a rejection to the subscriber may take.
 const REJECTION_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What a publisher publishes.
+/// The state that a publisher publishes.
 pub trait Source: Clone + Send + Sync + 'static {
-    /// Whether it is a member's, which is authoritative; else it is a relay's.
+    /// Whether the publisher is a member, which is authoritative, rather than a relay.
     const IS_MEMBER: bool;
-    /// The cluster that it belongs to.
+    /// The cluster that the state belongs to.
     fn cluster(&self) -> u128;
-    /// Runs `work` on the current table. The table has everything that was committed the given number of ms ago; nothing
-    /// if that is unknown.
+    /// Runs `work` with the current table and its age in ms: the table has everything that was committed that long ago.
+    /// `None` if the age is unknown.
     fn with_table<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R;
-    /// Changes with the table.
+    /// Returns a receiver that is notified when the table may have changed.
     fn changes(&self) -> watch::Receiver<u64>;
 }
 
-/// The source of a member. Its table stays empty until there is a subscriber.
+/// The state of a member. Its table is filled when the first subscriber connects.
 pub(super) struct ReplicaSource<T> {
     replica: Replica<T>,
     table: Arc<Mutex<Table>>,
@@ -57,7 +57,7 @@
     }
 
     fn with_table<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R {
-        // The freshness is read before the applied state: the other way round it might be too recent for the table.
+        // The freshness is read before the applied state. In the other order, it could be more recent than the table.
         let stale_ms = self
             .replica
             .freshness(|freshness, now| freshness.is_confirmed().then(|| freshness.stale_for(now)));
@@ -71,9 +71,9 @@
     }
 }
 
-/// Why a session has ended, unless it has failed.
+/// How a session has ended without an error of the connection.
 enum SessionEnd {
-    /// The publisher ends it.
+    /// The publisher ends the session.
     Rejected(SessionRejection),
     /// The subscriber has disconnected.
     Disconnected,
@@ -106,6 +106,7 @@
     }
 }
 
+/// Begins a session with a subscriber's first frame, which must be a hello.
 fn open_session<S: Source>(
     hello: &[u8],
     source: &S,
@@ -123,11 +124,11 @@
     }
 }
 
-/// Sends a rejection, and returns it as an error.
+/// Sends a rejection to the subscriber, and returns it as an error.
 async fn reject(sender: &mut MessageSender, rejection: SessionRejection) -> Result<(), WireError> {
     let reason = rejection.to_string();
     if let Ok(bytes) = encode_frame(&PublisherFrame::Rejected(rejection)) {
-        let _ = timeout(REJECTION_TIMEOUT, sender.send(&bytes)).await; // a subscriber that reads nothing won't see it
+        let _ = timeout(REJECTION_TIMEOUT, sender.send(&bytes)).await; // fails for a subscriber that reads nothing
     }
     Err(WireError::Rejected(reason))
 }
@@ -156,7 +157,7 @@
     }
 }
 
-/// Sends changes until the subscriber is rejected.
+/// Sends changes and heartbeats until the subscriber is rejected.
 async fn send_updates<S: Source>(
     sender: &mut MessageSender,
     source: &S,
@@ -185,7 +186,8 @@
                 tokio::select! {
                     () = sleep_until(next_poll_at) => {}
                     () = acked.notified() => {}
-                    // A source that has ended doesn't change any more. Heartbeats go on until its connections are closed.
+                    // This branch is disabled once the source has ended, as it doesn't change any more. Heartbeats
+                    // continue until the connections are closed.
                     Ok(()) = changes.changed() => {}
                 }
             }
--- a/crates/store/src/wire/server.rs
+++ b/crates/store/src/wire/server.rs
@@ -1,4 +1,4 @@
-//! The server of a member and of a relay: it admits callers and serves them.
+//! The store's server, of a member or a relay: it authenticates callers, admits them, and serves them.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,14 +21,14 @@
 use crate::replica::{Replica, Transport};
 use crate::state::limits::MAX_NAME_BYTES;
 
-/// The pause after a connection that could not be accepted.
+/// The pause after an error of accepting a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves authenticated callers.
+/// What a server offers to authenticated callers.
 trait Service: Clone + Send + Sync + 'static {
     /// Decides whether a caller is admitted.
     fn admit(&self, caller: &Introduction) -> Result<(), MembersError>;
-    /// Serves an admitted caller until it disconnects. An error means that the caller is rejected after all.
+    /// Serves an admitted caller until it disconnects. An error counts as a rejection of the caller.
     fn serve(
         &self,
         connection: Connection,
@@ -36,7 +36,7 @@
     ) -> impl Future<Output = Result<(), WireError>> + Send;
 }
 
-/// Serves a member's callers until it is stopped. `tcp` has the members' keys.
+/// Serves the callers of a member until `stop` is cancelled. `tcp` has the members' keys.
 pub async fn serve<T: Transport>(
     listener: TcpListener,
     replica: Replica<T>,
@@ -44,10 +44,10 @@
     stop: CancellationToken,
 ) {
     let source = ReplicaSource::new(replica.clone());
-    listen(listener, MemberService { replica, source }, tcp, stop).await;
+    accept_callers(listener, MemberService { replica, source }, tcp, stop).await;
 }
 
-/// Serves a relay's subscribers until it is stopped. `tcp` has the subscribers' keys.
+/// Serves the subscribers of a relay until `stop` is cancelled. `tcp` has the subscribers' keys.
 pub async fn serve_relay<S: Source>(
     listener: TcpListener,
     source: S,
@@ -55,11 +55,12 @@
     limits: Limits,
     stop: CancellationToken,
 ) {
-    listen(listener, RelayService { source, limits }, tcp, stop).await;
+    accept_callers(listener, RelayService { source, limits }, tcp, stop).await;
 }
 
-async fn listen<S: Service>(listener: TcpListener, service: S, tcp: Tcp, stop: CancellationToken) {
-    let server = Server { service, tcp, limiter: Arc::default(), start: Instant::now() };
+/// Accepts connections and serves each on a task of its own, until `stop` is cancelled.
+async fn accept_callers<S: Service>(listener: TcpListener, service: S, tcp: Tcp, stop: CancellationToken) {
+    let server = StoreServer { service, tcp, limiter: Arc::default(), start: Instant::now() };
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => return,
@@ -79,21 +80,22 @@
     }
 }
 
-/// What the connections of a listener share.
+/// The state that the connections of a listener share.
 #[derive(Clone)]
-struct Server<S> {
+struct StoreServer<S> {
     service: S,
     tcp: Tcp,
     limiter: Arc<Mutex<ConnectionLimiter>>,
     start: Instant,
 }
 
-impl<S: Service> Server<S> {
+impl<S: Service> StoreServer<S> {
     fn now_ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Decides whether a connection from an address is admitted, and logs ever more rarely if not.
+    /// Decides whether a connection from an address is admitted. Rejections are logged whenever their number is a power
+    /// of two.
     fn admits(&self, from: IpAddr) -> bool {
         let mut limiter = lock(&self.limiter);
         if limiter.admit(from, self.now_ms()) {
@@ -104,14 +106,17 @@
         if rejected.is_power_of_two() {
             warn!(
                 event = "store_connections_rejected",
-                rejected, "connections to the store are closed before they are read"
+                rejected,
+                "connections to the store are closed unread: too many connections or failed callers"
             );
         }
         false
     }
 
+    /// Serves a connection until it ends or `stop` is cancelled, and counts the caller if it is rejected.
     async fn serve(&self, stream: TcpStream, from: SocketAddr, stop: CancellationToken) {
-        let permit = Permit { limiter: self.limiter.clone(), is_subscriber: AtomicBool::new(false) };
+        let permit =
+            ConnectionPermit { limiter: self.limiter.clone(), is_subscriber: AtomicBool::new(false) };
         let served = tokio::select! {
             () = stop.cancelled() => Ok(()),
             served = self.serve_caller(stream, &permit) => served,
@@ -120,23 +125,23 @@
         let Err(error) = served else { return };
         self.tcp.count_rejected_caller();
         let mut limiter = lock(&self.limiter);
-        // An authenticated caller that is not admitted doesn't count towards a ban: a removed member still has the key and
-        // reconnects again and again, and the other members at its address must not be banned for it. A caller that is
-        // silent for too long counts, authenticated or not.
+        // An authenticated caller that is not admitted doesn't count towards a ban: a removed member still has the key
+        // and reconnects repeatedly, and other members at the same address must not be banned because of it. A caller
+        // that is silent for too long counts, whether it is authenticated or not.
         if matches!(error, WireError::Handshake(_) | WireError::HandshakeTimeout) {
             limiter.on_failure(from.ip(), self.now_ms());
         }
         if let Some(rejected) = limiter.on_rejected(&error.to_string()) {
-            warn!(event = "store_caller_rejected", %from, %error, rejected, "a caller of the store is rejected");
+            warn!(event = "store_caller_rejected", %from, %error, rejected, "the store rejects a caller");
         }
     }
 
-    /// Authenticates and admits a caller, and serves it. An error means that the caller is rejected.
-    async fn serve_caller(&self, stream: TcpStream, permit: &Permit) -> Result<(), WireError> {
+    /// Authenticates and admits a caller, and serves it. An error counts as a rejection of the caller.
+    async fn serve_caller(&self, stream: TcpStream, permit: &ConnectionPermit) -> Result<(), WireError> {
         let keys = self.tcp.keys();
         let accepting = timeout(HANDSHAKE_TIMEOUT, Connection::accept(stream, &keys));
         let mut connection = match accepting.await.unwrap_or(Err(WireError::HandshakeTimeout)) {
-            Err(WireError::Io(_)) => return Ok(()), // it has disconnected, perhaps without a word
+            Err(WireError::Io(_)) => return Ok(()), // the caller has disconnected, perhaps without sending anything
             connection => connection?,
         };
         let receiving = timeout(HANDSHAKE_TIMEOUT, connection.receive::<Introduction>(INTRODUCTION));
@@ -153,12 +158,12 @@
         self.service.serve(connection, caller).await
     }
 
-    /// Decides whether a caller is admitted, or why not.
+    /// Decides whether a caller is admitted. An error is the reason why not, which is sent to the caller.
     fn admit_caller(
         &self,
         caller: &Introduction,
         has_subscriber_key: bool,
-        permit: &Permit,
+        permit: &ConnectionPermit,
     ) -> Result<(), String> {
         let is_subscriber = caller.caller == Caller::Subscriber;
         if has_subscriber_key && !is_subscriber {
@@ -172,14 +177,14 @@
     }
 }
 
-/// An admitted connection, which counts until this is dropped.
-struct Permit {
+/// An admitted connection, which the limiter counts until this is dropped.
+struct ConnectionPermit {
     limiter: Arc<Mutex<ConnectionLimiter>>,
     is_subscriber: AtomicBool,
 }
 
-impl Permit {
-    /// Counts the connection with the subscribers'; false if there are too many of them.
+impl ConnectionPermit {
+    /// Counts the connection as a subscriber's. Returns false if there are too many subscribers.
     fn admit_subscriber(&self) -> bool {
         let is_admitted = lock(&self.limiter).admit_subscriber();
         self.is_subscriber.store(is_admitted, Ordering::Relaxed);
@@ -187,7 +192,7 @@
     }
 }
 
-impl Drop for Permit {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let mut limiter = lock(&self.limiter);
         if self.is_subscriber.load(Ordering::Relaxed) {
@@ -198,7 +203,7 @@
     }
 }
 
-/// A member: it answers requests, and serves subscribers.
+/// The service of a member, which answers requests and serves subscribers.
 struct MemberService<T> {
     replica: Replica<T>,
     source: ReplicaSource<T>,
@@ -232,7 +237,7 @@
     }
 }
 
-/// A relay: it serves subscribers only.
+/// The service of a relay, which serves subscribers only.
 #[derive(Clone)]
 struct RelayService<S> {
     source: S,
--- a/crates/store/src/wire/tcp.rs
+++ b/crates/store/src/wire/tcp.rs
@@ -1,4 +1,4 @@
-//! Requests over TCP.
+//! Sending requests over TCP.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,14 +14,15 @@
 use crate::raft::MemberId;
 use crate::replica::Transport;
 
-/// The most idle connections to one address.
+/// The maximum number of idle connections that are kept to one address.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// What errors call a request.
-pub(super) const REQUEST: &str = "a question";
-/// What errors call a response.
-pub(super) const RESPONSE: &str = "an answer";
+/// The name of a request in errors.
+pub(super) const REQUEST: &str = "a request";
+/// The name of a response in errors.
+pub(super) const RESPONSE: &str = "a response";
 
-/// Sends requests over TCP, as a member, a client or a subscriber; its clones are the same one.
+/// Sends requests over TCP, as a member, a client or a subscriber. Clones share the keys, the idle connections and the
+/// counter of rejected callers.
 #[derive(Clone)]
 pub struct Tcp(Arc<Inner>);
 
@@ -33,17 +34,17 @@
 }
 
 impl Tcp {
-    /// The transport of a cluster's member, which listens at an address.
+    /// Creates the transport of a cluster's member that listens at `addr`.
     pub fn member(keys: Keys, cluster: u128, member: MemberId, addr: String) -> Tcp {
         Tcp::new(keys, Introduction { cluster, caller: Caller::Member(member), addr })
     }
 
-    /// The transport of a client with the members' keys.
+    /// Creates the transport of a client. `keys` are the members'.
     pub fn client(keys: Keys, cluster: u128) -> Tcp {
         Tcp::new(keys, Introduction { cluster, caller: Caller::Client, addr: String::new() })
     }
 
-    /// The transport of a subscriber with the subscribers' keys.
+    /// Creates the transport of a subscriber. `keys` are the subscribers'.
     pub fn subscriber(keys: Keys, cluster: u128) -> Tcp {
         Tcp::new(keys, Introduction { cluster, caller: Caller::Subscriber, addr: String::new() })
     }
@@ -57,12 +58,12 @@
         }))
     }
 
-    /// Replaces the keys, for both directions.
+    /// Replaces the keys, for connections in both directions. Established connections stay as they are.
     pub fn set_keys(&self, keys: Keys) {
         *self.0.keys.write().unwrap_or_else(PoisonError::into_inner) = keys;
     }
 
-    /// The number of callers that were rejected, subscribers that were disconnected among them.
+    /// The number of callers that were rejected, including subscribers whose sessions were ended.
     pub fn rejected_callers(&self) -> u64 {
         self.0.rejected_callers.load(Ordering::Relaxed)
     }
@@ -75,13 +76,14 @@
         self.0.keys.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
+    /// Sends a request and receives the response, on an idle connection if there is one.
     async fn exchange(&self, addr: &str, request: &Request) -> Result<Response, WireError> {
         let idle = lock(&self.0.idle).get_mut(addr).and_then(Vec::pop);
         if let Some(mut connection) = idle
             && connection.send(REQUEST, request).await.is_ok()
         {
-            // No retry if there is no response, as the request may have been carried out: whoever sent it knows whether it
-            // is idempotent.
+            // The request is not retried if there is no response, because it may have been executed, and only the
+            // caller knows whether it is idempotent.
             let response = connection.receive(RESPONSE).await?;
             self.put_back(addr, connection);
             return Ok(response);
@@ -96,6 +98,7 @@
         Ok(response)
     }
 
+    /// Keeps a connection for later requests, unless there are enough idle ones.
     fn put_back(&self, addr: &str, connection: Connection) {
         let mut idle = lock(&self.0.idle);
         let connections = idle.entry(addr.to_owned()).or_default();
