--- a/crates/store/src/feed/subscriber/event.rs
+++ b/crates/store/src/feed/subscriber/event.rs
@@ -67,7 +67,7 @@
     },
     /// The frame contains something newer than the publisher claims to have, or than the subscriber's clock.
     #[error("{what} {found} is from the future: the publisher holds {head}")]
-    Future {
+    AheadOfPublisher {
         /// What is too new.
         what: &'static str,
         /// The value in the frame.
--- a/crates/store/src/feed/subscriber/receive.rs
+++ b/crates/store/src/feed/subscriber/receive.rs
@@ -39,7 +39,7 @@
 }
 
 fn check_not_ahead(what: &'static str, found: u64, head: u64) -> Result<(), ReceiveError> {
-    if found > head { Err(ReceiveError::Future { what, found, head }) } else { Ok(()) }
+    if found > head { Err(ReceiveError::AheadOfPublisher { what, found, head }) } else { Ok(()) }
 }
 
 impl Subscriber {
