--- a/crates/store/src/feed/subscriber/receive.rs
+++ b/crates/store/src/feed/subscriber/receive.rs
@@ -164,7 +164,7 @@
             self.knows_purges = true;
         }
         for key in &update.purges {
-            self.table.purge(key);
+            self.table.add_purge(key);
         }
         if !update.purges.is_empty() {
             events.push(Event::Purged { first: update.purges_after + 1, keys: update.purges });
--- a/crates/store/src/feed/table.rs
+++ b/crates/store/src/feed/table.rs
@@ -160,7 +160,7 @@
     }
 
     /// Adds the next purge.
-    pub fn purge(&mut self, key: &str) {
+    pub fn add_purge(&mut self, key: &str) {
         self.last_purge += 1;
         self.purges.push_back(key.into());
         if self.purges.len() > MAX_RETAINED_PURGES {
@@ -201,7 +201,7 @@
             self.reset_purges(dropped);
         }
         for key in applied.changes.purges_after(self.last_purge) {
-            self.purge(key);
+            self.add_purge(key);
         }
         self.advance(index);
     }
--- a/crates/store/tests/feed/publisher.rs
+++ b/crates/store/tests/feed/publisher.rs
@@ -80,7 +80,7 @@
     let (mut session, mut subscriber) = connected(&table);
     let mut all = drained(&mut session, &mut table, &mut subscriber, 0, 2_000);
     // The burst is used up; what is purged now is not held up by the rest.
-    table.purge("k");
+    table.add_purge("k");
     table.advance(3);
     let taken: u64 = all.iter().map(|(_, bytes, _)| *bytes as u64).sum();
     let begun = 2_000;
@@ -124,7 +124,7 @@
     for revision in 1..=200 {
         match revision % 2 {
             0 => table.put(revision, &document("a", &revision.to_string())),
-            _ => table.purge(&format!("k{revision}")),
+            _ => table.add_purge(&format!("k{revision}")),
         }
         table.advance(revision);
     }
@@ -171,7 +171,7 @@
         .find_map(|now| session.poll(now, &mut table, None).err().map(|why| (now, why)));
     assert_eq!(cut, Some((8_000, SessionRejection::TooSlow(8_000))));
     let (mut session, _) = connected(&table);
-    (0..=MAX_RETAINED_PURGES).for_each(|n| table.purge(&n.to_string()));
+    (0..=MAX_RETAINED_PURGES).for_each(|n| table.add_purge(&n.to_string()));
     assert!(matches!(
         session.poll(0, &mut table, None),
         Err(SessionRejection::PurgesDropped { theirs: 0, ours: 1 })
--- a/crates/store/tests/feed_sim/cluster.rs
+++ b/crates/store/tests/feed_sim/cluster.rs
@@ -117,7 +117,7 @@
             for (at, entry) in world.log.entries.iter().enumerate().skip(member.applied) {
                 match &entry.change {
                     Change::Item(item) => member.table.put(at as u64 + 1, item),
-                    Change::Purge(key) => member.table.purge(key),
+                    Change::Purge(key) => member.table.add_purge(key),
                 }
                 member.table.advance(at as u64 + 1);
             }
