--- a/crates/store/examples/subscribers/fleet.rs
+++ b/crates/store/examples/subscribers/fleet.rs
@@ -6,7 +6,7 @@
 
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::feed::frame::ItemKey;
-use stonefold_store::feed::publisher::Limits;
+use stonefold_store::feed::publisher::SessionLimits;
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Counters, Event, Subscriber};
 use stonefold_store::feed::table::Table;
@@ -144,7 +144,7 @@
         let bound = runtime.handle.spawn(async move {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let addr = listener.local_addr()?.to_string();
-            tokio::spawn(serve_relay(listener, source, tcp, Limits::default(), ends));
+            tokio::spawn(serve_relay(listener, source, tcp, SessionLimits::default(), ends));
             Ok::<_, std::io::Error>(addr)
         });
         at.push(bound.await??);
--- a/crates/store/src/feed/publisher/limits.rs
+++ b/crates/store/src/feed/publisher/limits.rs
@@ -4,7 +4,7 @@
 
 /// The limits of a publisher's session with one subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct SessionLimits {
     /// The sustained rate of sending to the subscriber, in bytes per second, headers included.
     pub bytes_per_second: u64,
     /// The most bytes that may be sent in a burst above the sustained rate: the capacity of the token bucket.
@@ -23,9 +23,9 @@
     pub heartbeat_interval: Millis,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
+impl Default for SessionLimits {
+    fn default() -> SessionLimits {
+        SessionLimits {
             bytes_per_second: 2_200,
             burst_bytes: 96 << 10,
             purge_reserve_bytes: 16 << 10,
--- a/crates/store/src/feed/publisher/mod.rs
+++ b/crates/store/src/feed/publisher/mod.rs
@@ -10,7 +10,7 @@
 
 use std::sync::Arc;
 
-pub use self::limits::Limits;
+pub use self::limits::SessionLimits;
 use self::token_bucket::TokenBucket;
 use super::frame::{
     Ack, FrameError, Hello, ItemKey, ItemPart, MAX_FRAME_BYTES, PublisherFrame, PublisherStatus, Record,
@@ -37,7 +37,7 @@
 
 /// A session with one subscriber.
 pub struct Session {
-    limits: Limits,
+    limits: SessionLimits,
     /// The position after the last item that was sent completely.
     position: Position,
     /// The revision that the subscriber has once it has applied everything that was sent.
@@ -72,7 +72,7 @@
         hello: &Hello,
         table: &Table,
         is_member: bool,
-        limits: Limits,
+        limits: SessionLimits,
         now: Millis,
     ) -> Result<Session, SessionRejection> {
         if hello.revision > table.revision() {
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tracing::{info, warn};
 
-use crate::feed::publisher::Limits;
+use crate::feed::publisher::SessionLimits;
 use crate::feed::selector::PublisherSelector;
 use crate::feed::subscriber::{MAX_FRESH_AGE_MS, Subscriber};
 use crate::service::{READY_POLL_INTERVAL, block_until_ready, reload_keys, spawn};
@@ -137,7 +137,7 @@
                 at = addr.map(tracing::field::display),
                 "the relay accepts subscribers"
             );
-            let limits = Limits::default();
+            let limits = SessionLimits::default();
             tokio::spawn(serve_relay(listener, feed.clone(), tcp.clone(), limits, stop.clone()));
         }
         tokio::spawn(follow(feed.clone(), tcp.clone(), Some(folder), on_purge, stop.clone()));
--- a/crates/store/src/wire/publish.rs
+++ b/crates/store/src/wire/publish.rs
@@ -10,7 +10,7 @@
 use crate::feed::frame::{
     MAX_FRAME_BYTES, PublisherFrame, SessionRejection, SubscriberFrame, decode_frame, encode_frame,
 };
-use crate::feed::publisher::{Limits, Session};
+use crate::feed::publisher::{Session, SessionLimits};
 use crate::feed::table::Table;
 use crate::freshness::Millis;
 use crate::replica::{Replica, Transport};
@@ -83,7 +83,7 @@
 pub(super) async fn publish<S: Source>(
     connection: Connection,
     source: &S,
-    limits: Limits,
+    limits: SessionLimits,
 ) -> Result<(), WireError> {
     let (mut sender, mut receiver) = connection.split();
     let start = Instant::now();
@@ -110,7 +110,7 @@
 fn open_session<S: Source>(
     hello: &[u8],
     source: &S,
-    limits: Limits,
+    limits: SessionLimits,
     now: Millis,
 ) -> Result<Session, SessionRejection> {
     match decode_frame(hello) {
@@ -164,7 +164,7 @@
     session: &Mutex<Session>,
     acked: &Notify,
     now: impl Fn() -> Millis,
-    limits: Limits,
+    limits: SessionLimits,
 ) -> Result<SessionEnd, WireError> {
     let mut changes = source.changes();
     let ack_timeout = Duration::from_millis(limits.ack_timeout);
--- a/crates/store/src/wire/server.rs
+++ b/crates/store/src/wire/server.rs
@@ -15,7 +15,7 @@
 use super::publish::{ReplicaSource, Source, publish};
 use super::tcp::{REQUEST, RESPONSE, Tcp};
 use crate::feed::frame::SessionRejection;
-use crate::feed::publisher::Limits;
+use crate::feed::publisher::SessionLimits;
 use crate::members::{MembersError, admit};
 use crate::message::{Caller, Introduction, Request};
 use crate::replica::{Replica, Transport};
@@ -52,7 +52,7 @@
     listener: TcpListener,
     source: S,
     tcp: Tcp,
-    limits: Limits,
+    limits: SessionLimits,
     stop: CancellationToken,
 ) {
     accept_callers(listener, RelayService { source, limits }, tcp, stop).await;
@@ -223,7 +223,7 @@
 
     async fn serve(&self, mut connection: Connection, caller: Introduction) -> Result<(), WireError> {
         if caller.caller == Caller::Subscriber {
-            return publish(connection, &self.source, Limits::default()).await;
+            return publish(connection, &self.source, SessionLimits::default()).await;
         }
         loop {
             let request: Request = match connection.receive(REQUEST).await {
@@ -241,7 +241,7 @@
 #[derive(Clone)]
 struct RelayService<S> {
     source: S,
-    limits: Limits,
+    limits: SessionLimits,
 }
 
 impl<S: Source> Service for RelayService<S> {
--- a/crates/store/tests/feed/publisher.rs
+++ b/crates/store/tests/feed/publisher.rs
@@ -3,7 +3,7 @@
 use stonefold_store::feed::frame::{
     Ack, Hello, ItemKey, MAX_FRAME_BYTES, SessionRejection, SubscriberFrame, decode_frame,
 };
-use stonefold_store::feed::publisher::{Limits, Session};
+use stonefold_store::feed::publisher::{Session, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Event, Subscriber};
 use stonefold_store::feed::table::Table;
@@ -18,7 +18,7 @@
     table.advance(5);
     table.reset_purges(10);
     let hello = Hello { revision: 5, list_version: 0, last_purge: Some(10), time: 3 };
-    let open = |hello, member| Session::open(&hello, &table, member, Limits::default(), 0).map(drop);
+    let open = |hello, member| Session::open(&hello, &table, member, SessionLimits::default(), 0).map(drop);
     assert_eq!(open(hello, false), Ok(()));
     let ahead = Hello { revision: 6, ..hello };
     assert_eq!(open(ahead, true), Err(SessionRejection::Ahead { theirs: 6, ours: 5 }));
@@ -33,7 +33,7 @@
         "another relay may know them"
     );
     assert_eq!(open(away, true), Ok(()), "nobody does, and it is said");
-    let mut session = Session::open(&hello, &table, false, Limits::default(), 0).unwrap();
+    let mut session = Session::open(&hello, &table, false, SessionLimits::default(), 0).unwrap();
     for ack in [Ack { received_bytes: 1, time: 3 }, Ack { received_bytes: 0, time: 2 }] {
         assert!(matches!(session.on_ack(ack, 0), Err(SessionRejection::Malformed(_))), "{ack:?}");
     }
@@ -67,7 +67,7 @@
         SubscriberFrame::Hello(hello) => hello,
         ack => panic!("{ack:?}"),
     };
-    (Session::open(&hello, table, true, Limits::default(), 0).unwrap(), subscriber)
+    (Session::open(&hello, table, true, SessionLimits::default(), 0).unwrap(), subscriber)
 }
 
 #[test]
@@ -98,7 +98,7 @@
         .find(|(.., events)| events.contains(&Event::Purged { first: 1, keys: vec!["k".into()] }))
         .unwrap();
     assert!(purge.0 <= begun + 1_000, "the purge took {} ms", purge.0 - begun);
-    let limits = Limits::default();
+    let limits = SessionLimits::default();
     let mut sent = 0;
     for (now, bytes, _) in &all {
         sent += *bytes as u64 + 72;
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -10,7 +10,7 @@
 use stonefold_store::feed::frame::{
     PublisherFrame, SessionRejection, SubscriberFrame, Update, decode_frame, encode_frame,
 };
-use stonefold_store::feed::publisher::{Limits, Session};
+use stonefold_store::feed::publisher::{Session, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Action, Event, Subscriber};
 use stonefold_store::feed::table::Table;
@@ -334,7 +334,7 @@
 
     /// A publisher receives a frame; whether the session goes on.
     fn receive_at_publisher(&mut self, conn: &mut Conn, bytes: &[u8]) -> bool {
-        let (now, limits) = (self.now, Limits::default());
+        let (now, limits) = (self.now, SessionLimits::default());
         let Ok(frame) = decode_frame::<SubscriberFrame>(bytes) else { return false };
         let done = match (frame, &mut conn.session) {
             (SubscriberFrame::Hello(hello), None) => {
--- a/crates/store/tests/feed_sim/net.rs
+++ b/crates/store/tests/feed_sim/net.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use fastrand::Rng;
-use stonefold_store::feed::publisher::{Limits, Session};
+use stonefold_store::feed::publisher::{Session, SessionLimits};
 
 use super::{CALM_START, Millis};
 
@@ -31,7 +31,7 @@
 
     /// Checks that a subscriber is sent no more than the limits allow.
     pub(crate) fn account(&mut self, bytes: usize, now: Millis) -> Result<(), String> {
-        let limits = Limits::default();
+        let limits = SessionLimits::default();
         let (since, all) = self.counted.get_or_insert((now, 0));
         *all += bytes as u64 + 72;
         // A frame may overdraw the bucket, and heartbeats go out in any case.
--- a/crates/store/tests/following/access.rs
+++ b/crates/store/tests/following/access.rs
@@ -1,6 +1,6 @@
 //! What callers with a wrong key, of another cluster, or with a subscriber's key may do.
 
-use stonefold_store::feed::publisher::Limits;
+use stonefold_store::feed::publisher::SessionLimits;
 use stonefold_store::message::{Caller, Request, RequestError, Response};
 use stonefold_store::replica::Transport;
 use stonefold_store::state::{Change, Proposal};
@@ -13,7 +13,7 @@
     let members = members(1).await;
     let member = &members[0];
     let relay = subscriber(1, &[vec![member.addr.clone()]]);
-    let (relay_at, _) = relay.relays(Limits::default()).await;
+    let (relay_at, _) = relay.relays(SessionLimits::default()).await;
     member.document("a", "1").await;
     relay.has("a", "1").await;
     for at in [&member.addr, &relay_at] {
--- a/crates/store/tests/following/failover.rs
+++ b/crates/store/tests/following/failover.rs
@@ -1,7 +1,7 @@
 //! Committed state passes relays, failovers and restarts.
 
 use stonefold_store::feed::frame::{Item, ItemKey};
-use stonefold_store::feed::publisher::Limits;
+use stonefold_store::feed::publisher::SessionLimits;
 use stonefold_store::feed::selector::preference_order;
 use stonefold_store::feed::subscriber::Event;
 use stonefold_store::state::Change;
@@ -16,8 +16,8 @@
     let members = members(1).await;
     members[0].document("before", "1").await;
     let region = subscriber(1, &[vec![members[0].addr.clone()]]);
-    let site = subscriber(2, &[vec![region.relays(Limits::default()).await.0]]);
-    let node = subscriber(3, &[vec![site.relays(Limits::default()).await.0]]);
+    let site = subscriber(2, &[vec![region.relays(SessionLimits::default()).await.0]]);
+    let node = subscriber(3, &[vec![site.relays(SessionLimits::default()).await.0]]);
     node.has("before", "1").await;
     node.until("fresh", |node| node.feed.stale_ms().is_some_and(|stale| stale < 4_000)).await;
     let purges = node.purges.lock().unwrap().clone();
@@ -62,7 +62,7 @@
     let relays = [subscriber(1, std::slice::from_ref(&tier)), subscriber(2, std::slice::from_ref(&tier))];
     let mut at = Vec::new();
     for relay in &relays {
-        at.push(relay.relays(Limits::default()).await);
+        at.push(relay.relays(SessionLimits::default()).await);
     }
     let tiers = [at.iter().map(|(addr, _)| addr.clone()).collect(), tier];
     let node = subscriber(3, &tiers);
--- a/crates/store/tests/following/nodes.rs
+++ b/crates/store/tests/following/nodes.rs
@@ -5,7 +5,7 @@
 
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::feed::frame::{Item, ItemKey};
-use stonefold_store::feed::publisher::Limits;
+use stonefold_store::feed::publisher::SessionLimits;
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Event, Subscriber};
 use stonefold_store::feed::table::Table;
@@ -119,7 +119,7 @@
 
 impl TestSubscriber {
     /// Serves others as a relay, with these limits.
-    pub(crate) async fn relays(&self, limits: Limits) -> (String, CancellationToken) {
+    pub(crate) async fn relays(&self, limits: SessionLimits) -> (String, CancellationToken) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (addr, stop) = (listener.local_addr().unwrap().to_string(), CancellationToken::new());
         tokio::spawn(serve_relay(listener, self.feed.clone(), self.tcp.clone(), limits, stop.clone()));
--- a/crates/store/tests/following/sessions.rs
+++ b/crates/store/tests/following/sessions.rs
@@ -5,7 +5,7 @@
     Ack, Hello, Item, MAX_FRAME_BYTES, PublisherFrame, PublisherStatus, Record, SessionRejection,
     SubscriberFrame, Update, decode_frame, encode_frame,
 };
-use stonefold_store::feed::publisher::Limits;
+use stonefold_store::feed::publisher::SessionLimits;
 use tokio::net::TcpListener;
 
 use super::nodes::{members, subscriber};
@@ -139,11 +139,11 @@
 async fn a_slow_subscriber_is_disconnected_and_resumes() {
     let members = members(1).await;
     let relay = subscriber(1, &[vec![members[0].addr.clone()]]);
-    let limits = Limits {
+    let limits = SessionLimits {
         ack_timeout: 1_500,
         min_frame_interval: 1,
         max_in_flight_bytes: 20 << 10,
-        ..Limits::default()
+        ..SessionLimits::default()
     };
     let (at, _) = relay.relays(limits).await;
     members[0].document("a", "1").await;
