--- a/crates/store/src/feed/publisher/mod.rs
+++ b/crates/store/src/feed/publisher/mod.rs
@@ -36,7 +36,7 @@
 }
 
 /// A session with one subscriber.
-pub struct Session {
+pub struct PublisherSession {
     limits: SessionLimits,
     /// The position after the last item that was sent completely.
     position: Position,
@@ -59,7 +59,7 @@
     progressed_at: Millis,
 }
 
-impl Session {
+impl PublisherSession {
     /// Begins a session with a subscriber that has sent `hello`.
     ///
     /// `is_member` decides what happens if the subscriber lacks purges that the publisher no longer retains. A member
@@ -74,7 +74,7 @@
         is_member: bool,
         limits: SessionLimits,
         now: Millis,
-    ) -> Result<Session, SessionRejection> {
+    ) -> Result<PublisherSession, SessionRejection> {
         if hello.revision > table.revision() {
             return Err(SessionRejection::Ahead { theirs: hello.revision, ours: table.revision() });
         }
@@ -87,7 +87,7 @@
         if purge_gap && !is_member {
             return Err(SessionRejection::PurgesDropped { theirs: last_purge, ours: dropped });
         }
-        Ok(Session {
+        Ok(PublisherSession {
             limits,
             position: Position { revision: hello.revision, after_item: None },
             through: hello.revision,
@@ -130,7 +130,7 @@
         -(self.limits.purge_reserve_bytes as i64)
     }
 
-    /// The time at which [`Session::poll`] must be called next, unless the table changes earlier.
+    /// The time at which [`PublisherSession::poll`] must be called next, unless the table changes earlier.
     pub fn next_poll_at(&self, now: Millis, table: &Table) -> Millis {
         let Some(last_sent_at) = self.last_sent_at else { return now };
         let ack_deadline = self.progressed_at + self.limits.ack_timeout;
--- a/crates/store/src/wire/publish.rs
+++ b/crates/store/src/wire/publish.rs
@@ -10,7 +10,7 @@
 use crate::feed::frame::{
     MAX_FRAME_BYTES, PublisherFrame, SessionRejection, SubscriberFrame, decode_frame, encode_frame,
 };
-use crate::feed::publisher::{Session, SessionLimits};
+use crate::feed::publisher::{PublisherSession, SessionLimits};
 use crate::feed::table::Table;
 use crate::freshness::Millis;
 use crate::replica::{Replica, Transport};
@@ -112,10 +112,10 @@
     source: &S,
     limits: SessionLimits,
     now: Millis,
-) -> Result<Session, SessionRejection> {
+) -> Result<PublisherSession, SessionRejection> {
     match decode_frame(hello) {
         Ok(SubscriberFrame::Hello(hello)) => {
-            source.with_table(|table, _| Session::open(&hello, table, S::IS_MEMBER, limits, now))
+            source.with_table(|table, _| PublisherSession::open(&hello, table, S::IS_MEMBER, limits, now))
         }
         Ok(SubscriberFrame::Ack(_)) => {
             Err(SessionRejection::Malformed("an acknowledgement before a hello".into()))
@@ -136,7 +136,7 @@
 /// Receives acknowledgements until the subscriber disconnects or sends an invalid frame.
 async fn receive_acks(
     receiver: &mut MessageReceiver,
-    session: &Mutex<Session>,
+    session: &Mutex<PublisherSession>,
     acked: &Notify,
     now: impl Fn() -> Millis,
 ) -> Result<SessionEnd, WireError> {
@@ -161,7 +161,7 @@
 async fn send_updates<S: Source>(
     sender: &mut MessageSender,
     source: &S,
-    session: &Mutex<Session>,
+    session: &Mutex<PublisherSession>,
     acked: &Notify,
     now: impl Fn() -> Millis,
     limits: SessionLimits,
--- a/crates/store/tests/feed/publisher.rs
+++ b/crates/store/tests/feed/publisher.rs
@@ -3,7 +3,7 @@
 use stonefold_store::feed::frame::{
     Ack, Hello, ItemKey, MAX_FRAME_BYTES, SessionRejection, SubscriberFrame, decode_frame,
 };
-use stonefold_store::feed::publisher::{Session, SessionLimits};
+use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Event, Subscriber};
 use stonefold_store::feed::table::Table;
@@ -18,7 +18,8 @@
     table.advance(5);
     table.reset_purges(10);
     let hello = Hello { revision: 5, list_version: 0, last_purge: Some(10), time: 3 };
-    let open = |hello, member| Session::open(&hello, &table, member, SessionLimits::default(), 0).map(drop);
+    let open =
+        |hello, member| PublisherSession::open(&hello, &table, member, SessionLimits::default(), 0).map(drop);
     assert_eq!(open(hello, false), Ok(()));
     let ahead = Hello { revision: 6, ..hello };
     assert_eq!(open(ahead, true), Err(SessionRejection::Ahead { theirs: 6, ours: 5 }));
@@ -33,7 +34,7 @@
         "another relay may know them"
     );
     assert_eq!(open(away, true), Ok(()), "nobody does, and it is said");
-    let mut session = Session::open(&hello, &table, false, SessionLimits::default(), 0).unwrap();
+    let mut session = PublisherSession::open(&hello, &table, false, SessionLimits::default(), 0).unwrap();
     for ack in [Ack { received_bytes: 1, time: 3 }, Ack { received_bytes: 0, time: 2 }] {
         assert!(matches!(session.on_ack(ack, 0), Err(SessionRejection::Malformed(_))), "{ack:?}");
     }
@@ -41,7 +42,7 @@
 
 /// All frames of a session until nothing more comes, each taken at once, with their times.
 fn drained(
-    session: &mut Session,
+    session: &mut PublisherSession,
     table: &mut Table,
     subscriber: &mut Subscriber,
     from: u64,
@@ -60,14 +61,14 @@
     all
 }
 
-fn connected(table: &Table) -> (Session, Subscriber) {
+fn connected(table: &Table) -> (PublisherSession, Subscriber) {
     let mut subscriber = Subscriber::new(Table::default(), PublisherSelector::new(1, &[vec!["a".into()]], 1));
     subscriber.poll(0);
     let hello = match decode_frame::<SubscriberFrame>(&subscriber.on_connected(0)).unwrap() {
         SubscriberFrame::Hello(hello) => hello,
         ack => panic!("{ack:?}"),
     };
-    (Session::open(&hello, table, true, SessionLimits::default(), 0).unwrap(), subscriber)
+    (PublisherSession::open(&hello, table, true, SessionLimits::default(), 0).unwrap(), subscriber)
 }
 
 #[test]
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -10,7 +10,7 @@
 use stonefold_store::feed::frame::{
     PublisherFrame, SessionRejection, SubscriberFrame, Update, decode_frame, encode_frame,
 };
-use stonefold_store::feed::publisher::{Session, SessionLimits};
+use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Action, Event, Subscriber};
 use stonefold_store::feed::table::Table;
@@ -339,7 +339,7 @@
         let done = match (frame, &mut conn.session) {
             (SubscriberFrame::Hello(hello), None) => {
                 match self.with_publisher(&conn.server, |table, _, member| {
-                    Session::open(&hello, table, member, limits, now)
+                    PublisherSession::open(&hello, table, member, limits, now)
                 }) {
                     Some(Ok(session)) => {
                         conn.session = Some(session);
--- a/crates/store/tests/feed_sim/net.rs
+++ b/crates/store/tests/feed_sim/net.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use fastrand::Rng;
-use stonefold_store::feed::publisher::{Session, SessionLimits};
+use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 
 use super::{CALM_START, Millis};
 
@@ -19,7 +19,7 @@
     pub stalled: Millis,
     /// When the client is notified that it has ended.
     pub closing: Option<Millis>,
-    pub session: Option<Session>,
+    pub session: Option<PublisherSession>,
     /// Since when bytes are counted, and how many.
     counted: Option<(Millis, u64)>,
 }
--- a/crates/store/tests/hostile/mod.rs
+++ b/crates/store/tests/hostile/mod.rs
@@ -5,7 +5,7 @@
 use stonefold_store::feed::frame::{
     Hello, Item, ItemKey, PublisherFrame, SubscriberFrame, decode_frame, encode_frame,
 };
-use stonefold_store::feed::publisher::{Session, SessionLimits};
+use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::Subscriber;
 use stonefold_store::feed::table::Table;
@@ -72,14 +72,16 @@
     }
     match decode_frame::<SubscriberFrame>(bytes) {
         Ok(SubscriberFrame::Hello(hello)) => {
-            if let Ok(mut session) = Session::open(&hello, &table, true, SessionLimits::default(), 0) {
+            if let Ok(mut session) = PublisherSession::open(&hello, &table, true, SessionLimits::default(), 0)
+            {
                 let _ = session.poll(0, &mut table, Some(0)).unwrap();
                 let _ = session.next_poll_at(0, &table);
             }
         }
         Ok(SubscriberFrame::Ack(ack)) => {
             let hello = Hello { revision: 4, list_version: 9, last_purge: None, time: 0 };
-            let mut session = Session::open(&hello, &table, true, SessionLimits::default(), 0).unwrap();
+            let mut session =
+                PublisherSession::open(&hello, &table, true, SessionLimits::default(), 0).unwrap();
             let _ = session.on_ack(ack, 1);
             let _ = session.next_poll_at(1, &table);
         }
