--- a/crates/store/examples/subscribers/fleet.rs
+++ b/crates/store/examples/subscribers/fleet.rs
@@ -9,7 +9,7 @@
 use stonefold_store::feed::publisher::SessionLimits;
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Counters, Event, Subscriber};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Options, Replica};
 use stonefold_store::wire::{Feed, Key, Keys, Tcp, follow, serve, serve_relay};
@@ -98,7 +98,7 @@
 ) -> (Feed, Tcp) {
     let tcp = Tcp::subscriber(keys().subscriber_keys(), CLUSTER);
     let selector = PublisherSelector::new(id, tiers, id);
-    let feed = Feed::new(CLUSTER, Subscriber::new(Table::default(), selector));
+    let feed = Feed::new(CLUSTER, Subscriber::new(FeedTable::default(), selector));
     let purges = watched.cloned();
     let on_purge = Box::new(move |event: &Event| {
         if let (Event::Purged { keys, .. }, Some(watched)) = (event, &purges) {
--- a/crates/store/src/feed/publisher/mod.rs
+++ b/crates/store/src/feed/publisher/mod.rs
@@ -1,9 +1,9 @@
 //! A publisher's session with one subscriber. The publisher is a member or a relay. This module does no I/O and takes
 //! the time as a parameter.
 //!
-//! A session has no queue. It has a position in the publisher's [`Table`], where newer items replace older ones and the
-//! latest purges are retained. A subscriber that doesn't acknowledge what was sent to it is disconnected. After it has
-//! reconnected, it resumes from its own revision.
+//! A session has no queue. It has a position in the publisher's [`FeedTable`], where newer items replace older ones and
+//! the latest purges are retained. A subscriber that doesn't acknowledge what was sent to it is disconnected. After it
+//! has reconnected, it resumes from its own revision.
 
 mod limits;
 mod token_bucket;
@@ -16,7 +16,7 @@
     Ack, FrameError, Hello, ItemKey, ItemPart, MAX_FRAME_BYTES, PublisherFrame, PublisherStatus, Record,
     SessionRejection, Update, check_purge_keys, encode_frame,
 };
-use super::table::{Position, Table};
+use super::table::{FeedTable, Position};
 use crate::freshness::Millis;
 
 /// The overhead of a frame on the network, in bytes: the message's length field and MAC, and the IP and TCP headers.
@@ -70,7 +70,7 @@
     /// If the subscriber is ahead of this publisher, or lacks purges that this relay no longer retains.
     pub fn open(
         hello: &Hello,
-        table: &Table,
+        table: &FeedTable,
         is_member: bool,
         limits: SessionLimits,
         now: Millis,
@@ -131,7 +131,7 @@
     }
 
     /// The time at which [`PublisherSession::poll`] must be called next, unless the table changes earlier.
-    pub fn next_poll_at(&self, now: Millis, table: &Table) -> Millis {
+    pub fn next_poll_at(&self, now: Millis, table: &FeedTable) -> Millis {
         let Some(last_sent_at) = self.last_sent_at else { return now };
         let ack_deadline = self.progressed_at + self.limits.ack_timeout;
         if self.in_flight_bytes() >= self.limits.max_in_flight_bytes {
@@ -152,7 +152,7 @@
     }
 
     /// Whether there are items in the table that were not sent completely.
-    fn has_pending_items(&self, table: &Table) -> bool {
+    fn has_pending_items(&self, table: &FeedTable) -> bool {
         self.partial.is_some() || table.next_after(&self.position).is_some()
     }
 
@@ -164,7 +164,7 @@
     pub fn poll(
         &mut self,
         now: Millis,
-        table: &mut Table,
+        table: &mut FeedTable,
         stale_ms: Option<Millis>,
     ) -> Result<Option<Vec<u8>>, SessionRejection> {
         self.check_subscriber(now, table)?;
@@ -188,7 +188,7 @@
     }
 
     /// Checks that the subscriber acknowledges in time, and that the table retains the purges it lacks.
-    fn check_subscriber(&self, now: Millis, table: &Table) -> Result<(), SessionRejection> {
+    fn check_subscriber(&self, now: Millis, table: &FeedTable) -> Result<(), SessionRejection> {
         let since_progress = now.saturating_sub(self.progressed_at);
         if self.in_flight_bytes() > 0 && since_progress >= self.limits.ack_timeout {
             return Err(SessionRejection::TooSlow(since_progress));
@@ -201,7 +201,7 @@
     }
 
     /// Returns an update with as many purges and items as may be sent now.
-    fn next_changes(&mut self, table: &mut Table) -> Update {
+    fn next_changes(&mut self, table: &mut FeedTable) -> Update {
         let mut update = Update {
             after: self.through,
             purges_after: self.last_purge,
@@ -218,7 +218,7 @@
         update
     }
 
-    fn publisher_status(&mut self, table: &Table, stale_ms: Option<Millis>) -> PublisherStatus {
+    fn publisher_status(&mut self, table: &FeedTable, stale_ms: Option<Millis>) -> PublisherStatus {
         // The subscriber's revision advances only once all items are sent. Until then, an item that the subscriber
         // lacks may have been replaced by one of a later revision, which was not sent yet.
         let has_all_items = !self.has_pending_items(table);
@@ -246,7 +246,7 @@
         Ok(bytes)
     }
 
-    fn add_purges(&mut self, update: &mut Update, table: &Table, capacity: &mut usize) {
+    fn add_purges(&mut self, update: &mut Update, table: &FeedTable, capacity: &mut usize) {
         for key in table.purges_after(self.last_purge) {
             let bytes = key.len() + PURGE_OVERHEAD_BYTES;
             if bytes > *capacity {
@@ -259,7 +259,7 @@
         debug_assert!(check_purge_keys(&update.purges).is_ok());
     }
 
-    fn add_items(&mut self, update: &mut Update, table: &mut Table, capacity: &mut usize) {
+    fn add_items(&mut self, update: &mut Update, table: &mut FeedTable, capacity: &mut usize) {
         loop {
             if self.partial.is_some() {
                 update.part = self.next_part(*capacity);
@@ -314,7 +314,7 @@
         &mut self,
         position: &Position,
         complete: Arc<[u8]>,
-        table: &mut Table,
+        table: &mut FeedTable,
     ) -> Option<Arc<[u8]>> {
         if position.after_item != Some(ItemKey::List) {
             return Some(complete);
--- a/crates/store/src/feed/subscriber/mod.rs
+++ b/crates/store/src/feed/subscriber/mod.rs
@@ -10,7 +10,7 @@
 use self::receive::PartiallyReceivedItem;
 use super::frame::{Ack, Hello, SessionRejection, SubscriberFrame, encode_frame};
 use super::selector::PublisherSelector;
-use super::table::Table;
+use super::table::FeedTable;
 use crate::freshness::Millis;
 
 /// How long connecting and the handshake may take, in ms.
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub struct Subscriber {
     /// The state that the subscriber has received.
-    pub table: Table,
+    pub table: FeedTable,
     selector: PublisherSelector,
     connection: ConnectionState,
     partial: Option<PartiallyReceivedItem>,
@@ -85,7 +85,7 @@
 
 impl Subscriber {
     /// Creates a subscriber that resumes from `table`.
-    pub fn new(table: Table, selector: PublisherSelector) -> Subscriber {
+    pub fn new(table: FeedTable, selector: PublisherSelector) -> Subscriber {
         Subscriber {
             table,
             selector,
--- a/crates/store/src/feed/table.rs
+++ b/crates/store/src/feed/table.rs
@@ -42,7 +42,7 @@
 
 /// The items and purges of a publisher or a subscriber.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
+pub struct FeedTable {
     revision: u64,
     items: BTreeMap<ItemKey, EncodedItem>,
     /// The keys of all items, in the order of their revisions.
@@ -57,7 +57,7 @@
     deltas: HashMap<u64, Option<Arc<[u8]>>>,
 }
 
-impl Table {
+impl FeedTable {
     /// The revision up to which the table is complete: it has each item at this revision or a later one.
     pub fn revision(&self) -> u64 {
         self.revision
--- a/crates/store/src/subscriber_folder.rs
+++ b/crates/store/src/subscriber_folder.rs
@@ -10,7 +10,7 @@
 
 use crate::codec::{self, CodecError};
 use crate::feed::frame::{FrameError, Item, ItemKey};
-use crate::feed::table::{EncodedItem, Table};
+use crate::feed::table::{EncodedItem, FeedTable};
 
 /// The name of the file's contents in errors.
 const CONTENTS: &str = "a subscriber's saved state";
@@ -63,8 +63,8 @@
 
 impl Contents {
     /// Returns the table that was saved.
-    fn table(&self) -> Result<Table, FrameError> {
-        let mut table = Table::default();
+    fn table(&self) -> Result<FeedTable, FrameError> {
+        let mut table = FeedTable::default();
         for (revision, bytes) in &self.items {
             table.put(*revision, &Item::decode(bytes)?);
         }
@@ -87,14 +87,14 @@
     ///
     /// # Errors
     /// If another process uses the folder, it belongs to another cluster, or its contents can't be read.
-    pub fn open(dir: &Path, cluster: u128) -> Result<(SubscriberFolder, Table), FolderError> {
+    pub fn open(dir: &Path, cluster: u128) -> Result<(SubscriberFolder, FeedTable), FolderError> {
         let lock = lock(dir)?;
         let path = dir.join(FILE_NAME);
         let contents = read(&path)?;
         let subscriber = contents.as_ref().map_or_else(|| fastrand::u64(..), |contents| contents.subscriber);
         let list_in_use = contents.as_ref().map_or(0, |contents| contents.list_in_use);
         let table = match contents {
-            None => Table::default(),
+            None => FeedTable::default(),
             Some(contents) if contents.cluster != cluster => {
                 return Err(FolderError::ForeignCluster { path, theirs: contents.cluster, ours: cluster });
             }
--- a/crates/store/src/wire/feed.rs
+++ b/crates/store/src/wire/feed.rs
@@ -12,7 +12,7 @@
 use super::publish::Source;
 use crate::feed::frame::{Item, ItemKey};
 use crate::feed::subscriber::{Counters, Subscriber};
-use crate::feed::table::{EncodedItem, Table};
+use crate::feed::table::{EncodedItem, FeedTable};
 use crate::freshness::Millis;
 
 /// The shortest time until the subscriber is polled again, which prevents a busy loop.
@@ -154,7 +154,7 @@
         self.0.cluster
     }
 
-    fn with_table<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R {
+    fn with_table<R>(&self, work: impl FnOnce(&mut FeedTable, Option<Millis>) -> R) -> R {
         self.with_subscriber(|subscriber, now| {
             let stale_ms = subscriber.stale_ms(now);
             work(&mut subscriber.table, stale_ms)
--- a/crates/store/src/wire/publish.rs
+++ b/crates/store/src/wire/publish.rs
@@ -11,7 +11,7 @@
     MAX_FRAME_BYTES, PublisherFrame, SessionRejection, SubscriberFrame, decode_frame, encode_frame,
 };
 use crate::feed::publisher::{PublisherSession, SessionLimits};
-use crate::feed::table::Table;
+use crate::feed::table::FeedTable;
 use crate::freshness::Millis;
 use crate::replica::{Replica, Transport};
 
@@ -26,7 +26,7 @@
     fn cluster(&self) -> u128;
     /// Runs `work` with the current table and its age in ms: the table has everything that was committed that long ago.
     /// `None` if the age is unknown.
-    fn with_table<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R;
+    fn with_table<R>(&self, work: impl FnOnce(&mut FeedTable, Option<Millis>) -> R) -> R;
     /// Returns a receiver that is notified when the table may have changed.
     fn changes(&self) -> watch::Receiver<u64>;
 }
@@ -34,7 +34,7 @@
 /// The state of a member. Its table is filled when the first subscriber connects.
 pub(super) struct ReplicaSource<T> {
     replica: Replica<T>,
-    table: Arc<Mutex<Table>>,
+    table: Arc<Mutex<FeedTable>>,
 }
 
 impl<T> ReplicaSource<T> {
@@ -56,7 +56,7 @@
         self.replica.identity().cluster
     }
 
-    fn with_table<R>(&self, work: impl FnOnce(&mut Table, Option<Millis>) -> R) -> R {
+    fn with_table<R>(&self, work: impl FnOnce(&mut FeedTable, Option<Millis>) -> R) -> R {
         // The freshness is read before the applied state. In the other order, it could be more recent than the table.
         let stale_ms = self
             .replica
--- a/crates/store/tests/compatibility/subscriber.rs
+++ b/crates/store/tests/compatibility/subscriber.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use stonefold_store::feed::frame::{Item, ItemKey};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::state::AdminOverride;
 use stonefold_store::subscriber_folder::SubscriberFolder;
 
@@ -15,8 +15,8 @@
 /// The id that was drawn when the fixture was written.
 const SUBSCRIBER: u64 = 9_329_645_005_054_110_676;
 
-fn table() -> Table {
-    let mut table = Table::default();
+fn table() -> FeedTable {
+    let mut table = FeedTable::default();
     let (name, text, author) = ("config".into(), "text 2".into(), "alice".into());
     table.put(3, &Item::Document { name, text, author, at_ms: 1_700_000_000_001 });
     table.put(4, &Item::List { version: 9, text: r#"[{"id":"s-1"}]"#.into() });
--- a/crates/store/tests/feed/publisher.rs
+++ b/crates/store/tests/feed/publisher.rs
@@ -6,14 +6,14 @@
 use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Event, Subscriber};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::state::limits::MAX_RETAINED_PURGES;
 
 use super::items::{document, list};
 
 #[test]
 fn a_session_is_rejected_for_a_future_revision_or_dropped_purges() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     table.put(5, &document("a", "1"));
     table.advance(5);
     table.reset_purges(10);
@@ -43,7 +43,7 @@
 /// All frames of a session until nothing more comes, each taken at once, with their times.
 fn drained(
     session: &mut PublisherSession,
-    table: &mut Table,
+    table: &mut FeedTable,
     subscriber: &mut Subscriber,
     from: u64,
     until: u64,
@@ -61,8 +61,9 @@
     all
 }
 
-fn connected(table: &Table) -> (PublisherSession, Subscriber) {
-    let mut subscriber = Subscriber::new(Table::default(), PublisherSelector::new(1, &[vec!["a".into()]], 1));
+fn connected(table: &FeedTable) -> (PublisherSession, Subscriber) {
+    let mut subscriber =
+        Subscriber::new(FeedTable::default(), PublisherSelector::new(1, &[vec!["a".into()]], 1));
     subscriber.poll(0);
     let hello = match decode_frame::<SubscriberFrame>(&subscriber.on_connected(0)).unwrap() {
         SubscriberFrame::Hello(hello) => hello,
@@ -73,7 +74,7 @@
 
 #[test]
 fn large_items_go_out_in_parts_within_the_rate_with_purges_between() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     let text = "x".repeat(200 << 10);
     table.put(1, &document("large", &text));
     table.put(2, &document("small", "1"));
@@ -119,7 +120,7 @@
 
 #[test]
 fn items_are_coalesced_and_purges_are_not() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     let (mut session, mut subscriber) = connected(&table);
     drained(&mut session, &mut table, &mut subscriber, 0, 10);
     for revision in 1..=200 {
@@ -146,7 +147,7 @@
             .collect();
         format!(r#"{{"servers":[{}],"version":{changed}}}"#, entries.join(","))
     };
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     table.put(1, &list(1, &text(1)));
     table.advance(1);
     let (mut session, mut subscriber) = connected(&table);
@@ -162,7 +163,7 @@
 
 #[test]
 fn a_session_ends_without_acks_or_when_its_purges_are_dropped() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     table.put(1, &document("a", "1"));
     table.advance(1);
     let (mut session, _) = connected(&table);
--- a/crates/store/tests/feed/subscriber.rs
+++ b/crates/store/tests/feed/subscriber.rs
@@ -7,7 +7,7 @@
 };
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Action, ReceiveError, Subscriber};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 
 use super::items::{document, list};
 
@@ -17,7 +17,8 @@
 
 /// A subscriber that is connected and holds document `a` of revision 5, list 3 of revision 6, and two purges.
 fn subscriber() -> Subscriber {
-    let mut subscriber = Subscriber::new(Table::default(), PublisherSelector::new(1, &[vec!["a".into()]], 1));
+    let mut subscriber =
+        Subscriber::new(FeedTable::default(), PublisherSelector::new(1, &[vec!["a".into()]], 1));
     assert_eq!(subscriber.poll(0), Some(Action::Connect("a".into())));
     subscriber.on_connected(0);
     let update = Update {
--- a/crates/store/tests/feed/table.rs
+++ b/crates/store/tests/feed/table.rs
@@ -3,12 +3,12 @@
 use proptest::prelude::*;
 use stonefold_store::applied::AppliedState;
 use stonefold_store::feed::delta::diff;
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::state::limits::MAX_LIST_BYTES;
 
 #[test]
 fn an_empty_applied_state_gives_an_empty_table() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     table.sync_from(&AppliedState::default());
     assert_eq!((table.revision(), table.items().len(), table.last_purge()), (0, 0, 0));
 }
--- a/crates/store/tests/feed_sim/check.rs
+++ b/crates/store/tests/feed_sim/check.rs
@@ -4,7 +4,7 @@
 
 use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::subscriber::Event;
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 
 use super::cluster::Change;
 use super::{CALM_START, CHANGES_END, Millis, NODES, World};
@@ -35,7 +35,7 @@
     pub(crate) fn event(
         &mut self,
         event: Event,
-        table: &Table,
+        table: &FeedTable,
         now: Millis,
         dropped: bool,
     ) -> Result<(), String> {
@@ -63,7 +63,7 @@
     }
 
     /// No node uses a version that is older than one it used before, in any incarnation.
-    fn use_item(&mut self, key: ItemKey, table: &Table, now: Millis) -> Result<(), String> {
+    fn use_item(&mut self, key: ItemKey, table: &FeedTable, now: Millis) -> Result<(), String> {
         let Some((revision, item)) = table.item(&key) else {
             return Err(format!("{key:?} changed, and is gone"));
         };
--- a/crates/store/tests/feed_sim/cluster.rs
+++ b/crates/store/tests/feed_sim/cluster.rs
@@ -1,7 +1,7 @@
 //! The committed log, and the members that apply it: some lag, some are down, and a quorum confirms or not.
 
 use stonefold_store::feed::frame::Item;
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::state::AdminOverride;
 
 use super::{CALM_START, CHANGES_END, Millis, World};
@@ -33,7 +33,7 @@
 
 #[derive(Default)]
 pub(crate) struct Member {
-    pub table: Table,
+    pub table: FeedTable,
     applied: usize,
     pub down: Millis,
     pub lags: Millis,
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -13,7 +13,7 @@
 use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Action, Event, Subscriber};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 
 use check::Observed;
 use cluster::{Log, MEMBERS, Member};
@@ -53,7 +53,7 @@
     pub subscriber: Subscriber,
     tiers: Vec<Vec<String>>,
     /// The state that it used, as saved on its disk.
-    disk: Table,
+    disk: FeedTable,
     pub started: Millis,
     pub incarnation: u64,
     /// Until when it is down.
@@ -114,7 +114,7 @@
     }
 }
 
-fn subscriber(node: usize, disk: &Table, seed: u64) -> Subscriber {
+fn subscriber(node: usize, disk: &FeedTable, seed: u64) -> Subscriber {
     Subscriber::new(disk.clone(), PublisherSelector::new(node as u64, &tiers(node), seed))
 }
 
@@ -135,9 +135,9 @@
     fn new(seed: u64, broken: Broken) -> World {
         let mut rng = Rng::with_seed(seed);
         let node = |n: usize| Node {
-            subscriber: subscriber(n, &Table::default(), rng.u64(..)),
+            subscriber: subscriber(n, &FeedTable::default(), rng.u64(..)),
             tiers: tiers(n),
-            disk: Table::default(),
+            disk: FeedTable::default(),
             started: 0,
             incarnation: 0,
             down: None,
@@ -225,7 +225,7 @@
         for n in 0..NODES {
             let node = &mut self.nodes[n];
             if node.down.is_some_and(|until| until <= now) {
-                let disk = if broken == Broken::Disk { Table::default() } else { node.disk.clone() };
+                let disk = if broken == Broken::Disk { FeedTable::default() } else { node.disk.clone() };
                 (node.subscriber, node.down, node.started) =
                     (subscriber(n, &disk, self.rng.u64(..)), None, now);
                 (node.incarnation, node.conn, node.slow) = (node.incarnation + 1, None, 0);
@@ -264,7 +264,7 @@
     fn with_publisher<R>(
         &mut self,
         server: &str,
-        work: impl FnOnce(&mut Table, Option<Millis>, bool) -> R,
+        work: impl FnOnce(&mut FeedTable, Option<Millis>, bool) -> R,
     ) -> Option<R> {
         let now = self.now;
         if let Some(member) = server.strip_prefix("member-") {
--- a/crates/store/tests/following/nodes.rs
+++ b/crates/store/tests/following/nodes.rs
@@ -8,7 +8,7 @@
 use stonefold_store::feed::publisher::SessionLimits;
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Event, Subscriber};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Options, Replica};
 use stonefold_store::state::{Change, Proposal};
@@ -101,9 +101,9 @@
     tiers: &[Vec<String>],
     tcp: Tcp,
     cluster: u128,
-    saved: Option<(SubscriberFolder, Table)>,
+    saved: Option<(SubscriberFolder, FeedTable)>,
 ) -> TestSubscriber {
-    let (folder, table) = saved.map_or((None, Table::default()), |(folder, table)| (Some(folder), table));
+    let (folder, table) = saved.map_or((None, FeedTable::default()), |(folder, table)| (Some(folder), table));
     let feed =
         Feed::new(cluster, Subscriber::new(table, PublisherSelector::new(subscriber, tiers, subscriber)));
     let (stop, purges) = (CancellationToken::new(), Arc::<Mutex<Vec<Event>>>::default());
--- a/crates/store/tests/hostile/mod.rs
+++ b/crates/store/tests/hostile/mod.rs
@@ -8,7 +8,7 @@
 use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::Subscriber;
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::message::{Request, Response};
 use stonefold_store::raft::Entry;
 use stonefold_store::snapshot::open_snapshot;
@@ -44,7 +44,7 @@
 
 /// Feeds bytes to a subscriber and to a publisher's session that have a few items.
 pub(crate) fn feed(bytes: &[u8]) {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     let name = "d".to_owned();
     table.put(3, &Item::Document { name: name.clone(), text: "t".into(), author: "a".into(), at_ms: 7 });
     table.put(4, &Item::List { version: 9, text: "[{}]".into() });
