--- a/crates/store/examples/subscribers/fleet.rs
+++ b/crates/store/examples/subscribers/fleet.rs
@@ -12,7 +12,7 @@
 use stonefold_store::feed::table::FeedTable;
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Options, Replica};
-use stonefold_store::wire::{Feed, Key, Keys, Tcp, follow, serve, serve_relay};
+use stonefold_store::wire::{Key, Keys, SubscriberFeed, Tcp, follow, serve, serve_relay};
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Handle};
 use tokio::time::{Instant, sleep};
@@ -95,10 +95,10 @@
     tiers: &[Vec<String>],
     watched: Option<&Watched>,
     stop: &CancellationToken,
-) -> (Feed, Tcp) {
+) -> (SubscriberFeed, Tcp) {
     let tcp = Tcp::subscriber(keys().subscriber_keys(), CLUSTER);
     let selector = PublisherSelector::new(id, tiers, id);
-    let feed = Feed::new(CLUSTER, Subscriber::new(FeedTable::default(), selector));
+    let feed = SubscriberFeed::new(CLUSTER, Subscriber::new(FeedTable::default(), selector));
     let purges = watched.cloned();
     let on_purge = Box::new(move |event: &Event| {
         if let (Event::Purged { keys, .. }, Some(watched)) = (event, &purges) {
@@ -171,14 +171,14 @@
 }
 
 /// Relays with their tokens to stop them.
-pub(crate) type Relays = Vec<(Feed, CancellationToken)>;
+pub(crate) type Relays = Vec<(SubscriberFeed, CancellationToken)>;
 
 /// Members, relays and subscribers, each kind on a thread of its own.
 pub(crate) struct Fleet {
     pub(crate) members: Vec<Member>,
     pub(crate) region: Relays,
     pub(crate) site: Relays,
-    pub(crate) nodes: Vec<Feed>,
+    pub(crate) nodes: Vec<SubscriberFeed>,
     pub(crate) watched: Watched,
     pub(crate) control: RuntimeThread,
     pub(crate) relaying: RuntimeThread,
@@ -255,8 +255,8 @@
     }
 }
 
-pub(crate) fn sum<'a>(feeds: impl IntoIterator<Item = &'a Feed>) -> Counters {
-    feeds.into_iter().map(Feed::counters).fold(Counters::default(), |sum, one| Counters {
+pub(crate) fn sum<'a>(feeds: impl IntoIterator<Item = &'a SubscriberFeed>) -> Counters {
+    feeds.into_iter().map(SubscriberFeed::counters).fold(Counters::default(), |sum, one| Counters {
         frames: sum.frames + one.frames,
         bytes: sum.bytes + one.bytes,
         rejected_frames: sum.rejected_frames + one.rejected_frames,
@@ -266,9 +266,9 @@
 }
 
 pub(crate) fn relays_of<'a>(
-    region: &'a [(Feed, CancellationToken)],
-    site: &'a [(Feed, CancellationToken)],
-) -> impl Iterator<Item = &'a Feed> {
+    region: &'a [(SubscriberFeed, CancellationToken)],
+    site: &'a [(SubscriberFeed, CancellationToken)],
+) -> impl Iterator<Item = &'a SubscriberFeed> {
     region.iter().chain(site).map(|(feed, _)| feed)
 }
 
--- a/crates/store/examples/subscribers/main.rs
+++ b/crates/store/examples/subscribers/main.rs
@@ -19,7 +19,7 @@
 
 use fleet::{Fleet, Member, RuntimeThread, relays_of, sum};
 use load::{Made, Watched, anew, load, quantiles};
-use stonefold_store::wire::Feed;
+use stonefold_store::wire::SubscriberFeed;
 use support::Failure;
 use tokio::runtime::Builder;
 use tokio::time::{sleep, timeout};
@@ -28,8 +28,8 @@
 /// A relay of each region is killed, one of each site, then the leader; each under the same load.
 async fn fail(
     members: &[Member],
-    [region, site]: [&[(Feed, CancellationToken)]; 2],
-    nodes: &[Feed],
+    [region, site]: [&[(SubscriberFeed, CancellationToken)]; 2],
+    nodes: &[SubscriberFeed],
     watched: &Watched,
     control: &RuntimeThread,
     mut from: u64,
@@ -67,7 +67,7 @@
 }
 
 /// Waits until all subscribers are fresh, and prints it if they are not.
-async fn wait_until_fresh(nodes: &[Feed]) {
+async fn wait_until_fresh(nodes: &[SubscriberFeed]) {
     let fresh = async {
         while nodes.iter().any(|node| node.stale_ms().is_none_or(|stale| stale > 5_000)) {
             sleep(Duration::from_millis(100)).await;
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -19,7 +19,7 @@
 use crate::feed::subscriber::{MAX_FRESH_AGE_MS, Subscriber};
 use crate::service::{READY_POLL_INTERVAL, block_until_ready, reload_keys, spawn};
 use crate::subscriber_folder::{FolderError, SubscriberFolder};
-use crate::wire::{Feed, KeyError, Keys, OnPurge, Tcp, follow, serve_relay};
+use crate::wire::{KeyError, Keys, OnPurge, SubscriberFeed, Tcp, follow, serve_relay};
 
 /// The interval at which, after the startup, the freshness is checked and the key file is read again.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -64,7 +64,7 @@
 /// A running subscriber. Dropping this stops it.
 pub struct SubscriberDaemon {
     /// The state that the subscriber receives.
-    pub feed: Feed,
+    pub feed: SubscriberFeed,
     /// Whether the startup is complete: a publisher has confirmed that the state is fresh, or the startup has timed
     /// out.
     pub ready: watch::Receiver<bool>,
@@ -98,7 +98,7 @@
     let list_in_use = folder.list_in_use();
     let selector =
         PublisherSelector::new(folder.subscriber(), &publisher_addresses(&settings), fastrand::u64(..));
-    let feed = Feed::new(settings.cluster, Subscriber::new(table, selector));
+    let feed = SubscriberFeed::new(settings.cluster, Subscriber::new(table, selector));
     let stop = CancellationToken::new();
     let (ready_sender, ready) = watch::channel(false);
     let thread = SubscriberThread { settings, feed: feed.clone(), tcp, folder, listener, stop: stop.clone() };
@@ -120,7 +120,7 @@
 /// A subscriber, as its thread runs it.
 struct SubscriberThread {
     settings: Settings,
-    feed: Feed,
+    feed: SubscriberFeed,
     tcp: Tcp,
     folder: SubscriberFolder,
     listener: Option<TcpListener>,
@@ -149,12 +149,17 @@
     }
 }
 
-fn is_fresh(feed: &Feed) -> bool {
+fn is_fresh(feed: &SubscriberFeed) -> bool {
     feed.stale_ms().is_some_and(|stale_ms| stale_ms <= MAX_FRESH_AGE_MS)
 }
 
 /// Signals when the startup is complete, and then logs when the state becomes stale or fresh again.
-async fn monitor_freshness(feed: &Feed, tcp: &Tcp, settings: &Settings, ready: watch::Sender<bool>) {
+async fn monitor_freshness(
+    feed: &SubscriberFeed,
+    tcp: &Tcp,
+    settings: &Settings,
+    ready: watch::Sender<bool>,
+) {
     let deadline = Instant::now() + settings.startup_timeout;
     while !is_fresh(feed) && Instant::now() < deadline {
         sleep(READY_POLL_INTERVAL).await;
--- a/crates/store/src/wire/feed.rs
+++ b/crates/store/src/wire/feed.rs
@@ -45,7 +45,7 @@
 
 /// A handle to a subscriber and the state that it has received. Clones share them.
 #[derive(Clone)]
-pub struct Feed(Arc<Inner>);
+pub struct SubscriberFeed(Arc<Inner>);
 
 struct Inner {
     cluster: u128,
@@ -60,11 +60,11 @@
     start: Instant,
 }
 
-impl Feed {
+impl SubscriberFeed {
     /// Creates the feed of a cluster's subscriber, whose table is the first view.
-    pub fn new(cluster: u128, subscriber: Subscriber) -> Feed {
+    pub fn new(cluster: u128, subscriber: Subscriber) -> SubscriberFeed {
         let (items, list_version) = (subscriber.table.items().clone(), subscriber.table.list_version());
-        Feed(Arc::new(Inner {
+        SubscriberFeed(Arc::new(Inner {
             cluster,
             subscriber: Mutex::new(subscriber),
             view: RwLock::new(View { items, list_version }),
@@ -147,7 +147,7 @@
     }
 }
 
-impl Source for Feed {
+impl Source for SubscriberFeed {
     const IS_MEMBER: bool = false;
 
     fn cluster(&self) -> u128 {
--- a/crates/store/src/wire/follow.rs
+++ b/crates/store/src/wire/follow.rs
@@ -7,7 +7,7 @@
 use tracing::{debug, warn};
 
 use super::connection::{Connection, HANDSHAKE_TIMEOUT, MessageReceiver, MessageSender, WireError};
-use super::feed::Feed;
+use super::feed::SubscriberFeed;
 use super::publish::Source;
 use super::tcp::Tcp;
 use crate::feed::frame::MAX_FRAME_BYTES;
@@ -34,7 +34,7 @@
 /// Follows the committed state until `stop` is cancelled. `tcp` has the subscribers' keys. Without a folder, nothing is
 /// saved.
 pub async fn follow(
-    feed: Feed,
+    feed: SubscriberFeed,
     tcp: Tcp,
     folder: Option<SubscriberFolder>,
     on_purge: OnPurge,
@@ -60,7 +60,7 @@
 }
 
 /// Runs one connection to a publisher, and reports its end to the subscriber and to the log.
-async fn run_connection(feed: &Feed, addr: &str, tcp: &Tcp, applier: &mut FrameApplier) {
+async fn run_connection(feed: &SubscriberFeed, addr: &str, tcp: &Tcp, applier: &mut FrameApplier) {
     let result = run_session(feed, addr, tcp, applier).await;
     feed.with_subscriber(|subscriber, now| subscriber.on_closed(now));
     match result {
@@ -75,7 +75,7 @@
 }
 
 /// Logs a failed connection if the number of disconnects is a power of two.
-fn log_lost_publisher(feed: &Feed, addr: &str, error: &FollowError) {
+fn log_lost_publisher(feed: &SubscriberFeed, addr: &str, error: &FollowError) {
     let counters = feed.counters();
     let (disconnects, rejected_frames) = (counters.disconnects, counters.rejected_frames);
     if disconnects.is_power_of_two() {
@@ -88,7 +88,7 @@
 
 /// Connects to a publisher and receives its frames, until the subscriber closes the connection or it fails.
 async fn run_session(
-    feed: &Feed,
+    feed: &SubscriberFeed,
     addr: &str,
     tcp: &Tcp,
     applier: &mut FrameApplier,
@@ -108,7 +108,7 @@
 
 /// Receives frames into the queue until the connection fails, and returns the error.
 async fn receive_frames(
-    feed: &Feed,
+    feed: &SubscriberFeed,
     receiver: &mut MessageReceiver,
     queue: mpsc::Sender<Vec<u8>>,
 ) -> WireError {
@@ -127,7 +127,7 @@
 /// Applies frames from the queue and sends the subscriber's acknowledgements, until the subscriber closes the
 /// connection.
 async fn apply_frames(
-    feed: &Feed,
+    feed: &SubscriberFeed,
     addr: &str,
     sender: &mut MessageSender,
     frames: &mut mpsc::Receiver<Vec<u8>>,
@@ -163,7 +163,7 @@
 
 /// Applies frames, and saves the state that they change.
 struct FrameApplier {
-    feed: Feed,
+    feed: SubscriberFeed,
     folder: Option<SubscriberFolder>,
     /// Whether items have changed that are not saved yet. The node sees them only once they are saved.
     has_unsaved_items: bool,
--- a/crates/store/tests/following/nodes.rs
+++ b/crates/store/tests/following/nodes.rs
@@ -13,7 +13,7 @@
 use stonefold_store::replica::{Options, Replica};
 use stonefold_store::state::{Change, Proposal};
 use stonefold_store::subscriber_folder::SubscriberFolder;
-use stonefold_store::wire::{self, Feed, Keys, Source, Tcp, follow, serve, serve_relay};
+use stonefold_store::wire::{self, Keys, Source, SubscriberFeed, Tcp, follow, serve, serve_relay};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
 use tokio_util::sync::CancellationToken;
@@ -90,7 +90,7 @@
 
 /// A subscriber, and the purge events that it has reported.
 pub(crate) struct TestSubscriber {
-    pub(crate) feed: Feed,
+    pub(crate) feed: SubscriberFeed,
     pub(crate) purges: Arc<Mutex<Vec<Event>>>,
     pub(crate) stop: CancellationToken,
     pub(crate) tcp: Tcp,
@@ -104,8 +104,10 @@
     saved: Option<(SubscriberFolder, FeedTable)>,
 ) -> TestSubscriber {
     let (folder, table) = saved.map_or((None, FeedTable::default()), |(folder, table)| (Some(folder), table));
-    let feed =
-        Feed::new(cluster, Subscriber::new(table, PublisherSelector::new(subscriber, tiers, subscriber)));
+    let feed = SubscriberFeed::new(
+        cluster,
+        Subscriber::new(table, PublisherSelector::new(subscriber, tiers, subscriber)),
+    );
     let (stop, purges) = (CancellationToken::new(), Arc::<Mutex<Vec<Event>>>::default());
     let recorded = purges.clone();
     let on_purge = Box::new(move |event: &Event| recorded.lock().unwrap().push(event.clone()));
