--- a/crates/store/src/wire/feed.rs
+++ b/crates/store/src/wire/feed.rs
@@ -20,12 +20,12 @@
 
 /// The state that a node may use. If the subscriber has a folder, this state is saved there first.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct FeedView {
     items: BTreeMap<ItemKey, EncodedItem>,
     list_version: u64,
 }
 
-impl View {
+impl FeedView {
     /// Returns an item and its revision.
     pub fn item(&self, key: &ItemKey) -> Option<(u64, Item)> {
         let item = self.items.get(key)?;
@@ -50,7 +50,7 @@
 struct Inner {
     cluster: u128,
     subscriber: Mutex<Subscriber>,
-    view: RwLock<View>,
+    view: RwLock<FeedView>,
     /// The number of changes of the view.
     view_changes: watch::Sender<u64>,
     /// The number of frames that were applied to the table.
@@ -67,7 +67,7 @@
         SubscriberFeed(Arc::new(Inner {
             cluster,
             subscriber: Mutex::new(subscriber),
-            view: RwLock::new(View { items, list_version }),
+            view: RwLock::new(FeedView { items, list_version }),
             view_changes: watch::Sender::new(0),
             table_changes: watch::Sender::new(0),
             list_in_use: AtomicU64::new(0),
@@ -76,7 +76,7 @@
     }
 
     /// Returns the state that the node may use now. The view doesn't change while the guard is held.
-    pub fn view(&self) -> RwLockReadGuard<'_, View> {
+    pub fn view(&self) -> RwLockReadGuard<'_, FeedView> {
         self.0.view.read().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -136,7 +136,7 @@
     /// Replaces the view.
     pub(super) fn set_view(&self, items: BTreeMap<ItemKey, EncodedItem>, list_version: u64) {
         let mut view = self.0.view.write().unwrap_or_else(PoisonError::into_inner);
-        *view = View { items, list_version };
+        *view = FeedView { items, list_version };
         drop(view);
         self.0.view_changes.send_modify(|changes| *changes += 1);
     }
--- a/crates/store/src/wire/mod.rs
+++ b/crates/store/src/wire/mod.rs
@@ -13,7 +13,7 @@
 mod server;
 mod tcp;
 
-pub use self::feed::{SubscriberFeed, View};
+pub use self::feed::{FeedView, SubscriberFeed};
 pub use self::follow::{OnPurge, follow};
 pub use self::handshake::{
     ClientHandshake, HELLO_BYTES, HandshakeError, PROOF_BYTES, ServerHandshake, WELCOME_BYTES,
