--- a/crates/store/src/wire/feed.rs
+++ b/crates/store/src/wire/feed.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::connection::lock;
-use super::publish::Source;
+use super::publish::FeedSource;
 use crate::feed::frame::{Item, ItemKey};
 use crate::feed::subscriber::{Counters, Subscriber};
 use crate::feed::table::{EncodedItem, FeedTable};
@@ -147,7 +147,7 @@
     }
 }
 
-impl Source for SubscriberFeed {
+impl FeedSource for SubscriberFeed {
     const IS_MEMBER: bool = false;
 
     fn cluster(&self) -> u128 {
--- a/crates/store/src/wire/follow.rs
+++ b/crates/store/src/wire/follow.rs
@@ -8,7 +8,7 @@
 
 use super::connection::{Connection, HANDSHAKE_TIMEOUT, MessageReceiver, MessageSender, WireError};
 use super::feed::SubscriberFeed;
-use super::publish::Source;
+use super::publish::FeedSource;
 use super::tcp::Tcp;
 use crate::feed::frame::MAX_FRAME_BYTES;
 use crate::feed::subscriber::{Action, Event, ReceiveError};
--- a/crates/store/src/wire/mod.rs
+++ b/crates/store/src/wire/mod.rs
@@ -20,7 +20,7 @@
 };
 pub use self::keys::{Key, KeyError, Keys};
 pub use self::limiter::{ConnectionLimiter, MAX_CONNECTIONS, MAX_SUBSCRIBERS};
-pub use self::publish::Source;
+pub use self::publish::FeedSource;
 pub use self::sealing::{MAX_MESSAGE_BYTES, Opener, Sealer, SealingError};
 pub use self::server::{serve, serve_relay};
 pub use self::tcp::Tcp;
--- a/crates/store/src/wire/publish.rs
+++ b/crates/store/src/wire/publish.rs
@@ -19,7 +19,7 @@
 const REJECTION_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The state that a publisher publishes.
-pub trait Source: Clone + Send + Sync + 'static {
+pub trait FeedSource: Clone + Send + Sync + 'static {
     /// Whether the publisher is a member, which is authoritative, rather than a relay.
     const IS_MEMBER: bool;
     /// The cluster that the state belongs to.
@@ -49,7 +49,7 @@
     }
 }
 
-impl<T: Transport> Source for ReplicaSource<T> {
+impl<T: Transport> FeedSource for ReplicaSource<T> {
     const IS_MEMBER: bool = true;
 
     fn cluster(&self) -> u128 {
@@ -80,7 +80,7 @@
 }
 
 /// Serves one subscriber until it disconnects or is rejected.
-pub(super) async fn publish<S: Source>(
+pub(super) async fn publish<S: FeedSource>(
     connection: Connection,
     source: &S,
     limits: SessionLimits,
@@ -107,7 +107,7 @@
 }
 
 /// Begins a session with a subscriber's first frame, which must be a hello.
-fn open_session<S: Source>(
+fn open_session<S: FeedSource>(
     hello: &[u8],
     source: &S,
     limits: SessionLimits,
@@ -158,7 +158,7 @@
 }
 
 /// Sends changes and heartbeats until the subscriber is rejected.
-async fn send_updates<S: Source>(
+async fn send_updates<S: FeedSource>(
     sender: &mut MessageSender,
     source: &S,
     session: &Mutex<PublisherSession>,
--- a/crates/store/src/wire/server.rs
+++ b/crates/store/src/wire/server.rs
@@ -12,7 +12,7 @@
 
 use super::connection::{Connection, HANDSHAKE_TIMEOUT, INTRODUCTION, INTRODUCTION_ANSWER, WireError, lock};
 use super::limiter::{ConnectionLimiter, MAX_SUBSCRIBERS};
-use super::publish::{ReplicaSource, Source, publish};
+use super::publish::{FeedSource, ReplicaSource, publish};
 use super::tcp::{REQUEST, RESPONSE, Tcp};
 use crate::feed::frame::SessionRejection;
 use crate::feed::publisher::SessionLimits;
@@ -48,7 +48,7 @@
 }
 
 /// Serves the subscribers of a relay until `stop` is cancelled. `tcp` has the subscribers' keys.
-pub async fn serve_relay<S: Source>(
+pub async fn serve_relay<S: FeedSource>(
     listener: TcpListener,
     source: S,
     tcp: Tcp,
@@ -244,7 +244,7 @@
     limits: SessionLimits,
 }
 
-impl<S: Source> Service for RelayService<S> {
+impl<S: FeedSource> Service for RelayService<S> {
     fn admit(&self, caller: &Introduction) -> Result<(), MembersError> {
         let ours = self.source.cluster();
         if caller.cluster != ours {
--- a/crates/store/tests/following/nodes.rs
+++ b/crates/store/tests/following/nodes.rs
@@ -13,7 +13,7 @@
 use stonefold_store::replica::{Options, Replica};
 use stonefold_store::state::{Change, Proposal};
 use stonefold_store::subscriber_folder::SubscriberFolder;
-use stonefold_store::wire::{self, Keys, Source, SubscriberFeed, Tcp, follow, serve, serve_relay};
+use stonefold_store::wire::{self, FeedSource, Keys, SubscriberFeed, Tcp, follow, serve, serve_relay};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
 use tokio_util::sync::CancellationToken;
