--- a/crates/lab/src/measure/store.rs
+++ b/crates/lab/src/measure/store.rs
@@ -6,7 +6,7 @@
 use stonefold_store::disk::{Disk, DiskError, Identity};
 use stonefold_store::message::{Caller, Request, RequestError, Response};
 use stonefold_store::replica::{Options, Replica, StartError};
-use stonefold_store::wire::{Key, Keys, Tcp, serve};
+use stonefold_store::wire::{Key, Keys, TcpTransport, serve};
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep};
@@ -58,7 +58,7 @@
 }
 
 struct Member {
-    replica: Replica<Tcp>,
+    replica: Replica<TcpTransport>,
     addr: String,
 }
 
@@ -154,14 +154,14 @@
     let disk = Disk::create(&folder.join(member.to_string()), Identity { cluster: CLUSTER, member })?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
-    let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), CLUSTER, member, addr.clone());
+    let tcp = TcpTransport::member(Keys::new(Key::new([7; 32]), None), CLUSTER, member, addr.clone());
     let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     Ok(Member { replica, addr })
 }
 
 /// Adds a member, again while there is no quorum that could: it is busy with the one before.
-async fn add(first: &Replica<Tcp>, member: u64, addr: &str) -> Result<(), StoreError> {
+async fn add(first: &Replica<TcpTransport>, member: u64, addr: &str) -> Result<(), StoreError> {
     let until = Instant::now() + IN_TIME;
     loop {
         match first.answer(Caller::Client, Request::AddMember { member, addr: addr.into() }).await {
--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -12,7 +12,7 @@
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Options, Replica};
 use stonefold_store::state::{Change, Proposal};
-use stonefold_store::wire::{Key, Keys, Tcp, serve};
+use stonefold_store::wire::{Key, Keys, TcpTransport, serve};
 use support::{Failure, cpu_seconds, resident_kib};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
@@ -22,7 +22,7 @@
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Member {
-    replica: Replica<Tcp>,
+    replica: Replica<TcpTransport>,
     addr: String,
     stop: CancellationToken,
     dir: PathBuf,
@@ -33,21 +33,21 @@
     let disk = Disk::create(&dir, Identity { cluster: 1, member })?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
-    let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
+    let tcp = TcpTransport::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
     let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     Ok(Member { replica, addr, stop, dir })
 }
 
-async fn add(first: &Replica<Tcp>, member: u64, addr: &str) -> Result<(), Failure> {
+async fn add(first: &Replica<TcpTransport>, member: u64, addr: &str) -> Result<(), Failure> {
     match first.answer(Caller::Client, Request::AddMember { member, addr: addr.into() }).await {
         Response::MembersChanged(done) => Ok(done?),
         other => Err(format!("{other:?}").into()),
     }
 }
 
-async fn change(replica: &Replica<Tcp>, n: u64, bytes: usize) -> Result<(), Failure> {
+async fn change(replica: &Replica<TcpTransport>, n: u64, bytes: usize) -> Result<(), Failure> {
     let (name, text) = (format!("d{}", n % 100), "x".repeat(bytes));
     let change = Change::Document { name, text, author: "me".into(), at_ms: 0, after: None };
     let proposal = Proposal { client: n, sequence: 1, change };
@@ -56,7 +56,11 @@
 }
 
 /// Changes from so many clients at a time: how many a second, and how long each took.
-async fn commits(replica: &Replica<Tcp>, clients: u64, each: u64) -> Result<(f64, Histogram<u64>), Failure> {
+async fn commits(
+    replica: &Replica<TcpTransport>,
+    clients: u64,
+    each: u64,
+) -> Result<(f64, Histogram<u64>), Failure> {
     let start = Instant::now();
     let runs = (0..clients).map(|client| {
         let replica = replica.clone();
@@ -78,7 +82,7 @@
 }
 
 /// Changes by one client, and by several.
-async fn measure_commits(replica: &Replica<Tcp>, number: u64) -> Result<(), Failure> {
+async fn measure_commits(replica: &Replica<TcpTransport>, number: u64) -> Result<(), Failure> {
     for clients in [1, 16] {
         let (rate, took) = commits(replica, clients, 1_000 / clients).await?;
         let ms = |quantile: f64| took.value_at_quantile(quantile) as f64 / 1e3;
@@ -129,7 +133,7 @@
 }
 
 /// The first change after the leader has stopped.
-async fn measure_failover(leader: Member, next: &Replica<Tcp>, number: u64) -> Result<(), Failure> {
+async fn measure_failover(leader: Member, next: &Replica<TcpTransport>, number: u64) -> Result<(), Failure> {
     leader.stop.cancel();
     leader.replica.stop().await;
     let begun = Instant::now();
--- a/crates/store/examples/quorum_cost.rs
+++ b/crates/store/examples/quorum_cost.rs
@@ -19,7 +19,7 @@
 use stonefold_store::message::{Caller, Request, RequestError, Response};
 use stonefold_store::raft::MemberId;
 use stonefold_store::replica::{Options, Replica, Transport};
-use stonefold_store::wire::{Key, Keys, Tcp, serve};
+use stonefold_store::wire::{Key, Keys, TcpTransport, serve};
 use support::{Failure, cpu_seconds};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
@@ -33,7 +33,7 @@
 /// Requests over TCP, with a count of the bytes.
 #[derive(Clone)]
 struct CountingTransport {
-    tcp: Tcp,
+    tcp: TcpTransport,
     bytes: Arc<AtomicU64>,
 }
 
@@ -69,7 +69,7 @@
     let disk = Disk::create(&folder.join(format!("m{member}")), Identity { cluster: 1, member })?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
-    let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
+    let tcp = TcpTransport::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
     let counted = CountingTransport { tcp: tcp.clone(), bytes };
     let replica = Replica::start(disk, Options::new(addr.clone()), counted).await?;
     let stop = CancellationToken::new();
--- a/crates/store/examples/subscribers/fleet.rs
+++ b/crates/store/examples/subscribers/fleet.rs
@@ -12,7 +12,7 @@
 use stonefold_store::feed::table::FeedTable;
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Options, Replica};
-use stonefold_store::wire::{Key, Keys, SubscriberFeed, Tcp, follow, serve, serve_relay};
+use stonefold_store::wire::{Key, Keys, SubscriberFeed, TcpTransport, follow, serve, serve_relay};
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Handle};
 use tokio::time::{Instant, sleep};
@@ -65,7 +65,7 @@
 }
 
 pub(crate) struct Member {
-    pub(crate) replica: Replica<Tcp>,
+    pub(crate) replica: Replica<TcpTransport>,
     pub(crate) addr: String,
     pub(crate) stop: CancellationToken,
 }
@@ -74,7 +74,7 @@
     let disk = Disk::create(&folder.join(format!("m{member}")), Identity { cluster: CLUSTER, member })?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
-    let tcp = Tcp::member(keys(), CLUSTER, member, addr.clone());
+    let tcp = TcpTransport::member(keys(), CLUSTER, member, addr.clone());
     let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
@@ -95,8 +95,8 @@
     tiers: &[Vec<String>],
     watched: Option<&Watched>,
     stop: &CancellationToken,
-) -> (SubscriberFeed, Tcp) {
-    let tcp = Tcp::subscriber(keys().subscriber_keys(), CLUSTER);
+) -> (SubscriberFeed, TcpTransport) {
+    let tcp = TcpTransport::subscriber(keys().subscriber_keys(), CLUSTER);
     let selector = PublisherSelector::new(id, tiers, id);
     let feed = SubscriberFeed::new(CLUSTER, Subscriber::new(FeedTable::default(), selector));
     let purges = watched.cloned();
--- a/crates/store/examples/subscribers/load.rs
+++ b/crates/store/examples/subscribers/load.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use stonefold_store::replica::Replica;
 use stonefold_store::state::{Change, Proposal};
-use stonefold_store::wire::Tcp;
+use stonefold_store::wire::TcpTransport;
 use tokio::time::{Instant, sleep_until};
 
 use crate::support::Failure;
@@ -65,7 +65,7 @@
 
 /// Changes and purges for so long; each is noted before it is proposed.
 pub(crate) async fn load(
-    replica: Replica<Tcp>,
+    replica: Replica<TcpTransport>,
     made: Made,
     lasts: Duration,
     from: u64,
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -7,7 +7,7 @@
 use crate::message::{Request, RequestError, Response, Status};
 use crate::replica::Transport;
 use crate::state::{Change, Proposal, Reply, Revision};
-use crate::wire::{Keys, Tcp};
+use crate::wire::{Keys, TcpTransport};
 
 /// How long one request waits for its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
@@ -22,7 +22,7 @@
 
 /// A client of one cluster.
 pub struct Client {
-    tcp: Tcp,
+    tcp: TcpTransport,
     /// The member that is asked first: the leader, as far as is known.
     addr: String,
     id: u64,
@@ -32,7 +32,12 @@
 impl Client {
     /// A client that begins with the member at this address.
     pub fn new(keys: Keys, cluster: u128, addr: impl Into<String>) -> Client {
-        Client { tcp: Tcp::client(keys, cluster), addr: addr.into(), id: fastrand::u64(..), sequence: 0 }
+        Client {
+            tcp: TcpTransport::client(keys, cluster),
+            addr: addr.into(),
+            id: fastrand::u64(..),
+            sequence: 0,
+        }
     }
 
     /// Sends a request to the member at an address.
--- a/crates/store/src/daemon.rs
+++ b/crates/store/src/daemon.rs
@@ -16,7 +16,7 @@
 use crate::message::RequestError;
 use crate::replica::{Options, Replica, StartError};
 use crate::service::{block_until_ready, reload_keys, spawn};
-use crate::wire::{KeyError, Keys, Tcp, serve};
+use crate::wire::{KeyError, Keys, TcpTransport, serve};
 
 /// How often, after the startup, a quorum is asked what is committed, and the key file is read again.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
@@ -60,7 +60,7 @@
 /// A running member of the store, which stops when this is dropped.
 pub struct MemberDaemon {
     /// The member's replica.
-    pub replica: Replica<Tcp>,
+    pub replica: Replica<TcpTransport>,
     /// Whether the startup is complete: what is committed is known, or the startup has timed out.
     pub ready: watch::Receiver<bool>,
     _stop: DropGuard,
@@ -106,9 +106,9 @@
 
 /// The member as its thread runs it.
 struct MemberThread {
-    replica: Replica<Tcp>,
+    replica: Replica<TcpTransport>,
     listener: TcpListener,
-    tcp: Tcp,
+    tcp: TcpTransport,
     settings: Settings,
 }
 
@@ -120,7 +120,7 @@
         let listener =
             TcpListener::bind(addr).await.map_err(|error| MemberDaemonError::Listen(addr, error))?;
         let identity = disk.identity();
-        let tcp = Tcp::member(keys, identity.cluster, identity.member, addr.to_string());
+        let tcp = TcpTransport::member(keys, identity.cluster, identity.member, addr.to_string());
         let options = Options { startup_timeout: settings.startup_timeout, ..Options::new(addr.to_string()) };
         let replica = Replica::start(disk, options, tcp.clone()).await?;
         info!(event = "store_started", member = identity.member, at = %addr, "the store's replica runs");
@@ -147,7 +147,7 @@
 }
 
 /// Waits until a quorum has confirmed what is committed, or the startup has timed out; the last attempt's result.
-async fn wait_for_startup(replica: &Replica<Tcp>, timeout: Duration) -> Result<(), RequestError> {
+async fn wait_for_startup(replica: &Replica<TcpTransport>, timeout: Duration) -> Result<(), RequestError> {
     let mut last = Ok(());
     while !replica.freshness(|freshness, now| freshness.startup_complete(now)) {
         last = replica.confirm(Instant::now() + timeout.min(CONFIRM_INTERVAL)).await;
@@ -158,8 +158,8 @@
 /// Asks a quorum regularly what is committed until the member is stopped, and logs when there is none and when there is
 /// one again.
 async fn confirm_regularly(
-    replica: &Replica<Tcp>,
-    tcp: &Tcp,
+    replica: &Replica<TcpTransport>,
+    tcp: &TcpTransport,
     settings: &Settings,
     mut was_confirmed: bool,
     stop: &CancellationToken,
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -19,7 +19,7 @@
 use crate::feed::subscriber::{MAX_FRESH_AGE_MS, Subscriber};
 use crate::service::{READY_POLL_INTERVAL, block_until_ready, reload_keys, spawn};
 use crate::subscriber_folder::{FolderError, SubscriberFolder};
-use crate::wire::{KeyError, Keys, OnPurge, SubscriberFeed, Tcp, follow, serve_relay};
+use crate::wire::{KeyError, Keys, OnPurge, SubscriberFeed, TcpTransport, follow, serve_relay};
 
 /// The interval at which, after the startup, the freshness is checked and the key file is read again.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -92,7 +92,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(SubscriberDaemonError::Thread)?;
     let keys = Keys::read(&settings.key_file)?;
-    let tcp = Tcp::subscriber(keys, settings.cluster);
+    let tcp = TcpTransport::subscriber(keys, settings.cluster);
     let (folder, table) = SubscriberFolder::open(&settings.dir, settings.cluster)?;
     let listener = settings.listen.map(|addr| bind(&runtime, addr)).transpose()?;
     let list_in_use = folder.list_in_use();
@@ -121,7 +121,7 @@
 struct SubscriberThread {
     settings: Settings,
     feed: SubscriberFeed,
-    tcp: Tcp,
+    tcp: TcpTransport,
     folder: SubscriberFolder,
     listener: Option<TcpListener>,
     stop: CancellationToken,
@@ -156,7 +156,7 @@
 /// Signals when the startup is complete, and then logs when the state becomes stale or fresh again.
 async fn monitor_freshness(
     feed: &SubscriberFeed,
-    tcp: &Tcp,
+    tcp: &TcpTransport,
     settings: &Settings,
     ready: watch::Sender<bool>,
 ) {
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 use tracing::warn;
 
-use crate::wire::{Keys, Tcp};
+use crate::wire::{Keys, TcpTransport};
 
 /// How often a caller without a runtime polls whether the startup is complete.
 pub(crate) const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -32,7 +32,7 @@
 }
 
 /// Reads the key file again; the keys stay as they were if it can't be read.
-pub(crate) fn reload_keys(tcp: &Tcp, key_file: &Path) {
+pub(crate) fn reload_keys(tcp: &TcpTransport, key_file: &Path) {
     match Keys::read(key_file) {
         Ok(keys) => tcp.set_keys(keys),
         Err(error) => warn!(event = "store_keys_unreadable", %error, "the keys stay as they were"),
--- a/crates/store/src/wire/follow.rs
+++ b/crates/store/src/wire/follow.rs
@@ -9,7 +9,7 @@
 use super::connection::{Connection, HANDSHAKE_TIMEOUT, MessageReceiver, MessageSender, WireError};
 use super::feed::SubscriberFeed;
 use super::publish::FeedSource;
-use super::tcp::Tcp;
+use super::tcp::TcpTransport;
 use crate::feed::frame::MAX_FRAME_BYTES;
 use crate::feed::subscriber::{Action, Event, ReceiveError};
 use crate::message::{Caller, Introduction};
@@ -35,7 +35,7 @@
 /// saved.
 pub async fn follow(
     feed: SubscriberFeed,
-    tcp: Tcp,
+    tcp: TcpTransport,
     folder: Option<SubscriberFolder>,
     on_purge: OnPurge,
     stop: CancellationToken,
@@ -60,7 +60,7 @@
 }
 
 /// Runs one connection to a publisher, and reports its end to the subscriber and to the log.
-async fn run_connection(feed: &SubscriberFeed, addr: &str, tcp: &Tcp, applier: &mut FrameApplier) {
+async fn run_connection(feed: &SubscriberFeed, addr: &str, tcp: &TcpTransport, applier: &mut FrameApplier) {
     let result = run_session(feed, addr, tcp, applier).await;
     feed.with_subscriber(|subscriber, now| subscriber.on_closed(now));
     match result {
@@ -90,7 +90,7 @@
 async fn run_session(
     feed: &SubscriberFeed,
     addr: &str,
-    tcp: &Tcp,
+    tcp: &TcpTransport,
     applier: &mut FrameApplier,
 ) -> Result<(), FollowError> {
     let caller = Introduction { cluster: feed.cluster(), caller: Caller::Subscriber, addr: String::new() };
--- a/crates/store/src/wire/mod.rs
+++ b/crates/store/src/wire/mod.rs
@@ -23,4 +23,4 @@
 pub use self::publish::FeedSource;
 pub use self::sealing::{MAX_MESSAGE_BYTES, Opener, Sealer, SealingError};
 pub use self::server::{serve, serve_relay};
-pub use self::tcp::Tcp;
+pub use self::tcp::TcpTransport;
--- a/crates/store/src/wire/server.rs
+++ b/crates/store/src/wire/server.rs
@@ -13,7 +13,7 @@
 use super::connection::{Connection, HANDSHAKE_TIMEOUT, INTRODUCTION, INTRODUCTION_ANSWER, WireError, lock};
 use super::limiter::{ConnectionLimiter, MAX_SUBSCRIBERS};
 use super::publish::{FeedSource, ReplicaSource, publish};
-use super::tcp::{REQUEST, RESPONSE, Tcp};
+use super::tcp::{REQUEST, RESPONSE, TcpTransport};
 use crate::feed::frame::SessionRejection;
 use crate::feed::publisher::SessionLimits;
 use crate::members::{MembersError, admit};
@@ -40,7 +40,7 @@
 pub async fn serve<T: Transport>(
     listener: TcpListener,
     replica: Replica<T>,
-    tcp: Tcp,
+    tcp: TcpTransport,
     stop: CancellationToken,
 ) {
     let source = ReplicaSource::new(replica.clone());
@@ -51,7 +51,7 @@
 pub async fn serve_relay<S: FeedSource>(
     listener: TcpListener,
     source: S,
-    tcp: Tcp,
+    tcp: TcpTransport,
     limits: SessionLimits,
     stop: CancellationToken,
 ) {
@@ -59,7 +59,12 @@
 }
 
 /// Accepts connections and serves each on a task of its own, until `stop` is cancelled.
-async fn accept_callers<S: Service>(listener: TcpListener, service: S, tcp: Tcp, stop: CancellationToken) {
+async fn accept_callers<S: Service>(
+    listener: TcpListener,
+    service: S,
+    tcp: TcpTransport,
+    stop: CancellationToken,
+) {
     let server = StoreServer { service, tcp, limiter: Arc::default(), start: Instant::now() };
     loop {
         let accepted = tokio::select! {
@@ -84,7 +89,7 @@
 #[derive(Clone)]
 struct StoreServer<S> {
     service: S,
-    tcp: Tcp,
+    tcp: TcpTransport,
     limiter: Arc<Mutex<ConnectionLimiter>>,
     start: Instant,
 }
--- a/crates/store/src/wire/tcp.rs
+++ b/crates/store/src/wire/tcp.rs
@@ -24,7 +24,7 @@
 /// Sends requests over TCP, as a member, a client or a subscriber. Clones share the keys, the idle connections and the
 /// counter of rejected callers.
 #[derive(Clone)]
-pub struct Tcp(Arc<Inner>);
+pub struct TcpTransport(Arc<Inner>);
 
 struct Inner {
     keys: RwLock<Keys>,
@@ -33,24 +33,24 @@
     rejected_callers: AtomicU64,
 }
 
-impl Tcp {
+impl TcpTransport {
     /// Creates the transport of a cluster's member that listens at `addr`.
-    pub fn member(keys: Keys, cluster: u128, member: MemberId, addr: String) -> Tcp {
-        Tcp::new(keys, Introduction { cluster, caller: Caller::Member(member), addr })
+    pub fn member(keys: Keys, cluster: u128, member: MemberId, addr: String) -> TcpTransport {
+        TcpTransport::new(keys, Introduction { cluster, caller: Caller::Member(member), addr })
     }
 
     /// Creates the transport of a client. `keys` are the members'.
-    pub fn client(keys: Keys, cluster: u128) -> Tcp {
-        Tcp::new(keys, Introduction { cluster, caller: Caller::Client, addr: String::new() })
+    pub fn client(keys: Keys, cluster: u128) -> TcpTransport {
+        TcpTransport::new(keys, Introduction { cluster, caller: Caller::Client, addr: String::new() })
     }
 
     /// Creates the transport of a subscriber. `keys` are the subscribers'.
-    pub fn subscriber(keys: Keys, cluster: u128) -> Tcp {
-        Tcp::new(keys, Introduction { cluster, caller: Caller::Subscriber, addr: String::new() })
+    pub fn subscriber(keys: Keys, cluster: u128) -> TcpTransport {
+        TcpTransport::new(keys, Introduction { cluster, caller: Caller::Subscriber, addr: String::new() })
     }
 
-    fn new(keys: Keys, caller: Introduction) -> Tcp {
-        Tcp(Arc::new(Inner {
+    fn new(keys: Keys, caller: Introduction) -> TcpTransport {
+        TcpTransport(Arc::new(Inner {
             keys: RwLock::new(keys),
             caller,
             idle: Mutex::default(),
@@ -108,7 +108,7 @@
     }
 }
 
-impl Transport for Tcp {
+impl Transport for TcpTransport {
     fn request(
         &self,
         _: MemberId,
--- a/crates/store/tests/compatibility/wire.rs
+++ b/crates/store/tests/compatibility/wire.rs
@@ -8,7 +8,7 @@
 use stonefold_store::message::{Request, Response};
 use stonefold_store::replica::Transport;
 use stonefold_store::wire::{
-    ClientHandshake, HELLO_BYTES, Key, Keys, Opener, PROOF_BYTES, Sealer, ServerHandshake, Tcp,
+    ClientHandshake, HELLO_BYTES, Key, Keys, Opener, PROOF_BYTES, Sealer, ServerHandshake, TcpTransport,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -77,9 +77,9 @@
 
 async fn introductions() -> Table {
     let callers = [
-        ("introduction-member", Tcp::member(keys(), CLUSTER, 3, "127.0.0.1:7003".into())),
-        ("introduction-client", Tcp::client(keys(), CLUSTER)),
-        ("introduction-subscriber", Tcp::subscriber(keys(), CLUSTER)),
+        ("introduction-member", TcpTransport::member(keys(), CLUSTER, 3, "127.0.0.1:7003".into())),
+        ("introduction-client", TcpTransport::client(keys(), CLUSTER)),
+        ("introduction-subscriber", TcpTransport::subscriber(keys(), CLUSTER)),
     ];
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
--- a/crates/store/tests/following/access.rs
+++ b/crates/store/tests/following/access.rs
@@ -4,7 +4,7 @@
 use stonefold_store::message::{Caller, Request, RequestError, Response};
 use stonefold_store::replica::Transport;
 use stonefold_store::state::{Change, Proposal};
-use stonefold_store::wire::Tcp;
+use stonefold_store::wire::TcpTransport;
 
 use super::nodes::{CLUSTER, PATIENCE, follows, keys, members, subscriber};
 
@@ -19,7 +19,8 @@
     for at in [&member.addr, &relay_at] {
         for (keys, cluster) in [(keys(2), CLUSTER), (keys(1).subscriber_keys(), 8)] {
             let before = member.tcp.rejected_callers() + relay.tcp.rejected_callers();
-            let node = follows(3, &[vec![at.clone()]], Tcp::subscriber(keys, cluster), cluster, None);
+            let node =
+                follows(3, &[vec![at.clone()]], TcpTransport::subscriber(keys, cluster), cluster, None);
             let refused = || member.tcp.rejected_callers() + relay.tcp.rejected_callers() > before;
             node.until("refused", |node| refused() && node.feed.counters().disconnects > 0).await;
             assert_eq!((node.feed.revision(), node.text("a")), (0, None));
@@ -33,9 +34,17 @@
         Request::Propose(Proposal { client: 5, sequence: 1, change })
     };
     for (tcp, at, why) in [
-        (Tcp::client(limited.clone(), CLUSTER), &member.addr, "a subscriber's key is one to follow with"),
-        (Tcp::member(limited.clone(), CLUSTER, 4, "127.0.0.1:4".into()), &member.addr, "a subscriber's key"),
-        (Tcp::client(limited.clone(), CLUSTER), &relay_at, "it serves subscribers, and nobody else"),
+        (
+            TcpTransport::client(limited.clone(), CLUSTER),
+            &member.addr,
+            "a subscriber's key is one to follow with",
+        ),
+        (
+            TcpTransport::member(limited.clone(), CLUSTER, 4, "127.0.0.1:4".into()),
+            &member.addr,
+            "a subscriber's key",
+        ),
+        (TcpTransport::client(limited.clone(), CLUSTER), &relay_at, "it serves subscribers, and nobody else"),
     ] {
         match tcp.request(1, at, propose(), PATIENCE).await {
             Err(RequestError::Unreachable(error)) => assert!(error.contains(why), "{error}"),
--- a/crates/store/tests/following/failover.rs
+++ b/crates/store/tests/following/failover.rs
@@ -6,7 +6,7 @@
 use stonefold_store::feed::subscriber::Event;
 use stonefold_store::state::Change;
 use stonefold_store::subscriber_folder::SubscriberFolder;
-use stonefold_store::wire::Tcp;
+use stonefold_store::wire::TcpTransport;
 use tokio::time::timeout;
 
 use super::nodes::{CLUSTER, PATIENCE, follows, keys, members, subscriber};
@@ -94,7 +94,7 @@
     let members = members(1).await;
     let dir = tempfile::tempdir().unwrap();
     let tier = [vec![members[0].addr.clone()]];
-    let tcp = || Tcp::subscriber(keys(1).subscriber_keys(), CLUSTER);
+    let tcp = || TcpTransport::subscriber(keys(1).subscriber_keys(), CLUSTER);
     members[0].document("a", "1").await;
     {
         let node =
--- a/crates/store/tests/following/nodes.rs
+++ b/crates/store/tests/following/nodes.rs
@@ -13,7 +13,9 @@
 use stonefold_store::replica::{Options, Replica};
 use stonefold_store::state::{Change, Proposal};
 use stonefold_store::subscriber_folder::SubscriberFolder;
-use stonefold_store::wire::{self, FeedSource, Keys, SubscriberFeed, Tcp, follow, serve, serve_relay};
+use stonefold_store::wire::{
+    self, FeedSource, Keys, SubscriberFeed, TcpTransport, follow, serve, serve_relay,
+};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
 use tokio_util::sync::CancellationToken;
@@ -27,8 +29,8 @@
 
 pub(crate) struct Member {
     pub(crate) addr: String,
-    pub(crate) replica: Replica<Tcp>,
-    pub(crate) tcp: Tcp,
+    pub(crate) replica: Replica<TcpTransport>,
+    pub(crate) tcp: TcpTransport,
     pub(crate) stop: CancellationToken,
     _dir: tempfile::TempDir,
 }
@@ -38,7 +40,7 @@
     let disk = Disk::create(dir.path(), Identity { cluster: CLUSTER, member }).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
-    let tcp = Tcp::member(keys(1), CLUSTER, member, addr.clone());
+    let tcp = TcpTransport::member(keys(1), CLUSTER, member, addr.clone());
     let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
@@ -93,13 +95,13 @@
     pub(crate) feed: SubscriberFeed,
     pub(crate) purges: Arc<Mutex<Vec<Event>>>,
     pub(crate) stop: CancellationToken,
-    pub(crate) tcp: Tcp,
+    pub(crate) tcp: TcpTransport,
 }
 
 pub(crate) fn follows(
     subscriber: u64,
     tiers: &[Vec<String>],
-    tcp: Tcp,
+    tcp: TcpTransport,
     cluster: u128,
     saved: Option<(SubscriberFolder, FeedTable)>,
 ) -> TestSubscriber {
@@ -116,7 +118,7 @@
 }
 
 pub(crate) fn subscriber(subscriber: u64, tiers: &[Vec<String>]) -> TestSubscriber {
-    follows(subscriber, tiers, Tcp::subscriber(keys(1).subscriber_keys(), CLUSTER), CLUSTER, None)
+    follows(subscriber, tiers, TcpTransport::subscriber(keys(1).subscriber_keys(), CLUSTER), CLUSTER, None)
 }
 
 impl TestSubscriber {
--- a/crates/store/tests/wire.rs
+++ b/crates/store/tests/wire.rs
@@ -13,7 +13,7 @@
 use stonefold_store::state::{AdminOverride, Change, Proposal, Reply};
 use stonefold_store::wire::{
     ClientHandshake, ConnectionLimiter, HELLO_BYTES, HandshakeError, Key, Keys, MAX_SUBSCRIBERS, Opener,
-    PROOF_BYTES, Sealer, SealingError, ServerHandshake, Tcp, WELCOME_BYTES, serve,
+    PROOF_BYTES, Sealer, SealingError, ServerHandshake, TcpTransport, WELCOME_BYTES, serve,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -144,8 +144,8 @@
 
 struct Served {
     addr: String,
-    replica: Replica<Tcp>,
-    tcp: Tcp,
+    replica: Replica<TcpTransport>,
+    tcp: TcpTransport,
     stop: CancellationToken,
     _dir: tempfile::TempDir,
 }
@@ -162,7 +162,7 @@
     let disk = Disk::create(dir.path(), Identity { cluster: 9, member }).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
-    let tcp = Tcp::member(keys(1), 9, member, addr.clone());
+    let tcp = TcpTransport::member(keys(1), 9, member, addr.clone());
     let replica = Replica::start(disk, Options::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
@@ -180,7 +180,7 @@
 #[tokio::test]
 async fn a_retried_proposal_is_applied_once() {
     let served = served().await;
-    let client = Tcp::client(keys(1), 9);
+    let client = TcpTransport::client(keys(1), 9);
     let mut answers = Vec::new();
     for _ in 0..3 {
         match client.request(1, &served.addr, order(1), PATIENCE).await.unwrap() {
@@ -216,15 +216,15 @@
 #[tokio::test]
 async fn foreign_callers_are_rejected_and_only_members_may_vote() {
     let served = served().await;
-    let ask = |tcp: Tcp, request| {
+    let ask = |tcp: TcpTransport, request| {
         let addr = served.addr.clone();
         async move { tcp.request(1, &addr, request, PATIENCE).await }
     };
     for (tcp, why) in [
-        (Tcp::client(keys(2), 9), "127.0.0.1"),
-        (Tcp::client(keys(1), 8), "is not ours"),
-        (Tcp::member(keys(1), 9, 4, "127.0.0.1:4".into()), "is not a member"),
-        (Tcp::member(keys(1), 9, 1, served.addr.clone()), "its disk a copy"),
+        (TcpTransport::client(keys(2), 9), "127.0.0.1"),
+        (TcpTransport::client(keys(1), 8), "is not ours"),
+        (TcpTransport::member(keys(1), 9, 4, "127.0.0.1:4".into()), "is not a member"),
+        (TcpTransport::member(keys(1), 9, 1, served.addr.clone()), "its disk a copy"),
     ] {
         match ask(tcp, Request::Status).await {
             Err(RequestError::Unreachable(error)) => assert!(error.contains(why), "{error}"),
@@ -233,12 +233,12 @@
     }
     // One that was removed and goes on campaigning bars nobody else at its address.
     for _ in 0..30 {
-        let removed = Tcp::member(keys(1), 9, 4, "127.0.0.1:4".into());
+        let removed = TcpTransport::member(keys(1), 9, 4, "127.0.0.1:4".into());
         let vote = Request::Vote(openraft::raft::VoteRequest::new(openraft::Vote::new(50, 4), None));
         assert!(ask(removed, vote).await.is_err());
     }
     let vote = Request::Vote(openraft::raft::VoteRequest::new(openraft::Vote::new(99, 4), None));
-    match ask(Tcp::client(keys(1), 9), vote).await.unwrap() {
+    match ask(TcpTransport::client(keys(1), 9), vote).await.unwrap() {
         Response::MembersChanged(Err(RequestError::Rejected(why))) => {
             assert!(why.contains("only members"), "{why}");
         }
@@ -247,10 +247,10 @@
     assert_eq!(served.replica.status().term, 1, "no election came of it");
     // While two keys are known both are accepted; once the first is removed its holder is rejected.
     served.tcp.set_keys(Keys::new(key(2), Some(key(1))));
-    assert!(ask(Tcp::client(keys(2), 9), Request::Status).await.is_ok());
-    assert!(ask(Tcp::client(keys(1), 9), Request::Status).await.is_ok());
+    assert!(ask(TcpTransport::client(keys(2), 9), Request::Status).await.is_ok());
+    assert!(ask(TcpTransport::client(keys(1), 9), Request::Status).await.is_ok());
     served.tcp.set_keys(keys(2));
-    assert!(ask(Tcp::client(keys(1), 9), Request::Status).await.is_err());
+    assert!(ask(TcpTransport::client(keys(1), 9), Request::Status).await.is_err());
     served.stop.cancel();
 }
 
@@ -269,7 +269,7 @@
         let _ = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer)).await.unwrap();
         assert!(answer.is_empty(), "{answer:?}");
     }
-    let status = Tcp::client(keys(1), 9).request(1, &served.addr, Request::Status, PATIENCE).await;
+    let status = TcpTransport::client(keys(1), 9).request(1, &served.addr, Request::Status, PATIENCE).await;
     assert!(matches!(status, Ok(Response::Status(_))), "{status:?}");
     served.stop.cancel();
 }
@@ -341,7 +341,7 @@
 async fn messages_mean_the_same_though_each_byte_of_their_beginning_comes_alone() {
     let served = served().await;
     let way = way_in_pieces(served.addr.clone()).await;
-    let client = Tcp::client(keys(1), 9);
+    let client = TcpTransport::client(keys(1), 9);
     let status = client.request(1, &way, Request::Status, PATIENCE).await;
     assert!(matches!(status, Ok(Response::Status(_))), "{status:?}");
     for (version, length) in [(1, 1), (2, MAX_LIST_BYTES - 1), (3, MAX_LIST_BYTES)] {
