--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -96,7 +96,8 @@
     // The file was validated: it states what its role needs.
     match (role, listen, cluster) {
         (Role::Subscriber, listen, Some(cluster)) => {
-            let settings = follower::Settings { dir, listen, key_file, cluster, publishers, startup_timeout };
+            let settings =
+                follower::SubscriberSettings { dir, listen, key_file, cluster, publishers, startup_timeout };
             Ok(SubscriberState::start(settings).map_err(Failure::unusable)?)
         }
         (Role::Member, Some(listen), _) => {
--- a/crates/cli/src/shared_state/subscriber.rs
+++ b/crates/cli/src/shared_state/subscriber.rs
@@ -8,7 +8,7 @@
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::subscriber::Event;
-use stonefold_store::follower::{self, Settings, SubscriberDaemon, SubscriberDaemonError};
+use stonefold_store::follower::{self, SubscriberDaemon, SubscriberDaemonError, SubscriberSettings};
 use stonefold_store::freshness::{Freshness, Verdict};
 use tracing::debug;
 
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// If its folder, key or addresses can't be used.
-    pub(crate) fn start(settings: Settings) -> Result<Arc<SubscriberState>, SubscriberDaemonError> {
+    pub(crate) fn start(settings: SubscriberSettings) -> Result<Arc<SubscriberState>, SubscriberDaemonError> {
         let daemon = follower::start(settings, Box::new(log_purge))?;
         daemon.wait();
         let freshness = Mutex::new(Freshness::new(0, 0, daemon.list_in_use));
--- a/crates/store/src/follower.rs
+++ b/crates/store/src/follower.rs
@@ -26,7 +26,7 @@
 
 /// The settings of a node's subscriber.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct SubscriberSettings {
     /// The folder in which the subscriber saves the state.
     pub dir: PathBuf,
     /// The loopback address at which the subscriber serves others as a relay. `None` if it is not a relay.
@@ -85,7 +85,10 @@
 /// # Errors
 /// If the folder, the key file or the address can't be used, or the thread can't be started. Nothing is left running
 /// then.
-pub fn start(settings: Settings, on_purge: OnPurge) -> Result<SubscriberDaemon, SubscriberDaemonError> {
+pub fn start(
+    settings: SubscriberSettings,
+    on_purge: OnPurge,
+) -> Result<SubscriberDaemon, SubscriberDaemonError> {
     if let Some(listen) = settings.listen.filter(|listen| !listen.ip().is_loopback()) {
         return Err(SubscriberDaemonError::NotLoopback(listen));
     }
@@ -112,14 +115,14 @@
 }
 
 /// The publishers' addresses as text, by tier.
-fn publisher_addresses(settings: &Settings) -> Vec<Vec<String>> {
+fn publisher_addresses(settings: &SubscriberSettings) -> Vec<Vec<String>> {
     let addresses = |tier: &Vec<SocketAddr>| tier.iter().map(SocketAddr::to_string).collect();
     settings.publishers.iter().map(addresses).collect()
 }
 
 /// A subscriber, as its thread runs it.
 struct SubscriberThread {
-    settings: Settings,
+    settings: SubscriberSettings,
     feed: SubscriberFeed,
     tcp: TcpTransport,
     folder: SubscriberFolder,
@@ -157,7 +160,7 @@
 async fn monitor_freshness(
     feed: &SubscriberFeed,
     tcp: &TcpTransport,
-    settings: &Settings,
+    settings: &SubscriberSettings,
     ready: watch::Sender<bool>,
 ) {
     let deadline = Instant::now() + settings.startup_timeout;
