--- a/crates/store/src/feed/frame.rs
+++ b/crates/store/src/feed/frame.rs
@@ -202,7 +202,7 @@
     /// The subscriber has sent an invalid frame, or the publisher can't encode its own.
     #[error("invalid frame: {0}")]
     Malformed(String),
-    /// The publisher serves the maximum number of subscribers, which is given.
+    /// The publisher already serves this many subscribers, the maximum.
     #[error("{0} subscribers are served, and no more")]
     SubscriberLimitReached(u64),
 }
--- a/crates/store/src/feed/publisher/mod.rs
+++ b/crates/store/src/feed/publisher/mod.rs
@@ -130,7 +130,7 @@
         -(self.limits.purge_reserve_bytes as i64)
     }
 
-    /// The time at which [`PublisherSession::poll`] must be called next, unless the table changes earlier.
+    /// The time by which [`PublisherSession::poll`] has to be called again, unless the table changes earlier.
     pub fn next_poll_at(&self, now: Millis, table: &FeedTable) -> Millis {
         let Some(last_sent_at) = self.last_sent_at else { return now };
         let ack_deadline = self.progressed_at + self.limits.ack_timeout;
--- a/crates/store/src/feed/subscriber/mod.rs
+++ b/crates/store/src/feed/subscriber/mod.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The time at which [`Subscriber::poll`] must be called next.
+    /// The time by which [`Subscriber::poll`] has to be called again.
     pub fn next_poll_at(&self, now: Millis) -> Millis {
         match &self.connection {
             ConnectionState::None => self.selector.next_attempt_at(),
--- a/crates/store/src/wire/feed.rs
+++ b/crates/store/src/wire/feed.rs
@@ -128,7 +128,7 @@
         work(&mut lock(&self.0.subscriber), now)
     }
 
-    /// Converts a time of the subscriber's clock; at least [`MIN_POLL_DELAY`] from now.
+    /// Converts a time of the subscriber's clock to an instant, but to none earlier than [`MIN_POLL_DELAY`] from now.
     pub(super) fn instant(&self, time: Millis) -> Instant {
         (self.0.start + Duration::from_millis(time)).max(Instant::now() + MIN_POLL_DELAY)
     }
