--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -13,7 +13,7 @@
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Replica, ReplicaOptions};
 use stonefold_store::state::{Change, Proposal};
-use stonefold_store::wire::{Key, Keys, Tcp, serve};
+use stonefold_store::wire::{Key, Keys, TcpTransport, serve};
 use support::{ExampleError, cpu_seconds, resident_kib};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
@@ -23,7 +23,7 @@
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Member {
-    replica: Replica<Tcp>,
+    replica: Replica<TcpTransport>,
     addr: String,
     stop: CancellationToken,
     dir: PathBuf,
@@ -34,14 +34,14 @@
     let disk = Disk::create(&dir, Identity { cluster: 1, member })?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
-    let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
+    let tcp = TcpTransport::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
     let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
     Ok(Member { replica, addr, stop, dir })
 }
 
-async fn add_member(leader: &Replica<Tcp>, member: u64, addr: &str) -> Result<(), ExampleError> {
+async fn add_member(leader: &Replica<TcpTransport>, member: u64, addr: &str) -> Result<(), ExampleError> {
     match leader.answer(Caller::Client, Request::AddMember { member, addr: addr.into() }).await {
         Response::MembersChanged(result) => Ok(result?),
         other => Err(format!("{other:?}").into()),
@@ -49,7 +49,7 @@
 }
 
 /// Changes one of 100 documents. `n` chooses the document, and is the id of a client that proposes only this change.
-async fn propose_document(replica: &Replica<Tcp>, n: u64, bytes: usize) -> Result<(), ExampleError> {
+async fn propose_document(replica: &Replica<TcpTransport>, n: u64, bytes: usize) -> Result<(), ExampleError> {
     let (name, text) = (format!("d{}", n % 100), "x".repeat(bytes));
     let change = Change::Document { name, text, author: "me".into(), at_ms: 0, after: None };
     let proposal = Proposal { client: n, sequence: 1, change };
@@ -60,7 +60,7 @@
 /// Proposes changes from several clients at a time. Returns the changes per second, and how long each took in
 /// microseconds.
 async fn commit_concurrently(
-    replica: &Replica<Tcp>,
+    replica: &Replica<TcpTransport>,
     clients: u64,
     changes_per_client: u64,
 ) -> Result<(f64, Histogram<u64>), ExampleError> {
@@ -85,7 +85,7 @@
 }
 
 /// Measures changes by one client, and by 16 clients at a time.
-async fn measure_commits(replica: &Replica<Tcp>, member_count: u64) -> Result<(), ExampleError> {
+async fn measure_commits(replica: &Replica<TcpTransport>, member_count: u64) -> Result<(), ExampleError> {
     for clients in [1, 16] {
         let (rate, latencies) = commit_concurrently(replica, clients, 1_000 / clients).await?;
         let ms = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1e3;
@@ -139,7 +139,7 @@
 /// Measures how long the first change takes after the leader has stopped.
 async fn measure_failover(
     leader: Member,
-    other: &Replica<Tcp>,
+    other: &Replica<TcpTransport>,
     member_count: u64,
 ) -> Result<(), ExampleError> {
     leader.stop.cancel();
--- a/crates/store/examples/quorum_cost.rs
+++ b/crates/store/examples/quorum_cost.rs
@@ -21,7 +21,7 @@
 use stonefold_store::message::{Caller, Request, RequestError, Response};
 use stonefold_store::raft::MemberId;
 use stonefold_store::replica::{Replica, ReplicaOptions, Transport};
-use stonefold_store::wire::{Key, Keys, Tcp, serve};
+use stonefold_store::wire::{Key, Keys, TcpTransport, serve};
 use support::{ExampleError, cpu_seconds};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
@@ -35,7 +35,7 @@
 /// A transport over TCP that counts the bytes of requests and responses.
 #[derive(Clone)]
 struct CountingTransport {
-    tcp: Tcp,
+    tcp: TcpTransport,
     bytes: Arc<AtomicU64>,
 }
 
@@ -72,7 +72,7 @@
     let disk = Disk::create(&folder.join(format!("m{member}")), Identity { cluster: 1, member })?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
-    let tcp = Tcp::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
+    let tcp = TcpTransport::member(Keys::new(Key::new([7; 32]), None), 1, member, addr.clone());
     let counting = CountingTransport { tcp: tcp.clone(), bytes };
     let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), counting).await?;
     let stop = CancellationToken::new();
--- a/crates/store/examples/subscribers/fleet.rs
+++ b/crates/store/examples/subscribers/fleet.rs
@@ -6,13 +6,13 @@
 
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::feed::frame::ItemKey;
-use stonefold_store::feed::publisher::Limits;
+use stonefold_store::feed::publisher::SessionLimits;
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Counters, Event, Subscriber};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Replica, ReplicaOptions};
-use stonefold_store::wire::{Feed, Key, Keys, Tcp, follow, serve, serve_relay};
+use stonefold_store::wire::{Key, Keys, SubscriberFeed, TcpTransport, follow, serve, serve_relay};
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Handle};
 use tokio::time::{Instant, sleep};
@@ -67,7 +67,7 @@
 }
 
 pub(crate) struct Member {
-    pub(crate) replica: Replica<Tcp>,
+    pub(crate) replica: Replica<TcpTransport>,
     pub(crate) addr: String,
     pub(crate) stop: CancellationToken,
 }
@@ -77,7 +77,7 @@
     let disk = Disk::create(&folder.join(format!("m{member}")), Identity { cluster: CLUSTER, member })?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
-    let tcp = Tcp::member(keys(), CLUSTER, member, addr.clone());
+    let tcp = TcpTransport::member(keys(), CLUSTER, member, addr.clone());
     let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await?;
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
@@ -99,10 +99,10 @@
     tiers: &[Vec<String>],
     latencies: Option<&DeliveryLatencies>,
     stop: &CancellationToken,
-) -> (Feed, Tcp) {
-    let tcp = Tcp::subscriber(keys().subscriber_keys(), CLUSTER);
+) -> (SubscriberFeed, TcpTransport) {
+    let tcp = TcpTransport::subscriber(keys().subscriber_keys(), CLUSTER);
     let selector = PublisherSelector::new(id, tiers, id);
-    let feed = Feed::new(CLUSTER, Subscriber::new(Table::default(), selector));
+    let feed = SubscriberFeed::new(CLUSTER, Subscriber::new(FeedTable::default(), selector));
     let purge_latencies = latencies.cloned();
     let on_purge = Box::new(move |event: &Event| {
         if let (Event::Purged { keys, .. }, Some(latencies)) = (event, &purge_latencies) {
@@ -150,7 +150,7 @@
         let bound = runtime.handle.spawn(async move {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let addr = listener.local_addr()?.to_string();
-            tokio::spawn(serve_relay(listener, source, tcp, Limits::default(), server_stop));
+            tokio::spawn(serve_relay(listener, source, tcp, SessionLimits::default(), server_stop));
             Ok::<_, std::io::Error>(addr)
         });
         addrs.push(bound.await??);
@@ -177,14 +177,14 @@
 }
 
 /// Relays, each with the token that stops it.
-pub(crate) type Relays = Vec<(Feed, CancellationToken)>;
+pub(crate) type Relays = Vec<(SubscriberFeed, CancellationToken)>;
 
 /// Members, relays and subscribers, each kind on a thread of its own.
 pub(crate) struct Fleet {
     pub(crate) members: Vec<Member>,
     pub(crate) region_relays: Relays,
     pub(crate) site_relays: Relays,
-    pub(crate) subscribers: Vec<Feed>,
+    pub(crate) subscribers: Vec<SubscriberFeed>,
     pub(crate) latencies: DeliveryLatencies,
     pub(crate) member_runtime: RuntimeThread,
     pub(crate) relay_runtime: RuntimeThread,
@@ -294,8 +294,8 @@
 }
 
 /// The total counters of several feeds.
-pub(crate) fn sum_counters<'a>(feeds: impl IntoIterator<Item = &'a Feed>) -> Counters {
-    feeds.into_iter().map(Feed::counters).fold(Counters::default(), |sum, one| Counters {
+pub(crate) fn sum_counters<'a>(feeds: impl IntoIterator<Item = &'a SubscriberFeed>) -> Counters {
+    feeds.into_iter().map(SubscriberFeed::counters).fold(Counters::default(), |sum, one| Counters {
         frames: sum.frames + one.frames,
         bytes: sum.bytes + one.bytes,
         rejected_frames: sum.rejected_frames + one.rejected_frames,
@@ -306,9 +306,9 @@
 
 /// The feeds of the relays of regions and of sites.
 pub(crate) fn all_relays<'a>(
-    region_relays: &'a [(Feed, CancellationToken)],
-    site_relays: &'a [(Feed, CancellationToken)],
-) -> impl Iterator<Item = &'a Feed> {
+    region_relays: &'a [(SubscriberFeed, CancellationToken)],
+    site_relays: &'a [(SubscriberFeed, CancellationToken)],
+) -> impl Iterator<Item = &'a SubscriberFeed> {
     region_relays.iter().chain(site_relays).map(|(feed, _)| feed)
 }
 
--- a/crates/store/examples/subscribers/load.rs
+++ b/crates/store/examples/subscribers/load.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use stonefold_store::replica::Replica;
 use stonefold_store::state::{Change, Proposal};
-use stonefold_store::wire::Tcp;
+use stonefold_store::wire::TcpTransport;
 use tokio::time::{Instant, sleep_until};
 
 use crate::support::ExampleError;
@@ -72,7 +72,7 @@
 /// The proposal time of a purge or list is recorded before it is proposed; that of a document once its revision is
 /// known.
 pub(crate) async fn run_load(
-    replica: Replica<Tcp>,
+    replica: Replica<TcpTransport>,
     proposed: ProposalTimes,
     duration: Duration,
     last_number: u64,
--- a/crates/store/examples/subscribers/main.rs
+++ b/crates/store/examples/subscribers/main.rs
@@ -21,7 +21,7 @@
 
 use fleet::{Fleet, Member, RuntimeThread, all_relays, sum_counters};
 use load::{DeliveryLatencies, ProposalTimes, format_quantiles, reset_latencies, run_load};
-use stonefold_store::wire::Feed;
+use stonefold_store::wire::SubscriberFeed;
 use support::ExampleError;
 use tokio::runtime::Builder;
 use tokio::time::{sleep, timeout};
@@ -31,8 +31,8 @@
 /// same load.
 async fn measure_failures(
     members: &[Member],
-    [region, site]: [&[(Feed, CancellationToken)]; 2],
-    subscribers: &[Feed],
+    [region, site]: [&[(SubscriberFeed, CancellationToken)]; 2],
+    subscribers: &[SubscriberFeed],
     latencies: &DeliveryLatencies,
     member_runtime: &RuntimeThread,
     mut last_number: u64,
@@ -75,7 +75,7 @@
 }
 
 /// Waits until all subscribers are fresh, and prints a row if they are not in time.
-async fn wait_until_fresh(subscribers: &[Feed]) {
+async fn wait_until_fresh(subscribers: &[SubscriberFeed]) {
     let fresh = async {
         while subscribers.iter().any(|subscriber| subscriber.stale_ms().is_none_or(|stale| stale > 5_000)) {
             sleep(Duration::from_millis(100)).await;
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -7,7 +7,7 @@
 use crate::message::{Request, RequestError, Response, Status};
 use crate::replica::Transport;
 use crate::state::{Change, Proposal, Reply, Revision};
-use crate::wire::{Keys, Tcp};
+use crate::wire::{Keys, TcpTransport};
 
 /// How long a request to one member waits for its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
@@ -22,7 +22,7 @@
 
 /// A client of one cluster.
 pub struct Client {
-    tcp: Tcp,
+    tcp: TcpTransport,
     /// The address of the member that requests are sent to first: the leader, as far as the client knows.
     addr: String,
     /// This client's id, drawn at random.
@@ -34,7 +34,12 @@
 impl Client {
     /// A client that sends its first request to the member at this address.
     pub fn new(keys: Keys, cluster: u128, addr: impl Into<String>) -> Client {
-        Client { tcp: Tcp::client(keys, cluster), addr: addr.into(), id: fastrand::u64(..), sequence: 0 }
+        Client {
+            tcp: TcpTransport::client(keys, cluster),
+            addr: addr.into(),
+            id: fastrand::u64(..),
+            sequence: 0,
+        }
     }
 
     /// Sends a request to the member at an address.
--- a/crates/store/src/daemon.rs
+++ b/crates/store/src/daemon.rs
@@ -16,7 +16,7 @@
 use crate::message::RequestError;
 use crate::replica::{Replica, ReplicaOptions, StartError};
 use crate::service::{block_until_ready, reload_keys, spawn};
-use crate::wire::{KeyError, Keys, Tcp, serve};
+use crate::wire::{KeyError, Keys, TcpTransport, serve};
 
 /// The interval, after the startup, at which the committed index is confirmed by a quorum and the key file is reread.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
@@ -60,7 +60,7 @@
 /// A running member of the store. Dropping this value stops the member.
 pub struct MemberDaemon {
     /// The member's replica.
-    pub replica: Replica<Tcp>,
+    pub replica: Replica<TcpTransport>,
     /// Whether the startup is complete: a quorum has confirmed what is committed, or the startup has timed out.
     pub ready: watch::Receiver<bool>,
     _stop: DropGuard,
@@ -106,9 +106,9 @@
 
 /// The parts of a member that its thread owns.
 struct MemberThread {
-    replica: Replica<Tcp>,
+    replica: Replica<TcpTransport>,
     listener: TcpListener,
-    tcp: Tcp,
+    tcp: TcpTransport,
     settings: MemberSettings,
 }
 
@@ -120,7 +120,7 @@
         let listener =
             TcpListener::bind(addr).await.map_err(|error| MemberDaemonError::Listen(addr, error))?;
         let identity = disk.identity();
-        let tcp = Tcp::member(keys, identity.cluster, identity.member, addr.to_string());
+        let tcp = TcpTransport::member(keys, identity.cluster, identity.member, addr.to_string());
         let options = ReplicaOptions {
             startup_timeout: settings.startup_timeout,
             ..ReplicaOptions::new(addr.to_string())
@@ -152,7 +152,7 @@
 
 /// Waits until a quorum has confirmed what is committed, or the startup has timed out. Returns the result of the last
 /// attempt.
-async fn wait_for_startup(replica: &Replica<Tcp>, timeout: Duration) -> Result<(), RequestError> {
+async fn wait_for_startup(replica: &Replica<TcpTransport>, timeout: Duration) -> Result<(), RequestError> {
     let mut last_result = Ok(());
     while !replica.freshness(|freshness, now| freshness.startup_complete(now)) {
         last_result = replica.confirm(Instant::now() + timeout.min(CONFIRM_INTERVAL)).await;
@@ -163,8 +163,8 @@
 /// Confirms regularly what is committed until the member is stopped. Logs when a quorum begins to answer and when it
 /// ceases to.
 async fn confirm_regularly(
-    replica: &Replica<Tcp>,
-    tcp: &Tcp,
+    replica: &Replica<TcpTransport>,
+    tcp: &TcpTransport,
     settings: &MemberSettings,
     mut was_confirmed: bool,
     stop: &CancellationToken,
--- a/crates/store/tests/feed/publisher.rs
+++ b/crates/store/tests/feed/publisher.rs
@@ -3,22 +3,23 @@
 use stonefold_store::feed::frame::{
     Ack, Hello, ItemKey, MAX_FRAME_BYTES, SessionRejection, SubscriberFrame, decode_frame,
 };
-use stonefold_store::feed::publisher::{Limits, Session};
+use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Event, Subscriber};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::state::limits::MAX_RETAINED_PURGES;
 
 use super::items::{document, list};
 
 #[test]
 fn a_session_is_rejected_for_a_future_revision_or_dropped_purges() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     table.put(5, &document("a", "1"));
     table.advance(5);
     table.reset_purges(10);
     let hello = Hello { revision: 5, list_version: 0, last_purge: Some(10), time: 3 };
-    let open = |hello, member| Session::open(&hello, &table, member, Limits::default(), 0).map(drop);
+    let open =
+        |hello, member| PublisherSession::open(&hello, &table, member, SessionLimits::default(), 0).map(drop);
     assert_eq!(open(hello, false), Ok(()));
     let ahead = Hello { revision: 6, ..hello };
     assert_eq!(open(ahead, true), Err(SessionRejection::Ahead { theirs: 6, ours: 5 }));
@@ -33,7 +34,7 @@
         "another relay may know them"
     );
     assert_eq!(open(away, true), Ok(()), "nobody does, and it is said");
-    let mut session = Session::open(&hello, &table, false, Limits::default(), 0).unwrap();
+    let mut session = PublisherSession::open(&hello, &table, false, SessionLimits::default(), 0).unwrap();
     for ack in [Ack { received_bytes: 1, time: 3 }, Ack { received_bytes: 0, time: 2 }] {
         assert!(matches!(session.on_ack(ack, 0), Err(SessionRejection::Malformed(_))), "{ack:?}");
     }
@@ -41,8 +42,8 @@
 
 /// All frames of a session until nothing more comes, each taken at once, with their times.
 fn drained(
-    session: &mut Session,
-    table: &mut Table,
+    session: &mut PublisherSession,
+    table: &mut FeedTable,
     subscriber: &mut Subscriber,
     from: u64,
     until: u64,
@@ -60,19 +61,20 @@
     all
 }
 
-fn connected(table: &Table) -> (Session, Subscriber) {
-    let mut subscriber = Subscriber::new(Table::default(), PublisherSelector::new(1, &[vec!["a".into()]], 1));
+fn connected(table: &FeedTable) -> (PublisherSession, Subscriber) {
+    let mut subscriber =
+        Subscriber::new(FeedTable::default(), PublisherSelector::new(1, &[vec!["a".into()]], 1));
     subscriber.poll(0);
     let hello = match decode_frame::<SubscriberFrame>(&subscriber.on_connected(0)).unwrap() {
         SubscriberFrame::Hello(hello) => hello,
         ack => panic!("{ack:?}"),
     };
-    (Session::open(&hello, table, true, Limits::default(), 0).unwrap(), subscriber)
+    (PublisherSession::open(&hello, table, true, SessionLimits::default(), 0).unwrap(), subscriber)
 }
 
 #[test]
 fn large_items_go_out_in_parts_within_the_rate_with_purges_between() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     let text = "x".repeat(200 << 10);
     table.put(1, &document("large", &text));
     table.put(2, &document("small", "1"));
@@ -80,7 +82,7 @@
     let (mut session, mut subscriber) = connected(&table);
     let mut all = drained(&mut session, &mut table, &mut subscriber, 0, 2_000);
     // The burst is used up; what is purged now is not held up by the rest.
-    table.purge("k");
+    table.add_purge("k");
     table.advance(3);
     let taken: u64 = all.iter().map(|(_, bytes, _)| *bytes as u64).sum();
     let begun = 2_000;
@@ -98,7 +100,7 @@
         .find(|(.., events)| events.contains(&Event::Purged { first: 1, keys: vec!["k".into()] }))
         .unwrap();
     assert!(purge.0 <= begun + 1_000, "the purge took {} ms", purge.0 - begun);
-    let limits = Limits::default();
+    let limits = SessionLimits::default();
     let mut sent = 0;
     for (now, bytes, _) in &all {
         sent += *bytes as u64 + 72;
@@ -118,13 +120,13 @@
 
 #[test]
 fn items_are_coalesced_and_purges_are_not() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     let (mut session, mut subscriber) = connected(&table);
     drained(&mut session, &mut table, &mut subscriber, 0, 10);
     for revision in 1..=200 {
         match revision % 2 {
             0 => table.put(revision, &document("a", &revision.to_string())),
-            _ => table.purge(&format!("k{revision}")),
+            _ => table.add_purge(&format!("k{revision}")),
         }
         table.advance(revision);
     }
@@ -145,7 +147,7 @@
             .collect();
         format!(r#"{{"servers":[{}],"version":{changed}}}"#, entries.join(","))
     };
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     table.put(1, &list(1, &text(1)));
     table.advance(1);
     let (mut session, mut subscriber) = connected(&table);
@@ -161,7 +163,7 @@
 
 #[test]
 fn a_session_ends_without_acks_or_when_its_purges_are_dropped() {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     table.put(1, &document("a", "1"));
     table.advance(1);
     let (mut session, _) = connected(&table);
@@ -171,7 +173,7 @@
         .find_map(|now| session.poll(now, &mut table, None).err().map(|why| (now, why)));
     assert_eq!(cut, Some((8_000, SessionRejection::TooSlow(8_000))));
     let (mut session, _) = connected(&table);
-    (0..=MAX_RETAINED_PURGES).for_each(|n| table.purge(&n.to_string()));
+    (0..=MAX_RETAINED_PURGES).for_each(|n| table.add_purge(&n.to_string()));
     assert!(matches!(
         session.poll(0, &mut table, None),
         Err(SessionRejection::PurgesDropped { theirs: 0, ours: 1 })
--- a/crates/store/tests/following/nodes.rs
+++ b/crates/store/tests/following/nodes.rs
@@ -5,15 +5,17 @@
 
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::feed::frame::{Item, ItemKey};
-use stonefold_store::feed::publisher::Limits;
+use stonefold_store::feed::publisher::SessionLimits;
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::{Event, Subscriber};
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Replica, ReplicaOptions};
 use stonefold_store::state::{Change, Proposal};
 use stonefold_store::subscriber_folder::SubscriberFolder;
-use stonefold_store::wire::{self, Feed, Keys, Source, Tcp, follow, serve, serve_relay};
+use stonefold_store::wire::{
+    self, FeedSource, Keys, SubscriberFeed, TcpTransport, follow, serve, serve_relay,
+};
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout};
 use tokio_util::sync::CancellationToken;
@@ -27,8 +29,8 @@
 
 pub(crate) struct Member {
     pub(crate) addr: String,
-    pub(crate) replica: Replica<Tcp>,
-    pub(crate) tcp: Tcp,
+    pub(crate) replica: Replica<TcpTransport>,
+    pub(crate) tcp: TcpTransport,
     pub(crate) stop: CancellationToken,
     _dir: tempfile::TempDir,
 }
@@ -38,7 +40,7 @@
     let disk = Disk::create(dir.path(), Identity { cluster: CLUSTER, member }).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap().to_string();
-    let tcp = Tcp::member(keys(1), CLUSTER, member, addr.clone());
+    let tcp = TcpTransport::member(keys(1), CLUSTER, member, addr.clone());
     let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
@@ -90,22 +92,24 @@
 
 /// A subscriber, and the purge events that it has reported.
 pub(crate) struct TestSubscriber {
-    pub(crate) feed: Feed,
+    pub(crate) feed: SubscriberFeed,
     pub(crate) purges: Arc<Mutex<Vec<Event>>>,
     pub(crate) stop: CancellationToken,
-    pub(crate) tcp: Tcp,
+    pub(crate) tcp: TcpTransport,
 }
 
 pub(crate) fn follows(
     subscriber: u64,
     tiers: &[Vec<String>],
-    tcp: Tcp,
+    tcp: TcpTransport,
     cluster: u128,
-    saved: Option<(SubscriberFolder, Table)>,
+    saved: Option<(SubscriberFolder, FeedTable)>,
 ) -> TestSubscriber {
-    let (folder, table) = saved.map_or((None, Table::default()), |(folder, table)| (Some(folder), table));
-    let feed =
-        Feed::new(cluster, Subscriber::new(table, PublisherSelector::new(subscriber, tiers, subscriber)));
+    let (folder, table) = saved.map_or((None, FeedTable::default()), |(folder, table)| (Some(folder), table));
+    let feed = SubscriberFeed::new(
+        cluster,
+        Subscriber::new(table, PublisherSelector::new(subscriber, tiers, subscriber)),
+    );
     let (stop, purges) = (CancellationToken::new(), Arc::<Mutex<Vec<Event>>>::default());
     let recorded = purges.clone();
     let on_purge = Box::new(move |event: &Event| recorded.lock().unwrap().push(event.clone()));
@@ -114,12 +118,12 @@
 }
 
 pub(crate) fn subscriber(subscriber: u64, tiers: &[Vec<String>]) -> TestSubscriber {
-    follows(subscriber, tiers, Tcp::subscriber(keys(1).subscriber_keys(), CLUSTER), CLUSTER, None)
+    follows(subscriber, tiers, TcpTransport::subscriber(keys(1).subscriber_keys(), CLUSTER), CLUSTER, None)
 }
 
 impl TestSubscriber {
     /// Serves others as a relay, with these limits.
-    pub(crate) async fn relays(&self, limits: Limits) -> (String, CancellationToken) {
+    pub(crate) async fn relays(&self, limits: SessionLimits) -> (String, CancellationToken) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (addr, stop) = (listener.local_addr().unwrap().to_string(), CancellationToken::new());
         tokio::spawn(serve_relay(listener, self.feed.clone(), self.tcp.clone(), limits, stop.clone()));
--- a/crates/store/tests/hostile/mod.rs
+++ b/crates/store/tests/hostile/mod.rs
@@ -5,10 +5,10 @@
 use stonefold_store::feed::frame::{
     Hello, Item, ItemKey, PublisherFrame, SubscriberFrame, decode_frame, encode_frame,
 };
-use stonefold_store::feed::publisher::{Limits, Session};
+use stonefold_store::feed::publisher::{PublisherSession, SessionLimits};
 use stonefold_store::feed::selector::PublisherSelector;
 use stonefold_store::feed::subscriber::Subscriber;
-use stonefold_store::feed::table::Table;
+use stonefold_store::feed::table::FeedTable;
 use stonefold_store::message::{Request, Response};
 use stonefold_store::raft::Entry;
 use stonefold_store::snapshot::open_snapshot;
@@ -44,7 +44,7 @@
 
 /// Feeds bytes to a subscriber and to a publisher's session that have a few items.
 pub(crate) fn feed(bytes: &[u8]) {
-    let mut table = Table::default();
+    let mut table = FeedTable::default();
     let name = "d".to_owned();
     table.put(3, &Item::Document { name: name.clone(), text: "t".into(), author: "a".into(), at_ms: 7 });
     table.put(4, &Item::List { version: 9, text: "[{}]".into() });
@@ -72,14 +72,16 @@
     }
     match decode_frame::<SubscriberFrame>(bytes) {
         Ok(SubscriberFrame::Hello(hello)) => {
-            if let Ok(mut session) = Session::open(&hello, &table, true, Limits::default(), 0) {
+            if let Ok(mut session) = PublisherSession::open(&hello, &table, true, SessionLimits::default(), 0)
+            {
                 let _ = session.poll(0, &mut table, Some(0)).unwrap();
                 let _ = session.next_poll_at(0, &table);
             }
         }
         Ok(SubscriberFrame::Ack(ack)) => {
             let hello = Hello { revision: 4, list_version: 9, last_purge: None, time: 0 };
-            let mut session = Session::open(&hello, &table, true, Limits::default(), 0).unwrap();
+            let mut session =
+                PublisherSession::open(&hello, &table, true, SessionLimits::default(), 0).unwrap();
             let _ = session.on_ack(ack, 1);
             let _ = session.next_poll_at(1, &table);
         }
