--- a/crates/allotment/src/quota.rs
+++ b/crates/allotment/src/quota.rs
@@ -1,4 +1,4 @@
-//! One sender's quota of the calls that one server handles while it warms up.
+//! The quota of one sender for calls to one server while that warms up.
 
 use std::collections::VecDeque;
 
@@ -6,32 +6,33 @@
 
 use crate::{Micros, Sender, SlowStart, tokens};
 
-/// The bits of a hash from which the phase of a quota is taken.
+/// Mask of the bits of a hash that give the phase of a quota.
 const PHASE_MASK: u64 = 0xffff;
-/// Number of phases: one more than [`PHASE_MASK`].
+/// Number of different phases: one more than [`PHASE_MASK`].
 const PHASES: f64 = 65_536.0;
 
-/// The calls that one sender may send to one server, by a sliding window log of those sent.
+/// The number of calls that one sender may send to one server, with a sliding window log of the calls sent.
 #[derive(Clone, Debug)]
 pub struct Quota {
     server: u64,
-    /// The sender's rank in the order for this server, from 0.
+    /// The rank of the sender in the order of all senders for this server, from 0.
     rank: u64,
-    /// The index and the number of senders for which the rank holds; a number of 0 means none yet.
+    /// The sender's index for which `rank` was computed.
     index: u64,
+    /// The number of senders for which `rank` was computed; 0 if it was not computed yet.
     senders: u64,
     server_started_at: Micros,
-    /// From when the quota opens, gradually within one window.
+    /// From when calls are allowed; the quota becomes available gradually within one window.
     opens_at: Micros,
-    /// Where in a step of opening the first token becomes available, 0 to 1. It differs between senders, so
-    /// that they don't send in step.
+    /// The fraction of a token that is available at `opens_at`, 0 to 1. It differs between senders, so that they
+    /// don't send at the same moments.
     phase: f64,
-    /// When calls of the latest window were sent, oldest first.
+    /// When the calls of the latest window were sent, oldest first.
     sent: VecDeque<Micros>,
 }
 
 impl Quota {
-    /// The quota for a server that has no known start yet.
+    /// The quota for a server whose start is not known yet.
     pub fn new(server: u64) -> Self {
         Quota {
             server,
@@ -45,10 +46,11 @@
         }
     }
 
-    /// The server started at `started_at`, which this sender learned at `now`. Calls sent before still count.
+    /// Notes that the server started at `started_at`, which this sender learned at `now`. Calls that were sent
+    /// before still count.
     ///
-    /// A sender that began after the server's start can't know what its former process has sent: its quota opens
-    /// one window after its own beginning.
+    /// A sender that started after the server can't know what its former process has sent: its quota opens one
+    /// window after its own start.
     pub fn restart(&mut self, sender: &Sender, started_at: Micros, now: Micros, slow_start: &SlowStart) {
         self.server_started_at = started_at;
         self.opens_at = if sender.running_since() > started_at {
@@ -59,7 +61,7 @@
         self.resize(sender);
     }
 
-    /// The number of senders has changed, or this one's index. Calls sent before still count.
+    /// Follows a change of the number of senders or of the sender's index. Calls that were sent before still count.
     pub fn resize(&mut self, sender: &Sender) {
         let (index, senders) = (sender.index(), sender.count());
         if (index, senders) == (self.index, self.senders) {
@@ -69,24 +71,25 @@
         let own_key = order_key(index);
         let ranks_before = |&other: &u64| (order_key(other), other) < (own_key, index);
         self.rank = (0..senders).filter(ranks_before).count() as u64;
-        // The low bits of the hash are independent of the rank.
+        // The order of the hashes depends on their high bits, so the low bits are independent of the rank.
         self.phase = (order_key(sender.distinct_number()) & PHASE_MASK) as f64 / PHASES;
         self.index = index;
         self.senders = senders;
     }
 
-    /// The part of these tokens that this sender has in any window.
+    /// How many of these tokens this sender has in any window.
     pub fn share(&self, tokens: u64) -> u64 {
         let senders = self.senders.max(1);
         tokens / senders + u64::from(self.rank < tokens % senders)
     }
 
-    /// Calls that may be sent now, where the warm server handles `capacity` calls per second from all senders
-    /// together.
+    /// Number of calls that may be sent now, where the server, once warm, handles `capacity` calls per second from
+    /// all senders together.
     pub fn remaining(&self, slow_start: &SlowStart, capacity: f64, now: Micros) -> u64 {
         let age = now.saturating_sub(self.server_started_at);
         let share = self.share(tokens(slow_start.budget(capacity, age)));
-        // The quota opens gradually, so that senders that learn of a start together don't send all of it at once.
+        // The quota becomes available gradually, so that senders that learn of a start together don't use all of it
+        // at once.
         let Some(open_for) = now.checked_sub(self.opens_at) else { return 0 };
         let window = slow_start.overload_window.max(1) as f64;
         let opened = share as f64 * open_for as f64 / window + self.phase;
@@ -102,7 +105,7 @@
         self.sent.push_back(now);
     }
 
-    /// Calls sent within the window of this length that ends now.
+    /// Number of calls sent within the window of this length that ends now.
     pub fn sent_within(&self, window: Micros, now: Micros) -> u64 {
         let is_recent = |&&sent_at: &&Micros| now.saturating_sub(sent_at) < window;
         self.sent.iter().rev().take_while(is_recent).count() as u64
--- a/crates/allotment/src/sender.rs
+++ b/crates/allotment/src/sender.rs
@@ -1,4 +1,4 @@
-//! Which of all senders a process is.
+//! The identity of a process among all senders.
 
 use crate::Micros;
 
@@ -9,15 +9,15 @@
     count: usize,
     running_since: Micros,
     seed: u64,
-    /// The index was assigned, not drawn from the seed.
+    /// Whether the index was assigned rather than drawn from the seed.
     has_assigned_index: bool,
 }
 
 impl Sender {
     /// Sender `index` of `count`, counting from 0, in a process that has been running since `running_since`.
     ///
-    /// Without an index, or with one out of range, an index is drawn from `seed`: quotas then add up on average
-    /// only.
+    /// If the index is `None` or out of range, one is drawn from `seed`. Several senders may then have the same index,
+    /// so that quotas add up to the tokens only on average.
     pub fn new(index: Option<usize>, count: usize, running_since: Micros, seed: u64) -> Self {
         let count = count.max(1);
         let assigned = index.filter(|&index| index < count);
@@ -25,7 +25,7 @@
         Sender { index, count, running_since, seed, has_assigned_index: assigned.is_some() }
     }
 
-    /// The same process with another index, or among more or fewer senders.
+    /// The same process with another index or another number of senders.
     pub fn with_index(self, index: Option<usize>, count: usize) -> Self {
         Sender::new(index, count, self.running_since, self.seed)
     }
@@ -45,8 +45,8 @@
         self.running_since
     }
 
-    /// A number that differs between senders: the index, or the seed where other senders may have drawn the same
-    /// index.
+    /// A number that differs between senders: the index, or the seed if the index was drawn, since other senders may
+    /// have drawn the same one.
     pub(crate) fn distinct_number(&self) -> u64 {
         if self.has_assigned_index { self.index() } else { self.seed }
     }
