--- a/crates/balancer/src/admission_queue.rs
+++ b/crates/balancer/src/admission_queue.rs
@@ -1,8 +1,8 @@
 //! Requests that wait for capacity at one tier: in which order they are admitted and which are shed.
 //!
-//! The queue is ordered by priority and, among equals, newest first: under a lasting overload some requests
-//! are then answered in time, where first-in-first-out would make all of them late. It is bounded in length
-//! and in time, so that clients whose requests have no prospect are rejected early.
+//! The queue is ordered by priority and, at equal priority, newest first: under a lasting overload some
+//! requests are then answered in time, where first-in-first-out would make all of them late. Its length and
+//! the time in it are bounded, so that requests that are unlikely to be admitted are rejected early.
 //!
 //! Inputs: priority weight, kind and times of a request (in microseconds), and the tier's concurrency limit
 //! in attempts.
@@ -13,22 +13,24 @@
 use crate::api::{Micros, RequestId};
 use crate::request::OpenRequest;
 
-/// Writes are admitted before reads: their priority weight is multiplied by this.
+/// Factor on the priority weight of writes, so that they are admitted before reads.
 const WRITE_PRIORITY: f64 = 1e3;
-/// Reads that will probably miss their latency objective are admitted after all others.
+/// Factor on the priority weight of reads that will probably miss their latency objective, so that they are
+/// admitted after all others.
 const LATE_READ_PRIORITY: f64 = 0.01;
 /// A read that has waited for its latency objective divided by this will probably miss it.
 const LATE_READ_DIVISOR: Micros = 2;
-/// Priorities are compared in steps of one divided by this.
+/// Steps per unit in which priorities are compared: requests within one step have equal priority.
 const PRIORITY_RESOLUTION: f64 = 1e3;
-/// A queue may hold this part of the concurrency limit ...
+/// Requests that a queue may hold, as a fraction of the concurrency limit.
 const QUEUE_LENGTH_FRACTION: f64 = 0.5;
-/// ... and this many requests beside.
-const MIN_QUEUE_LENGTH: f64 = 4.0;
-/// A request that has not been sent within its time limit divided by this seldom is, the newest being first.
+/// Requests that a queue may hold in addition to [`QUEUE_LENGTH_FRACTION`] of the limit.
+const BASE_QUEUE_LENGTH: f64 = 4.0;
+/// A request without any attempt is given up after its time limit divided by this: as the newest are
+/// admitted first, one that has waited for so long is seldom admitted.
 const QUEUEING_TIME_DIVISOR: Micros = 2;
 
-/// A place in the queue; the least is admitted first.
+/// A position in the queue; the lowest is admitted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     priority: Reverse<u64>,
@@ -40,6 +42,7 @@
 #[derive(Default)]
 pub(crate) struct AdmissionQueue {
     positions: BTreeSet<QueuePosition>,
+    /// Number of requests added so far, the sequence number of the latest.
     enqueued: u64,
 }
 
@@ -53,20 +56,20 @@
         position
     }
 
-    /// Removes a request that no longer waits, if it is still there.
+    /// Removes a request that no longer waits, if it is still in the queue.
     pub(crate) fn remove(&mut self, position: &QueuePosition) {
         self.positions.remove(position);
     }
 
-    /// Takes the request that is admitted next.
+    /// Removes and returns the request that is admitted next.
     pub(crate) fn pop_next(&mut self) -> Option<RequestId> {
         self.positions.pop_first().map(|position| position.request)
     }
 
-    /// Takes the request that is shed: the last in order, while more wait than can be admitted in time under
-    /// this concurrency limit. Waiting requests occupy client connections.
+    /// Removes and returns the request that is shed: the last in order, while the queue is longer than this
+    /// concurrency limit can admit in time. Waiting requests occupy client connections.
     pub(crate) fn pop_excess(&mut self, concurrency_limit: f64) -> Option<RequestId> {
-        let max_length = concurrency_limit * QUEUE_LENGTH_FRACTION + MIN_QUEUE_LENGTH;
+        let max_length = concurrency_limit * QUEUE_LENGTH_FRACTION + BASE_QUEUE_LENGTH;
         if self.positions.len() as f64 <= max_length {
             return None;
         }
@@ -74,8 +77,8 @@
     }
 }
 
-/// The priority of a request in the queue at time `now`: writes first, then by priority weight, reads that
-/// will be late last.
+/// The priority of a request that joins the queue at time `now`: its priority weight, raised for a write
+/// and reduced for a read that will be late. It has no unit; only its order matters.
 pub(crate) fn queue_priority(request: &OpenRequest, now: Micros) -> f64 {
     let late_from = request.arrived_at.saturating_add(request.rules.latency_objective / LATE_READ_DIVISOR);
     let factor = match (request.is_write, now <= late_from) {
@@ -86,13 +89,13 @@
     request.rules.priority_weight * factor
 }
 
-/// When a request in the queue is given up: once too little time is left for an attempt, which needs
-/// `attempt_time` microseconds, or once a request without any attempt has waited for half of its time.
+/// When a request in the queue is given up: once less than `attempt_time` microseconds are left, the least
+/// that an attempt needs, or, for a request without any attempt, once half of its time limit has passed.
 pub(crate) fn give_up_at(request: &OpenRequest, attempt_time: Micros) -> Micros {
-    let last_chance = request.deadline.saturating_sub(attempt_time);
+    let latest_send_at = request.deadline.saturating_sub(attempt_time);
     if !request.attempts.is_empty() {
-        return last_chance;
+        return latest_send_at;
     }
     let time_limit = request.deadline.saturating_sub(request.arrived_at);
-    (request.arrived_at + time_limit / QUEUEING_TIME_DIVISOR).min(last_chance)
+    (request.arrived_at + time_limit / QUEUEING_TIME_DIVISOR).min(latest_send_at)
 }
--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,40 +1,41 @@
-//! What a balancer asks for.
+//! The actions that a balancer asks for.
 
 use super::{AttemptId, Micros, RequestId, ServerId, TimerToken};
 
-/// What the embedder must do, in order.
+/// An action that the embedder must carry out, in the order in which the balancer returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the request's next attempt.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// The attempt's timeout, which is never 0.
+        /// The timeout of the attempt, from now; never 0.
         timeout: Micros,
-        /// It may not be sent at this time or later: a repeat of what may have run, which servers discard until then.
+        /// The attempt may not be sent at this time or later. Set for a repeat of a request that may have run, which
+        /// the servers discard until then.
         send_before: Option<Micros>,
     },
     /// Stop waiting for an attempt; its [`Event::AttemptEnded`](super::Event::AttemptEnded) still comes.
     Cancel(AttemptId),
-    /// Final answer: rejected, the request had no effect and may be retried.
+    /// The final answer of a request is a rejection: the client may repeat it without harm.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before a retry; 0 is no advice.
+        /// How long the client should wait before it repeats the request; 0 if it gets no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise about its effect.
+    /// The final answer of a request is a failure: it may or may not have taken effect.
     Fail(RequestId),
-    /// Deliver [`Event::Timer`](super::Event::Timer) after this time.
+    /// Deliver an [`Event::Timer`](super::Event::Timer) later.
     SetTimer {
-        /// From now.
+        /// The delay, from now.
         after: Micros,
-        /// To be given back.
+        /// The token to deliver with the event.
         token: TimerToken,
     },
-    /// Watch the endpoint list from now on.
+    /// Start a watch of the endpoint list.
     WatchEndpoints,
     /// Close this node's idle connections to a server.
     CloseIdleConnections(ServerId),
--- a/crates/balancer/src/api/attempt.rs
+++ b/crates/balancer/src/api/attempt.rs
@@ -1,32 +1,32 @@
-//! How attempts end.
+//! The end of an attempt.
 
 use super::{AttemptId, Micros};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server served the request.
     Success,
     /// The server answered with an error; the request may have run.
     ServerError,
     /// The server's queue was full; the request has not run.
     Rejected,
-    /// No response in time; the request may have run.
+    /// No response came in time; the request may have run.
     TimedOut,
-    /// No connection came up.
+    /// No connection to the server could be opened; the request has not run.
     ConnectFailed,
     /// The connection broke; the request may have run.
     ConnectionReset,
-    /// Cancelled; the request may have run.
+    /// The attempt was cancelled; the request may have run.
     Canceled,
-    /// Not sent.
+    /// The embedder did not send the attempt; the request has not run.
     NotSent,
-    /// The cache holds no value for the key.
+    /// The cache has no value for the key; the request has not run.
     CacheMiss,
 }
 
 impl Outcome {
-    /// Whether the request may have had its effect, if anything of it was sent.
+    /// Whether the request may have taken effect, given that at least one byte of it was sent.
     pub fn may_have_run(self) -> bool {
         match self {
             Outcome::Success | Outcome::ServerError => true,
@@ -45,19 +45,20 @@
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Micros,
-    /// The request has its final answer, by this outcome or before.
+    /// Whether the request has its final answer, through this attempt or another one before.
     pub settled: bool,
-    /// Whether the server held the value, where it reported that.
+    /// Whether the server had the value in its cache, if it reported that.
     pub cache_hit: Option<bool>,
-    /// How busy the server's cores are (0 to 1), where it reported that.
+    /// The fraction of the server's cores that are in use (0 to 1), if it reported that.
     pub utilization: Option<f64>,
-    /// Whether any byte of it was written. An attempt of which none was has surely had no effect, whatever its
-    /// outcome: its connection did not come up before the request's deadline, say.
+    /// Whether any byte of the attempt was written. If none was, as when its connection was not open before the
+    /// request's deadline, the attempt certainly had no effect, whatever its outcome.
     pub bytes_sent: bool,
 }
 
 impl AttemptEnd {
-    /// An attempt that ended at once, with nothing reported beside; it settles the request if it was served.
+    /// The end of an attempt that took no time and for which the server reported nothing; it settles the request if it
+    /// succeeded.
     pub fn new(attempt: AttemptId, outcome: Outcome) -> Self {
         AttemptEnd {
             attempt,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether the request may have had its effect by this attempt.
+    /// Whether the request may have taken effect through this attempt.
     pub fn may_have_run(&self) -> bool {
         self.bytes_sent && self.outcome.may_have_run()
     }
--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -1,15 +1,15 @@
-//! The list of endpoints: cache servers and the origin.
+//! The endpoint list: cache servers and the origin.
 
 use super::{DeduplicationScope, Micros, ServerId};
 
-/// State of an endpoint.
+/// The state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// In service.
+    /// It is in service.
     Up,
-    /// Finishes its work; must get nothing new.
+    /// It finishes its requests and must get no new ones.
     Draining,
-    /// No longer there.
+    /// It is no longer in the list.
     Removed,
 }
 
@@ -24,18 +24,18 @@
     pub zone: u32,
     /// Its cell, for [`DeduplicationScope::Cell`].
     pub cell: u32,
-    /// Its type of machine; those of one type are about equally fast.
+    /// Its type of machine; machines of one type are about equally fast.
     pub machine_type: u32,
-    /// Size in comparison with the others.
+    /// Its size relative to the other servers.
     pub weight: f64,
-    /// When it last started; `None` is long ago.
+    /// When it last started; `None` if that is long ago.
     pub started_at: Option<Micros>,
-    /// It is the origin, not a cache.
+    /// Whether it is the origin rather than a cache.
     pub is_origin: bool,
 }
 
 impl Endpoint {
-    /// A cache in service since long ago, of weight 1.
+    /// A cache of weight 1 that is in service and started long ago.
     pub fn up(id: ServerId) -> Self {
         Endpoint {
             id,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether this server and `other` discard each other's repeats.
+    /// Whether this server and `other` discard repeats of requests that the other one has run.
     pub fn shares_deduplication(&self, other: &Endpoint, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
@@ -59,13 +59,13 @@
     }
 }
 
-/// How an update relates to the endpoint list held.
+/// How an update relates to the present endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Changed entries only.
+    /// It has only the entries that changed.
     Delta,
-    /// The complete list: endpoints it omits are removed.
+    /// It is the complete list: endpoints that it omits are removed.
     Full,
-    /// A poll failed or the watch broke; the list held stays in force.
+    /// There is none: a poll failed or the watch broke. The present list stays in force.
     Failed,
 }
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -1,18 +1,18 @@
-//! What a balancer is notified of.
+//! The events that a balancer is notified of.
 
 use super::{
     AttemptEnd, AttemptId, Endpoint, EndpointUpdate, Micros, Request, RequestId, ServerId, Settings,
     TimerToken,
 };
 
-/// What happened.
+/// An event that the embedder reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An update of the endpoint list.
+    /// The endpoint list or changes of it arrived, or a poll or watch of it failed.
     Endpoints {
-        /// How to read `endpoints`.
+        /// What `endpoints` has.
         update: EndpointUpdate,
-        /// The entries.
+        /// Entries of the list.
         endpoints: Vec<Endpoint>,
     },
     /// A client's request was received; it must get one final answer.
@@ -21,24 +21,25 @@
     AttemptEnded(AttemptEnd),
     /// The response of an attempt has begun and is forwarded to the client.
     ResponseStarted(AttemptId),
-    /// The client disconnected; it expects no answer any more.
+    /// The client disconnected; its request needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A timer is due.
+    /// A timer expired.
     Timer(TimerToken),
-    /// New settings. A class or tenant keeps its index, and new ones come behind those before; open requests
-    /// keep the rules of their class and the most attempts.
+    /// The settings changed. Classes and tenants must keep their indices, and new ones must follow the previous ones.
+    /// Open requests keep the rules of their class and their largest number of attempts.
     Settings(Box<Settings>),
-    /// Operators take a server out of service, whatever the endpoint list has, until they enable it. It need not be
-    /// listed. Idempotent.
+    /// Operators take a server out of service, regardless of the endpoint list, until they enable it. The server need
+    /// not be listed. Repeating the event has no further effect.
     Disable(ServerId),
     /// Operators put a server back into service, possibly after restarting it.
     Enable {
         /// The server.
         server: ServerId,
-        /// Since when it may be used; its slow start counts from then.
+        /// Since when it may be used; its slow start begins then.
         since: Micros,
     },
-    /// Graceful shutdown: every request, also one received before, must have its final answer by this time.
+    /// A graceful shutdown begins: every request, also one received earlier, must have its final answer by the
+    /// deadline.
     Shutdown {
         /// When the process ends.
         deadline: Micros,
--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -1,10 +1,11 @@
-//! The interface of the decisions: the events a [`Balancer`](crate::Balancer) takes in and the actions it returns.
+//! The interface of the decisions: the events that a [`Balancer`](crate::Balancer) takes and the actions that it
+//! returns.
 //!
-//! Transport-free. All times and durations are whole microseconds; the clock may start anywhere but never goes back
-//! (an earlier `now` is read as the latest one seen).
+//! The interface is independent of any transport. All times and durations are whole microseconds. The clock may start
+//! at any value but must not go back: a `now` that is earlier than a previous one counts as that one.
 //!
-//! Misuse is harmless: an event about an unknown request, attempt or timer is ignored, as is a second [`Request`]
-//! with an id still in use. Each [`Action::Send`] must be answered by exactly one [`Event::AttemptEnded`]; while one
+//! Misuse is harmless: an event about an unknown request, attempt or timer is ignored, as is a second [`Request`] with
+//! an id that is still in use. Each [`Action::Send`] must be answered by exactly one [`Event::AttemptEnded`]; while one
 //! is missing, the attempt counts as in flight.
 
 mod action;
--- a/crates/balancer/src/api/request.rs
+++ b/crates/balancer/src/api/request.rs
@@ -1,8 +1,8 @@
-//! A client's request.
+//! The request of a client.
 
 use super::{Micros, RequestId};
 
-/// A client's request.
+/// The request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Its id.
@@ -13,14 +13,14 @@
     pub tenant: Option<usize>,
     /// The key it reads or writes.
     pub key: Option<String>,
-    /// Time left until the client gives up.
+    /// Time until its deadline, when the client gives up.
     pub timeout: Micros,
-    /// It changes something.
+    /// Whether it is a write.
     pub is_write: bool,
 }
 
 impl Request {
-    /// A read of no class, tenant or key, with no time left.
+    /// A read without class, tenant or key, whose deadline is now.
     pub fn new(id: RequestId) -> Self {
         Request { id, class: None, tenant: None, key: None, timeout: 0, is_write: false }
     }
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! What a balancer is configured with.
+//! The settings of a balancer.
 
 use stonefold_allotment::SlowStart;
 
@@ -7,90 +7,92 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated freely.
+    /// It may run any number of times.
     Idempotent,
-    /// Carries an idempotency key: the servers of one [`DeduplicationScope`] discard its repeats for a time.
+    /// It has an idempotency key, by which the servers within a [`DeduplicationScope`] discard its repeats for a time.
     Keyed {
         /// Which servers discard repeats.
         scope: DeduplicationScope,
-        /// For how long after the first send that may have run.
+        /// For how long they do, from the first attempt that may have run.
         window: Micros,
     },
-    /// Must not run twice.
+    /// It must not run twice.
     NonIdempotent,
 }
 
 /// Which servers discard the repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those in the zone of the first.
+    /// Those in the same zone as the server of the first attempt.
     Zone,
-    /// Those in the cell of the first ([`Endpoint::cell`](super::Endpoint::cell)).
+    /// Those in the same cell as the server of the first attempt ([`Endpoint::cell`](super::Endpoint::cell)).
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Responses within this time count in full.
+    /// The response time within which a response has its full value.
     pub latency_objective: Micros,
-    /// Priority of one response in comparison with those of other classes.
+    /// Priority of a request in comparison with those of other classes.
     pub priority_weight: f64,
     /// Whether a request of the class may run more than once.
     pub idempotency: Idempotency,
 }
 
-/// How a value that no cache holds is fetched from the origin.
+/// How a value that a cache doesn't have is fetched from the origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheMode {
-    /// Cache-aside: a cache answers [`Outcome::CacheMiss`](super::Outcome::CacheMiss), and the node fetches it from the origin,
-    /// which is an endpoint of the list.
+    /// Cache-aside: a cache answers [`Outcome::CacheMiss`](super::Outcome::CacheMiss), and the node fetches it from the
+    /// origin, which is an endpoint of the list.
     Aside,
-    /// Read-through and write-through: the cache fetches by itself; writes go through any cache.
+    /// Read-through and write-through: the cache fetches the value by itself; writes may go to any cache.
     Through,
 }
 
 /// The settings of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Classes, by the index that [`Request::class`](super::Request::class) uses.
+    /// The classes, by the index that [`Request::class`](super::Request::class) uses.
     pub classes: Vec<RequestClass>,
     /// Each tenant's quota of the service, 0 to 1, by the index that [`Request::tenant`](super::Request::tenant) uses.
     pub tenant_quotas: Vec<f64>,
-    /// Priority weight of a request beyond its tenant's quota, as a fraction of its class's.
+    /// Factor on the priority weight of a request whose tenant exceeds its quota.
     pub over_quota_weight: f64,
-    /// How missing values are fetched.
+    /// How values that a cache doesn't have are fetched.
     pub cache_mode: CacheMode,
-    /// Whether the endpoint list must be watched.
+    /// Whether the endpoint list must be watched rather than polled.
     pub watch_required: bool,
     /// Without a watch, the endpoint list must be polled at least this often.
     pub max_poll_interval: Micros,
-    /// Whether [`Endpoint::weight`](super::Endpoint::weight) is a steady size (if not, it is not used).
+    /// Whether [`Endpoint::weight`](super::Endpoint::weight) is the steady size of a server. If not, weights are not
+    /// used.
     pub static_weights: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Two attempts of a request may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Most attempts per request.
+    /// The largest number of attempts per request.
     pub max_attempts: usize,
-    /// Longest Retry-After that a client honours; 0 if none does.
+    /// The longest Retry-After that clients honour; 0 if they honour none.
     pub max_retry_after: Micros,
-    /// A started server has warmed up after this time.
+    /// The duration of slow start: a server is warm when it has run for this time.
     pub slow_start_duration: Micros,
-    /// A started server has at least this fraction of its capacity.
+    /// The smallest fraction of its capacity that a server has after a start, 0 to 1.
     pub initial_capacity: f64,
-    /// A server that warms up is overloaded if sent this multiple of its capacity...
+    /// A server in slow start is overloaded when it is sent this multiple of its present capacity within
+    /// [`overload_window`](Self::overload_window).
     pub overload_factor: f64,
-    /// ...over a window of this length.
+    /// The length of the window in which a server in slow start can be overloaded.
     pub overload_window: Micros,
-    /// The least time between events; queued requests are answered this much before their deadline.
+    /// The least time between two events. Requests that wait are answered this long before their deadline.
     pub timer_granularity: Micros,
-    /// Nodes that send to these servers, this one included.
+    /// Number of nodes that send to these servers, including this one.
     pub node_count: usize,
-    /// Which of them this one is, from 0. Without it, or out of range, the quotas that nodes take of servers in slow
-    /// start add up on average only.
+    /// The index of this node among them, from 0. Where it is `None` or out of range, the quotas of a server in slow
+    /// start add up to its budget only on average.
     pub node_index: Option<usize>,
     /// Servers close idle connections after this time.
     pub idle_timeout: Micros,
@@ -100,21 +102,21 @@
     pub cross_zone_cost: f64,
 }
 
-/// [`Settings::max_poll_interval`] where none is stated.
+/// [`Settings::max_poll_interval`] of the default settings.
 const DEFAULT_MAX_POLL_INTERVAL: Micros = 10_000_000;
-/// [`Settings::max_attempts`] where none is stated.
+/// [`Settings::max_attempts`] of the default settings.
 const DEFAULT_MAX_ATTEMPTS: usize = 4;
-/// [`Settings::overload_factor`] where none is stated.
+/// [`Settings::overload_factor`] of the default settings.
 const DEFAULT_OVERLOAD_FACTOR: f64 = 3.0;
 /// [`Settings::overload_window`] of the default settings.
 const DEFAULT_OVERLOAD_WINDOW: Micros = 1_000_000;
 /// [`Settings::timer_granularity`] of the default settings.
 const DEFAULT_TIMER_GRANULARITY: Micros = 1_000;
-/// [`Settings::idle_timeout`] where none is stated.
+/// [`Settings::idle_timeout`] of the default settings.
 const DEFAULT_IDLE_TIMEOUT: Micros = 60_000_000;
 
 impl Default for Settings {
-    /// No named classes, values fetched by the caches, no slow start.
+    /// Settings without classes, tenants and slow start, where the caches fetch values by themselves.
     fn default() -> Self {
         Settings {
             classes: Vec::new(),
@@ -143,7 +145,7 @@
 }
 
 impl Settings {
-    /// How a started server warms up and how much load overloads it until then.
+    /// The parameters of slow start.
     pub fn slow_start(&self) -> SlowStart {
         SlowStart {
             duration: self.slow_start_duration,
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Whether a request may run more than once. A read of an unknown class changes nothing; a write might.
+    /// Whether a request may run more than once. Without a known class, a read is idempotent and a write is not.
     pub fn idempotency(&self, class: Option<usize>, is_write: bool) -> Idempotency {
         let unclassified = if is_write { Idempotency::NonIdempotent } else { Idempotency::Idempotent };
         let class = class.and_then(|class| self.classes.get(class));
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,9 +1,10 @@
-//! The sequence of the rules: each event is passed to the rules that it concerns, and their decisions become
-//! actions.
+//! The order in which the rules apply: each event is passed to the rules that it concerns, and their
+//! decisions become actions.
 //!
-//! A request passes `requests` (arrival and next step), `selection` (candidates and the choice among them),
-//! `sending` (every send, and hedged requests) and `outcomes`; it waits in `waiting` and gets its final
-//! answer in `answers`. `endpoints` follows the endpoint list and the operators.
+//! A request passes through `requests` (its arrival and each next step), `selection` (its candidates and
+//! the choice among them), `sending` (every send, and extra attempts of late reads) and `outcomes` (the end
+//! of an attempt). `waiting` has the requests that wait, and `answers` the final answers. `endpoints`
+//! follows the endpoint list and the operators' overrides.
 
 mod answers;
 mod endpoints;
@@ -15,7 +16,7 @@
 
 use std::collections::HashMap;
 
-use answers::Ending;
+use answers::RequestOutcome;
 use stonefold_allotment::Sender;
 
 use crate::api::{Action, Event, Micros, RequestId, Settings};
@@ -36,16 +37,17 @@
 use crate::timers::Timer;
 use crate::zone_health::ZoneHealth;
 
-/// Latency objective where no class states one, in microseconds.
+/// Latency objective that the initial estimates assume where no class has one, in microseconds.
 const DEFAULT_OBJECTIVE: f64 = 1e6;
 
-/// Decides for one node; see [`on_event`](Balancer::on_event).
+/// The decisions of one node: takes [`Event`]s and answers with [`Action`]s, see
+/// [`on_event`](Balancer::on_event).
 pub struct Balancer {
     settings: Settings,
     rng: fastrand::Rng,
     /// The time of the latest event.
     now: Micros,
-    /// Which of all nodes this one is. Its quota at a server in slow start depends on it.
+    /// The index of this node among all nodes, on which its quota of a server in slow start depends.
     sender: Sender,
     requests: HashMap<RequestId, OpenRequest>,
     servers: ServerList,
@@ -65,7 +67,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no server yet. Random choices come from `seed` alone.
+    /// A balancer that knows no server yet. All random choices derive from `seed`.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         let objectives = settings.classes.iter().map(|class| class.latency_objective as f64);
         let objective = objectives.reduce(f64::min).filter(|&objective| objective > 0.0);
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends to `out` the actions to carry out, in their order.
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.settings.watch_required && self.watch.start() {
@@ -105,7 +107,7 @@
             Event::Request(request) => self.on_request(request, out),
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, out),
             Event::ResponseStarted(attempt) => self.on_response_started(attempt, out),
-            Event::ClientDisconnected(id) => self.settle(id, Ending::Unserved, out),
+            Event::ClientDisconnected(id) => self.settle(id, RequestOutcome::Unserved, out),
             Event::Timer(token) => self.on_timer(token.into(), out),
             Event::Settings(settings) => self.reconfigure(*settings),
             Event::Disable(server) => self.disable(server, out),
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Adopts new settings; what was measured by class and by tenant stays.
+    /// Applies new settings; what was measured by class and by tenant stays.
     fn reconfigure(&mut self, settings: Settings) {
         self.class_latencies.add_classes(&settings.classes);
         self.tenants.grow(settings.tenant_quotas.len(), self.now);
--- a/crates/balancer/src/balancer/answers.rs
+++ b/crates/balancer/src/balancer/answers.rs
@@ -1,27 +1,28 @@
-//! Final answers, and the end of a request.
+//! Final answers to requests, and what ends with them.
 
 use super::Balancer;
 use crate::api::{Action, AttemptId, Micros, RequestId};
 use crate::retry_after::retry_after;
 use crate::timers::Timer;
 
-/// Whether a request got a server's response, for the load estimate.
+/// How a request ended, as the load estimate counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ending {
-    /// A server's response was its final answer.
+pub(super) enum RequestOutcome {
+    /// Its final answer was a server's response.
     Served,
-    /// It was rejected, has failed, or its client has disconnected.
+    /// It was rejected or failed, or its client disconnected.
     Unserved,
 }
 
 impl Balancer {
-    /// How long a client whose request of this class is rejected should wait before it retries, in
-    /// microseconds, with jitter; 0 where the settings allow no such advice.
+    /// How long a client whose request of this class is rejected should wait before it tries again, in
+    /// microseconds, with jitter; 0 where clients honour no Retry-After by the settings.
     pub fn retry_after(&mut self, class: Option<usize>) -> Micros {
         retry_after(self.class_latencies.get(class), self.settings.max_retry_after, &mut self.rng)
     }
 
-    /// Gives a request its final answer: rejected where a repeat does no harm, else failed.
+    /// Gives a request its final answer where no server's response is expected any more: rejected if a
+    /// repeat by the client does no harm, else failed.
     pub(super) fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.is_settled || request.is_streaming {
@@ -33,10 +34,10 @@
         } else {
             out.push(Action::Fail(id));
         }
-        self.settle(id, Ending::Unserved, out);
+        self.settle(id, RequestOutcome::Unserved, out);
     }
 
-    /// The process ends at this time: every request is answered before.
+    /// Begins the shutdown: the process ends at `ends_at`, and every request is answered before.
     pub(super) fn begin_shutdown(&mut self, ends_at: Micros, out: &mut Vec<Action>) {
         self.shutdown.begin(ends_at);
         for request in self.requests.values_mut() {
@@ -48,7 +49,7 @@
         });
     }
 
-    /// Answers all requests, in order of their ids.
+    /// Gives all open requests their final answer, in order of their ids.
     pub(super) fn answer_all(&mut self, out: &mut Vec<Action>) {
         let mut ids: Vec<RequestId> = self.requests.keys().copied().collect();
         ids.sort_unstable();
@@ -57,19 +58,20 @@
         }
     }
 
-    /// A request has its final answer or needs none any more. Its attempts are cancelled, except a fetch: the
-    /// origin completes it in any case, and its value serves the reads that wait or come later.
-    pub(super) fn settle(&mut self, id: RequestId, ending: Ending, out: &mut Vec<Action>) {
+    /// Marks a request as settled: it has its final answer or needs none any more. Its attempts are
+    /// cancelled, except a fetch: the origin completes it in any case, and its value serves the reads that
+    /// wait for it or come later.
+    pub(super) fn settle(&mut self, id: RequestId, outcome: RequestOutcome, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.is_settled) else { return };
         request.is_settled = true;
         if let Some(position) = &request.queue_position {
             self.tiers.remove_queued(position);
         }
         let key = request.key;
-        match (request.is_streaming, ending) {
-            (true, _) => {} // counted when the answer began
-            (false, Ending::Served) => self.load.record_served(self.now),
-            (false, Ending::Unserved) => self.load.record_unserved(self.now),
+        match (request.is_streaming, outcome) {
+            (true, _) => {} // it was counted when its answer began
+            (false, RequestOutcome::Served) => self.load.record_served(self.now),
+            (false, RequestOutcome::Unserved) => self.load.record_unserved(self.now),
         }
         let fetching = self.fetching_attempt(id);
         self.cancel_attempts(id, fetching, out);
@@ -79,20 +81,21 @@
         self.forget_if_done(id);
     }
 
-    /// A request no longer fetches its key for others; returns whether it did.
+    /// Notes that a request does not fetch its key for other reads any more; returns whether it did.
     fn stop_leading(&mut self, id: RequestId) -> bool {
         let request = self.requests.get_mut(&id);
         request.is_some_and(|request| std::mem::take(&mut request.leads_fetch))
     }
 
-    /// Drops a request that has its answer and no attempt in flight.
+    /// Drops a request that is settled and has no attempt in flight.
     pub(super) fn forget_if_done(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|request| request.is_settled && !request.is_in_flight()) {
             self.requests.remove(&id);
         }
     }
 
-    /// Cancels the attempts of a request, except one to keep, where the settings allow it.
+    /// Cancels the attempts in flight of a request, except the one with the number `keep`, if the settings
+    /// allow it.
     pub(super) fn cancel_attempts(&self, id: RequestId, keep: Option<usize>, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|_| self.settings.cancellation) else { return };
         for (number, attempt) in request.attempts.iter().enumerate() {
@@ -102,7 +105,8 @@
         }
     }
 
-    /// The attempt in flight by which a read fetches its key from the origin, also for other reads.
+    /// The number of the attempt in flight by which a read fetches its key from the origin, also for other
+    /// reads.
     pub(super) fn fetching_attempt(&self, id: RequestId) -> Option<usize> {
         let request = self.requests.get(&id).filter(|request| request.leads_fetch)?;
         request.attempts.iter().position(|attempt| attempt.in_flight && self.is_origin(attempt.server))
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -9,7 +9,7 @@
 use crate::timers::Timer;
 
 impl Balancer {
-    /// The endpoint list or a change of it has arrived, or the watch failed.
+    /// Follows an update of the endpoint list, or the failure of its watch.
     pub(super) fn on_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -42,19 +42,19 @@
         server.endpoint = endpoint;
     }
 
-    /// Since when a server is warming up; none once it is warm.
+    /// When the slow start of a server began; `None` if it is warm.
     fn warming_up_since(&self, endpoint: &Endpoint) -> Option<Micros> {
         let enabled_at = self.overrides.enabled_at(endpoint.id);
         warming_up_since(endpoint, enabled_at, self.settings.slow_start_duration, self.now)
     }
 
-    /// Updates what follows from which servers are in service.
+    /// Updates the state that follows from which servers are in service.
     fn refresh_list(&mut self) {
         self.servers.refresh();
         self.machine_types.update_list(self.servers.caches().map(Server::listed_weight));
     }
 
-    /// Operators take a server out of service until they enable it. Attempts in flight there run on.
+    /// Takes a server out of service until operators enable it. Attempts in flight there go on.
     pub(super) fn disable(&mut self, id: ServerId, out: &mut Vec<Action>) {
         if !self.overrides.disable(id) {
             return;
@@ -67,8 +67,8 @@
         self.refresh_list();
     }
 
-    /// Operators put a server back into service. It counts as restarted: they may have restarted it, and the
-    /// endpoint list shows that late.
+    /// Puts a server back into service. It counts as restarted at `since`: the operators may have restarted
+    /// it, and the endpoint list shows that late.
     pub(super) fn enable(&mut self, id: ServerId, since: Micros) {
         self.overrides.enable(id, since, self.now, self.settings.slow_start_duration);
         let endpoint = self.servers.get(id).map(|server| &server.endpoint);
@@ -80,7 +80,7 @@
         self.refresh_list();
     }
 
-    /// How many caches the endpoint list has, and how many of them are avoided.
+    /// The number of caches in the endpoint list, and how many of them are avoided.
     pub fn cache_counts(&self) -> CacheCounts {
         let is_listed = |server: &&Server| {
             server.tier() == Tier::Caches && server.endpoint.state != EndpointState::Removed
@@ -93,13 +93,15 @@
         counts
     }
 
+    /// Whether a server gets no requests now, or only probes, for a reason other than its state in the
+    /// list.
     fn is_avoided(&self, server: &Server) -> bool {
         server.is_disabled
             || server.is_suspect(self.now)
             || self.zones.is_unreachable(server.endpoint.zone, self.now)
     }
 
-    /// Closes the connections that have idled for long enough.
+    /// Closes the connections that have been idle for their idle time, and plans the next check.
     pub(super) fn close_idle_connections(&mut self, out: &mut Vec<Action>) {
         if !self.idle_check.is_due(self.now) {
             return;
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Has idle connections checked by this time.
+    /// Sets a timer for a check of idle connections at this time, unless an earlier one is planned.
     pub(super) fn schedule_idle_check(&mut self, at: Micros, out: &mut Vec<Action>) {
         if let Some(after) = self.idle_check.schedule(at, self.now) {
             out.push(Action::SetTimer { after, token: Timer::IdleConnections.into() });
--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -1,41 +1,41 @@
-//! The end of an attempt: what the rules learn from it, and what its request does next.
+//! The end of an attempt: what the rules learn from it, and the next step of its request.
 
 use super::Balancer;
-use super::answers::Ending;
+use super::answers::RequestOutcome;
 use crate::api::{Action, AttemptEnd, AttemptId, Micros, Outcome, RequestId, ServerId};
 use crate::concurrency_limit::{Congestion, cache_floor};
 use crate::congestion::ExpectedLatency;
-use crate::in_flight::FinishedAttempt;
+use crate::in_flight::InFlightStatus;
 use crate::relative_latency::{relative_sample, shows_service_time};
 use crate::request::Attempt;
 use crate::server::Server;
 use crate::tier::Tier;
 
-/// Lowest concurrency limit at the origin, in attempts.
+/// The lowest concurrency limit at the origin, in attempts.
 const ORIGIN_FLOOR: f64 = 1.0;
 
-/// An attempt that has ended.
+/// An attempt whose end was recorded with its request.
 struct EndedAttempt {
     server: ServerId,
     /// The tier of the server.
     tier: Tier,
-    /// Hash of its request's key.
+    /// The hash of its request's key.
     key: u64,
-    /// It was the fetch that other reads of the key wait for.
+    /// Whether it was the fetch that other reads of the key may wait for.
     was_shared_fetch: bool,
-    /// The cache that stores a fetched value.
+    /// The cache that stores the value if it was a fetch: the one that the request missed at.
     stored_at: Option<ServerId>,
 }
 
 impl Balancer {
-    /// An attempt has ended. An outcome of an attempt that is not in flight is ignored.
+    /// Handles the end of an attempt; that of an attempt that is not in flight is ignored.
     pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd, out: &mut Vec<Action>) {
         let id = end.attempt.request;
         let Some(ended) = self.close_attempt(end) else { return };
         self.learn(end, ended.server);
         let lost = self.write_off_lost(ended.server);
         if end.settled {
-            self.settle(id, Ending::Served, out);
+            self.settle(id, RequestOutcome::Served, out);
         } else {
             self.advance(id, out);
         }
@@ -44,14 +44,14 @@
             self.finish_fetch(ended.key, stored_at, out);
         }
         for lost in lost {
-            self.hedge(lost, out);
+            self.hedge_or_retry(lost, out);
         }
         self.admit_queued(ended.tier, out);
         self.start_idling(ended.server, out);
         self.forget_if_done(id);
     }
 
-    /// Records the outcome with the request.
+    /// Records the end of an attempt with its request; `None` if the attempt is not in flight.
     fn close_attempt(&mut self, end: &AttemptEnd) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&end.attempt.request)?;
         let attempt = request.attempts.get_mut(end.attempt.number).filter(|attempt| attempt.in_flight)?;
@@ -66,18 +66,18 @@
         Some(EndedAttempt { server, tier, key: request.key, was_shared_fetch, stored_at })
     }
 
-    /// Has every rule learn from the end of an attempt.
+    /// Passes the end of an attempt at the server `from` to every rule that learns from it.
     fn learn(&mut self, end: &AttemptEnd, from: ServerId) {
         let rules = self.requests.get(&end.attempt.request).map(|request| &request.rules);
         let class = rules.and_then(|rules| rules.class);
         let objective = rules.map_or(0, |rules| rules.latency_objective);
         let Some(server) = self.servers.get_mut(from) else { return };
-        let finished = server.in_flight.finish(end.attempt, self.now);
+        let status = server.in_flight.finish(end.attempt, self.now);
         let was_abandoned = matches!(end.outcome, Outcome::TimedOut | Outcome::Canceled);
-        if finished.was_written_off && was_abandoned {
-            return; // what it shows was recorded when it was written off
+        if status.was_written_off && was_abandoned {
+            return; // a written-off attempt that ends without an answer shows nothing
         }
-        if !finished.was_written_off {
+        if !status.was_written_off {
             self.tiers[server.tier()].limit.release(1);
         }
         let zone = server.endpoint.zone;
@@ -92,11 +92,11 @@
         let tier = server.tier();
         self.adapt_limit(tier, end, congestion);
         if tier == Tier::Caches {
-            self.learn_about_cache(end, from, class, finished);
+            self.learn_about_cache(end, from, class, status);
         }
     }
 
-    /// Adapts the concurrency limit of a tier, and its response time.
+    /// Adapts the concurrency limit of a tier and its response times.
     fn adapt_limit(&mut self, tier: Tier, end: &AttemptEnd, congestion: Option<Congestion>) {
         let floor = match tier {
             Tier::Caches => cache_floor(self.servers.cache_count(), self.settings.node_count),
@@ -113,13 +113,14 @@
         }
     }
 
-    /// Updates the response times of a cache, its type of machine and the class, and the cache's health.
+    /// Updates the response times of a cache, of its machine type and of the class, and the health of the
+    /// cache.
     fn learn_about_cache(
         &mut self,
         end: &AttemptEnd,
         from: ServerId,
         class: Option<usize>,
-        finished: FinishedAttempt,
+        status: InFlightStatus,
     ) {
         let Some(server) = self.servers.get_mut(from) else { return };
         let latency = self.class_latencies.get_mut(class);
@@ -127,14 +128,14 @@
         if shows_service_time(end) {
             self.machine_types.record(server.endpoint.machine_type, sample);
         }
-        server.health.record_outcome(end.outcome, finished.was_overdue);
+        server.health.record_outcome(end.outcome, status.was_overdue);
         server.relative_latency.record(end, sample);
         if end.outcome == Outcome::Success {
             latency.record(end.elapsed);
         }
     }
 
-    /// Writes off the attempts that a server has lost, and returns their requests.
+    /// Writes off the attempts that are lost at a server, and returns their requests.
     pub(super) fn write_off_lost(&mut self, server: ServerId) -> Vec<RequestId> {
         let is_overloaded = self.tiers[Tier::Caches].limit.is_overloaded();
         let Some(server) = self.servers.get_mut(server) else { return Vec::new() };
@@ -143,8 +144,8 @@
         lost
     }
 
-    /// The response of an attempt has begun: it belongs to the client now and no longer counts against the
-    /// limit, and other attempts are cancelled.
+    /// Handles the beginning of a response: it is the final answer, other attempts of the request are
+    /// cancelled, and the attempt no longer counts against the concurrency limit.
     pub(super) fn on_response_started(&mut self, attempt: AttemptId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&attempt.request) else { return };
         let Some(&Attempt { server, in_flight, .. }) = request.attempts.get(attempt.number) else { return };
@@ -157,7 +158,7 @@
         self.admit_queued(Tier::Caches, out);
     }
 
-    /// An attempt no longer counts as in flight at its server.
+    /// Has an attempt no longer count as in flight at its server.
     fn write_off(&mut self, attempt: AttemptId, server: ServerId) {
         let Some(server) = self.servers.get_mut(server) else { return };
         if server.in_flight.write_off(attempt) {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Lets the connection to a server idle, if nothing is in flight there.
+    /// Marks the connection to a server as idle, if no attempt that counts is in flight there.
     fn start_idling(&mut self, server: ServerId, out: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(server) else { return };
         if !server.in_flight.is_empty() {
@@ -177,7 +178,7 @@
     }
 }
 
-/// What a finished attempt shows about its tier, if anything; notes a prompt answer with the server.
+/// What a finished attempt shows about its tier, if anything; records a prompt answer with the server.
 fn assess_congestion(
     server: &mut Server,
     end: &AttemptEnd,
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -1,4 +1,4 @@
-//! Which caches may take a request, and which of them it is sent to.
+//! Which caches may get a request, and which of them it is sent to.
 
 use super::Balancer;
 use crate::api::{RequestId, ServerId};
@@ -10,7 +10,7 @@
 use crate::tier::Tier;
 
 impl Balancer {
-    /// The candidate with the least load.
+    /// The candidate that a request is sent to next: the one with the lowest cost.
     pub(super) fn select(&self, id: RequestId) -> Option<&Server> {
         let request = self.requests.get(&id)?;
         let cost = |(rank, server): &(usize, &Server)| {
@@ -47,14 +47,15 @@
         candidate_set(ranked, |server| self.is_usable(server))
     }
 
-    /// Whether a cache may get requests now.
+    /// Whether a cache may get requests now: it is not ejected, its zone can be reached, and this node's
+    /// quota of it is not used up.
     fn is_usable(&self, server: &Server) -> bool {
         !server.health.is_ejected(&server.in_flight, self.now)
             && self.remaining_calls(server) > 0
             && !self.zones.is_unreachable(server.endpoint.zone, self.now)
     }
 
-    /// Calls that a server can take from this node now; unlimited once it is warm.
+    /// Number of calls that this node may send to a server now; unlimited if it is warm.
     pub(super) fn remaining_calls(&self, server: &Server) -> u64 {
         let slow_start = self.settings.slow_start();
         if !server.warm_up.is_active(&slow_start, self.now) {
@@ -65,7 +66,7 @@
         server.warm_up.remaining_calls(&slow_start, capacity, self.now)
     }
 
-    /// The slow start of a server; none once it is warm or if it is unknown.
+    /// The slow start of a server; `None` if the server is warm or unknown.
     pub fn warm_up_status(&self, server: ServerId) -> Option<WarmUpStatus> {
         let server = self.servers.get(server)?;
         let slow_start = self.settings.slow_start();
@@ -77,7 +78,7 @@
         })
     }
 
-    /// The load of a cache, for comparison with others'.
+    /// The load of a cache, for comparison with that of other caches.
     fn load_of(&self, server: &Server) -> f64 {
         let in_flight = self.tiers[Tier::Caches].limit.in_flight();
         let average = in_flight as f64 / self.servers.cache_count().max(1) as f64;
@@ -85,7 +86,8 @@
         load(server.in_flight.len(), has_answered, average, server.relative_latency.ratio())
     }
 
-    /// Response times to expect of a server: the origin's, or those of the request's class at the caches.
+    /// The response times to expect of a server: the origin's, or those of the request's class at the
+    /// caches.
     pub(super) fn expected_latency(&self, server: &Server, class: Option<usize>) -> &LatencyEstimate {
         match server.tier() {
             Tier::Origin => &self.tiers[Tier::Origin].latency,
@@ -99,7 +101,7 @@
     }
 }
 
-/// Whether a cache has idle capacity: none of our attempts in flight, and response times as without
+/// Whether a cache has idle capacity: none of this node's attempts in flight, and response times as without
 /// congestion.
 pub(super) fn is_idle(server: &Server, latency: &LatencyEstimate) -> bool {
     server.in_flight.is_empty() && server.relative_latency.is_uncongested(latency)
--- a/crates/balancer/src/balancer/sending.rs
+++ b/crates/balancer/src/balancer/sending.rs
@@ -1,10 +1,12 @@
-//! Every send, and hedged requests.
+//! Every send, and the extra attempts of late reads.
 
 use super::Balancer;
 use super::selection::is_idle;
 use crate::api::{Action, AttemptId, Micros, RequestId, ServerId};
 use crate::attempt_time::min_attempt_time;
-use crate::hedging::{Alternative, ExtraAttempt, HedgingConditions, extra_attempt, hedge_delay, next_check};
+use crate::hedging::{
+    Alternative, ExtraAttemptConditions, ExtraAttemptTargets, extra_attempt_targets, hedge_delay, next_check,
+};
 use crate::in_flight::InFlightAttempt;
 use crate::outlier_detection::{next_probe_at, overdue_after};
 use crate::request::{Attempt, OpenRequest, WaitingFor};
@@ -12,13 +14,13 @@
 use crate::server::Server;
 use crate::tier::Tier;
 
-/// The times that matter for one attempt, in microseconds.
+/// The times of one attempt, in microseconds from its send.
 struct AttemptTimes {
     /// When the attempt is cut off.
     timeout: Micros,
-    /// When the attempt becomes a sign that the server doesn't answer.
+    /// When the attempt is overdue, a sign that the server doesn't answer.
     overdue_after: Micros,
-    /// When the request is checked again, if that may be before its outcome.
+    /// When the request is checked again, if that may be before the attempt ends.
     check_after: Option<Micros>,
 }
 
@@ -53,13 +55,14 @@
         send.check(endpoint, || self.remaining_calls(server))
     }
 
+    /// The times of an attempt that is sent now.
     fn attempt_times(&self, request: &OpenRequest, server: &Server) -> AttemptTimes {
         let latency = self.expected_latency(server, request.rules.class);
         let time_left = request.deadline - self.now;
         let hedge_after = hedge_delay(latency);
         let to_cache = server.tier() == Tier::Caches;
         let may_hedge = request.allows_hedging() && !request.is_in_flight() && to_cache;
-        // A fetch may outlast its read: its value serves others.
+        // A fetch may last longer than the read that leads it: its value also serves other reads.
         let is_fetch = request.leads_fetch && !to_cache;
         let timeout = if is_fetch { time_left.max(request.rules.latency_objective) } else { time_left };
         let check_after = if may_hedge && hedge_after < time_left {
@@ -70,7 +73,7 @@
         AttemptTimes { timeout, overdue_after: overdue_after(latency), check_after }
     }
 
-    /// Has every rule note that an attempt is sent now.
+    /// Passes to every rule that an attempt is sent now.
     fn record_send(&mut self, id: RequestId, to: ServerId, overdue_after: Micros) {
         let (Some(request), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(to)) else {
             return;
@@ -102,9 +105,9 @@
         });
     }
 
-    /// Sends a second attempt of a late read, as a hedged request or as a retry of a lost one, or plans
-    /// when to check the read again.
-    pub(super) fn hedge(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Sends an extra attempt of a late read, as a hedged request or as a retry, or plans when to check the
+    /// read again.
+    pub(super) fn hedge_or_retry(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(first) = self.first_in_flight(id) else { return };
         self.write_off_lost(first);
         let Some(extra) = self.choose_extra_attempt(id, first) else { return };
@@ -123,8 +126,9 @@
         request.attempts.iter().find(|attempt| attempt.in_flight).map(|attempt| attempt.server)
     }
 
-    /// Where a read may get a second attempt; nothing where it may have none at all.
-    fn choose_extra_attempt(&self, id: RequestId, first: ServerId) -> Option<ExtraAttempt> {
+    /// Where an extra attempt of a request may be sent; `None` where it may have none at all. `first` is
+    /// the server of its attempt in flight.
+    fn choose_extra_attempt(&self, id: RequestId, first: ServerId) -> Option<ExtraAttemptTargets> {
         let request = self.requests.get(&id)?;
         let first = self.servers.get(first)?;
         let is_single = request.attempts_in_flight() == 1;
@@ -142,15 +146,15 @@
         let alternatives = alternatives
             .map(|server| Alternative { server: server.endpoint.id, is_idle: is_idle(server, latency) });
         let caches_full = self.tiers[Tier::Caches].limit.is_full();
-        let conditions = HedgingConditions {
+        let conditions = ExtraAttemptConditions {
             hedges_allowed: self.hedge_budget.allows_attempt() && self.tiers.allow_hedging(),
             retries_allowed: self.retry_budget.allows_attempt() && !caches_full,
-            first_is_lost: first.in_flight.has_written_off(id) || first.is_suspect(self.now),
+            needs_retry: first.in_flight.has_written_off(id) || first.is_suspect(self.now),
         };
-        Some(extra_attempt(alternatives, &conditions))
+        Some(extra_attempt_targets(alternatives, &conditions))
     }
 
-    /// Sets the timer after which a late read is checked again, if it has time left.
+    /// Sets the timer after which a late read is checked again, if time is left before its deadline.
     fn plan_next_check(&self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.deadline <= self.now + self.settings.timer_granularity {
--- a/crates/balancer/src/balancer/waiting.rs
+++ b/crates/balancer/src/balancer/waiting.rs
@@ -1,4 +1,5 @@
-//! Requests that wait: for the fetch of their key, for the origin to recover, or for capacity.
+//! Requests that wait: for the fetch of their key, for the end of a backoff before the origin, or for
+//! capacity.
 
 use super::Balancer;
 use crate::admission_queue::{give_up_at, queue_priority};
@@ -9,9 +10,9 @@
 use crate::tier::Tier;
 
 impl Balancer {
-    /// Sends a write, or a read that no cache has a value for, to the origin. Reads of a key that is being
-    /// fetched wait for that fetch.
-    pub(super) fn fetch(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Sends a write, or a read that no cache can serve, to the origin. A read of a key that another read
+    /// fetches waits for that fetch.
+    pub(super) fn send_to_origin(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(origin) = self.servers.origin() else { return self.answer(id, out) };
         let Some(request) = self.requests.get_mut(&id) else { return };
         let is_write = request.is_write;
@@ -22,7 +23,7 @@
             }
             request.leads_fetch = true;
         }
-        // Reads hold back before an overloaded origin, so that writes get through.
+        // Reads back off before an overloaded origin, so that writes are still served.
         if !is_write && self.rng.f64() < self.tiers[Tier::Origin].limit.delay_probability() {
             return self.back_off(id, out);
         }
@@ -41,8 +42,8 @@
         self.set_timer(id, after, out);
     }
 
-    /// A fetch has ended. The reads that waited for it read the value from the cache that stores it; if there
-    /// is none, the first of them fetches anew and the others go on waiting.
+    /// Handles the end of a fetch. The reads that waited for it read the value from the cache that stores
+    /// it; if none does, the first of them starts another fetch and the others wait for that one.
     pub(super) fn finish_fetch(&mut self, key: u64, stored_at: Option<ServerId>, out: &mut Vec<Action>) {
         let mut waiters = self.single_flight.finish(key).into_iter();
         while let Some(id) = waiters.next() {
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Has a request wait for capacity at a tier; sheds the last in the queue if it has become too long.
+    /// Has a request wait for capacity at a tier; sheds the last one in the queue if the queue is too long
+    /// now.
     pub(super) fn enqueue(&mut self, tier: Tier, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.waiting_for = WaitingFor::Capacity;
@@ -71,8 +73,8 @@
         }
     }
 
-    /// Answers a queued request that has no prospect any more; checks it again later if answers have become
-    /// quicker.
+    /// Answers a queued request if it is given up now. If not, as when attempts have come to need less
+    /// time, it is checked again later.
     pub(super) fn check_queued(&mut self, id: RequestId, out: &mut Vec<Action>) {
         match self.give_up_at(id).saturating_sub(self.now) {
             0 => self.answer(id, out),
--- a/crates/balancer/src/candidate_set.rs
+++ b/crates/balancer/src/candidate_set.rs
@@ -1,12 +1,12 @@
 //! The candidate set of a key: the few caches that may serve it, by weighted rendezvous hashing.
 //!
 //! All nodes with the same endpoint list compute the same ranking, so that a key is cached at few servers,
-//! and a server that leaves moves only its own keys. Each cache wins keys in proportion to its weight, which
-//! is reduced during slow start and for slow types of machines. Where crossing zones has a price, caches of
-//! the node's own zone are preferred.
+//! and a server that leaves moves only its own keys. Each cache ranks first for a part of the keys in
+//! proportion to its weight, which is reduced during slow start and for slow types of machines. Where an
+//! attempt at another zone has a cost, caches of the node's own zone are preferred.
 //!
-//! Inputs: the key's hash, and for each cache its id, its relative weight and how slow its type of machine is
-//! (both without unit). Each node computes the ranking by itself, without exchanging anything.
+//! Inputs: the key's hash, and for each cache its id, its relative weight and how slow its type of machine
+//! is (both without unit). Each node computes the ranking by itself, without exchanging anything.
 
 use std::cmp::Ordering;
 
@@ -15,13 +15,13 @@
 use crate::api::ServerId;
 use crate::server::Server;
 
-/// Caches in a candidate set.
+/// Number of caches in a candidate set.
 const SET_SIZE: usize = 3;
-/// The price of crossing zones is scaled by this: a price of one percent has no effect on the ranking.
+/// Factor on the cost of crossing zones: a cost of one percent has no effect on the ranking.
 const CROSS_ZONE_COST_SCALE: f64 = 100.0;
-/// The local preference grows with this power of the scaled price.
+/// The local preference grows with this power of the scaled cost.
 const LOCAL_PREFERENCE_EXPONENT: f64 = 1.5;
-/// A hash is reduced to this many bits, which a float represents exactly.
+/// A hash is reduced to this many bits, which an `f64` represents exactly.
 const MANTISSA_BITS: u32 = 53;
 
 /// A cache with its score; the lowest score ranks first.
@@ -33,7 +33,7 @@
 }
 
 impl RankedCache<'_> {
-    /// The order of caches in the ranking. Ties are resolved by id, so that all nodes agree.
+    /// Compares two caches by score, and by id where the scores are equal, so that all nodes agree.
     fn rank_order(&self, other: &Self) -> Ordering {
         let by_id = || self.server.endpoint.id.cmp(&other.server.endpoint.id);
         self.score.total_cmp(&other.score).then_with(by_id)
@@ -42,6 +42,10 @@
 
 /// The score of a cache for a key. `weight` is its relative capacity, `latency_ratio` how slow its type of
 /// machine is.
+///
+/// The hash gives a uniform number between 0 and 1, and the score is exponentially distributed with rate
+/// `weight / latency_ratio`. Of all caches each then has the lowest score with a probability in proportion
+/// to its rate, and a change of one cache's weight changes no other cache's score.
 #[inline]
 pub(crate) fn score(key: u64, id: ServerId, weight: f64, latency_ratio: f64) -> f64 {
     let hash = xxh3_64_with_seed(&key.to_le_bytes(), id.0.into());
@@ -51,13 +55,15 @@
 }
 
 /// The factor on the weight of caches in the node's own zone; `cross_zone_cost` is what an attempt at
-/// another zone costs, as a part of what the service is worth. Splitting the candidate sets by zone costs
-/// hits, which a low price does not outweigh.
+/// another zone costs, as a fraction of the value of the service. With a preference, nodes of different
+/// zones have different candidate sets for a key, which costs cache hits; a low cost does not outweigh
+/// that.
 pub(crate) fn local_preference(cross_zone_cost: f64) -> f64 {
     (CROSS_ZONE_COST_SCALE * cross_zone_cost).powf(LOCAL_PREFERENCE_EXPONENT).max(1.0)
 }
 
-/// The candidate set: the usable caches that rank first, or the first of all where none is usable.
+/// The candidate set: the usable caches that rank first, or, where no cache is usable, the first of all
+/// caches.
 pub(crate) fn candidate_set<'a>(
     mut caches: Vec<RankedCache<'a>>,
     is_usable: impl Fn(&Server) -> bool,
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -1,20 +1,20 @@
-//! Response time estimates: a smoothed mean, its mean deviation and the uncongested baseline.
+//! Response time estimates: a smoothed mean, the mean deviation from it, and the uncongested baseline.
 //!
-//! Mean and deviation are smoothed as in TCP's round-trip time estimator (RFC 6298), which needs two numbers
-//! and no history. The baseline is the lowest mean seen lately: the response time without queueing.
+//! Mean and deviation are smoothed as in TCP's round-trip time estimator (RFC 6298), which needs two
+//! numbers and no history. The baseline is the lowest recent mean: the response time without queueing.
 
 use crate::api::{Micros, RequestClass};
 
-/// The expected response time is the latency objective divided by this, until answers have been measured.
+/// Until answers have been measured, the expected response time is the latency objective divided by this.
 pub(crate) const EXPECTED_LATENCY_DIVISOR: f64 = 3.0;
-/// The expected deviation, as a part of the expected mean, until answers have been measured.
+/// The expected deviation until answers have been measured, as a fraction of the expected mean.
 const EXPECTED_DEVIATION: f64 = 0.25;
-/// Answers over which mean and deviation are smoothed.
+/// Number of answers over which mean and deviation are smoothed.
 const SMOOTHING_SAMPLES: f64 = 16.0;
-/// Growth of the baseline per answer, so that it follows a lasting change within thousands of answers.
+/// Growth of the baseline per answer, so that it follows a lasting rise within thousands of answers.
 const BASELINE_GROWTH: f64 = 1.0005;
 
-/// Response times of one kind of request, in microseconds.
+/// The response times of one group of requests, such as a class or a tier, in microseconds.
 pub(crate) struct LatencyEstimate {
     mean: f64,
     deviation: f64,
@@ -22,17 +22,17 @@
 }
 
 impl LatencyEstimate {
-    /// An estimate before the first answer, from the expected mean in microseconds.
+    /// The estimate before the first answer, from the expected mean in microseconds.
     pub(crate) fn expecting(mean: f64) -> Self {
         LatencyEstimate { mean, deviation: mean * EXPECTED_DEVIATION, baseline: mean }
     }
 
-    /// An estimate before the first answer, from a latency objective in microseconds.
+    /// The estimate before the first answer, from a latency objective in microseconds.
     pub(crate) fn for_objective(objective: f64) -> Self {
         LatencyEstimate::expecting(objective / EXPECTED_LATENCY_DIVISOR)
     }
 
-    /// Takes in the response time of one answer.
+    /// Records the response time of one answer.
     pub(crate) fn record(&mut self, elapsed: Micros) {
         let error = elapsed as f64 - self.mean;
         self.mean += error / SMOOTHING_SAMPLES;
@@ -50,21 +50,21 @@
         self.baseline
     }
 
-    /// The mean and this many mean deviations: a time by which few answers are still missing.
+    /// The mean plus this many mean deviations, in microseconds: few answers take longer.
     pub(crate) fn mean_plus_deviations(&self, deviations: f64) -> Micros {
         (self.mean + deviations * self.deviation) as Micros
     }
 }
 
-/// Response times by class, with an entry of their own for requests without a known class.
+/// Response times by class, with a separate estimate for requests without a known class.
 pub(crate) struct ClassLatencies {
     unclassified: LatencyEstimate,
     by_class: Vec<LatencyEstimate>,
 }
 
 impl ClassLatencies {
-    /// Estimates before the first answer; requests without a class are expected to meet `default_objective`
-    /// (in microseconds).
+    /// The estimates before the first answer. For requests without a class the latency objective is
+    /// `default_objective` (in microseconds).
     pub(crate) fn new(default_objective: f64, classes: &[RequestClass]) -> Self {
         let mut latencies = ClassLatencies {
             unclassified: LatencyEstimate::for_objective(default_objective),
@@ -74,19 +74,19 @@
         latencies
     }
 
-    /// Adds the classes that are listed behind those known; the estimates of these stay.
+    /// Adds an estimate for each class that is listed after the known ones, whose estimates stay.
     pub(crate) fn add_classes(&mut self, classes: &[RequestClass]) {
         for class in classes.iter().skip(self.by_class.len()) {
             self.by_class.push(LatencyEstimate::for_objective(class.latency_objective as f64));
         }
     }
 
-    /// The estimate for a class.
+    /// The estimate for a class, or for requests without a known one.
     pub(crate) fn get(&self, class: Option<usize>) -> &LatencyEstimate {
         class.and_then(|class| self.by_class.get(class)).unwrap_or(&self.unclassified)
     }
 
-    /// The estimate for a class, to record into.
+    /// The same estimate as [`get`](Self::get), for recording.
     pub(crate) fn get_mut(&mut self, class: Option<usize>) -> &mut LatencyEstimate {
         class.and_then(|class| self.by_class.get_mut(class)).unwrap_or(&mut self.unclassified)
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions for a proxy that spreads keys over cache servers before a slow origin.
 //!
-//! A [`Balancer`] is fed [`Event`]s and answers with [`Action`]s. It does no I/O, reads no clock
-//! and starts no thread: the embedder carries the actions out and passes in the time.
+//! A [`Balancer`] takes [`Event`]s and answers with [`Action`]s. It does no I/O, reads no clock
+//! and starts no thread: the embedder carries out the actions and passes in the time.
 //!
 //! ```
 //! use stonefold_balancer::{Action, Balancer, Event, EndpointUpdate, Endpoint, Request, RequestId, ServerId, Settings};
@@ -9,11 +9,11 @@
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0);
 //! let mut actions = Vec::new();
 //!
-//! // The endpoint list comes first.
+//! // The balancer first needs the endpoint list.
 //! let endpoints = (1..=4).map(|id| Endpoint::up(ServerId(id))).collect();
 //! balancer.on_event(0, Event::Endpoints { update: EndpointUpdate::Full, endpoints }, &mut actions);
 //!
-//! // A read of one key, with a second to answer it, is sent to one cache of that key's candidate set.
+//! // A read of one key with a timeout of one second is sent to one cache of the key's candidate set.
 //! let read = Request { key: Some("calendar:12".into()), timeout: 1_000_000, ..Request::new(RequestId(1)) };
 //! balancer.on_event(10, Event::Request(read), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
--- a/crates/balancer/src/load_estimate.rs
+++ b/crates/balancer/src/load_estimate.rs
@@ -1,23 +1,23 @@
 //! How many requests per second the servers are known to handle for this node.
 //!
-//! The estimate sizes what a server that is warming up may be sent. Clients that repeat rejected requests
-//! must not raise it, so unserved requests count against the arrivals several times.
+//! The quota of a server in slow start follows from this estimate. Clients that repeat rejected requests
+//! must not raise it, so each unserved request outweighs several arrivals.
 //!
-//! Inputs: arrivals and endings of requests with their times in microseconds; rates are per second.
+//! Inputs: arrivals and ends of requests with their times in microseconds; rates are per second.
 
 use crate::api::Micros;
 use crate::latency::EXPECTED_LATENCY_DIVISOR;
 
 /// Microseconds per second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Each unserved request outweighs this many arrivals.
+/// Number of arrivals that each unserved request outweighs.
 const UNSERVED_PENALTY: f64 = 4.0;
-/// Time constant of the rates, as a part of the duration of slow start.
+/// Time constant of the rates, as a fraction of the duration of slow start.
 const TIME_CONSTANT_FRACTION: f64 = 0.25;
 /// Shortest time constant of the rates, in microseconds.
 const MIN_TIME_CONSTANT: f64 = 1e6;
 
-/// An event rate, from a sum that decays exponentially.
+/// The rate of an event, from a sum that decays exponentially.
 pub(crate) struct DecayingRate {
     sum: f64,
     updated_at: Micros,
@@ -48,17 +48,17 @@
 pub(crate) struct LoadEstimate {
     arrived: DecayingRate,
     served: DecayingRate,
-    /// Rejected, failed, or abandoned by the client.
+    /// Requests that were rejected, failed, or were abandoned by the client.
     unserved: DecayingRate,
-    /// Requests per second that are assumed to be handled before any was measured.
+    /// Requests per second that the servers are assumed to handle before any rate was measured.
     assumed_capacity: f64,
     /// Time constant of all rates, in microseconds.
     time_constant: f64,
 }
 
 impl LoadEstimate {
-    /// No load yet. The assumed capacity is that of `concurrency` attempts, each of which takes the expected
-    /// part of `objective` (in microseconds).
+    /// The estimate before the first request. The assumed capacity is that of `concurrency` attempts at
+    /// once, each of which takes the response time that is expected for `objective` (in microseconds).
     pub(crate) fn new(concurrency: f64, objective: f64, slow_start_duration: Micros, now: Micros) -> Self {
         let seconds_per_request = objective / (EXPECTED_LATENCY_DIVISOR * MICROS_PER_SECOND);
         LoadEstimate {
@@ -70,17 +70,17 @@
         }
     }
 
-    /// Follows a change of the settings.
+    /// Follows a change of the duration of slow start, in microseconds.
     pub(crate) fn reconfigure(&mut self, slow_start_duration: Micros) {
         self.time_constant = time_constant(slow_start_duration);
     }
 
-    /// The time constant of the node's rates, in microseconds.
+    /// The time constant of all rates of this node, in microseconds.
     pub(crate) fn time_constant(&self) -> f64 {
         self.time_constant
     }
 
-    /// Counts an arrival and returns arrivals per second.
+    /// Counts an arrival and returns the arrivals per second after it.
     pub(crate) fn record_arrival(&mut self, now: Micros) -> f64 {
         self.arrived.record(now, self.time_constant)
     }
@@ -90,15 +90,15 @@
         self.served.record(now, self.time_constant);
     }
 
-    /// Counts a request that was rejected, failed or abandoned.
+    /// Counts a request that was rejected, failed or was abandoned.
     pub(crate) fn record_unserved(&mut self, now: Micros) {
         self.unserved.record(now, self.time_constant);
     }
 
-    /// Requests per second that the servers handle for this node: those served, or all arrivals while few of
-    /// them are left unserved.
+    /// Requests per second that the servers handle for this node: those served, or all arrivals while few
+    /// of them remain unserved, and in any case the arrivals up to the assumed capacity.
     ///
-    /// This underestimates where most requests are rejected for reasons other than load.
+    /// This is too low where most requests are rejected for reasons other than load.
     pub(crate) fn sustained_per_second(&self, now: Micros) -> f64 {
         let rate = |rate: &DecayingRate| rate.per_second(now, self.time_constant);
         let arrived = rate(&self.arrived);
@@ -108,7 +108,8 @@
     }
 }
 
-/// The time constant of rates, in microseconds: short enough to follow a slow start, long enough to count.
+/// The time constant of the rates, in microseconds: short enough to follow a slow start, and long enough to
+/// cover a number of requests.
 fn time_constant(slow_start_duration: Micros) -> f64 {
     (slow_start_duration as f64 * TIME_CONSTANT_FRACTION).max(MIN_TIME_CONSTANT)
 }
--- a/crates/balancer/src/machine_types.rs
+++ b/crates/balancer/src/machine_types.rs
@@ -1,21 +1,22 @@
-//! How much the types of machines can serve in comparison, where the endpoint list has no weights.
+//! The capacity of caches by their type of machine, measured where the endpoint list has no weights.
 //!
-//! Machines of one type are about equally quick, so their response times are pooled. Where the list has
-//! weights, these alone count.
+//! Machines of one type are about equally fast, so their response times are pooled. Where the list has
+//! different weights, only the weights count.
 //!
 //! Inputs: the weights of the endpoint list, and response times as multiples of the average.
 
 use std::collections::BTreeMap;
 
-/// Samples that the initial ratio of 1 counts for.
+/// Number of samples that the initial ratio of 1 counts for.
 const INITIAL_SAMPLES: f64 = 8.0;
-/// Samples over which the ratio is averaged.
+/// Number of samples over which the ratio is averaged at most.
 const MAX_SAMPLES: f64 = 64.0;
 
-/// One type of machine.
+/// The state of one type of machine.
 struct MachineType {
-    /// Response times of its caches in comparison with all, 1 being average.
+    /// Response times of its caches as a multiple of the average of all caches.
     latency_ratio: f64,
+    /// Number of samples in the ratio, up to [`MAX_SAMPLES`].
     samples: f64,
     /// Sum of the weights of its caches in service.
     total_weight: f64,
@@ -37,24 +38,25 @@
 pub(crate) struct ListedWeight {
     /// Number of the machine type.
     pub(crate) machine_type: u32,
-    /// Weight by the endpoint list.
+    /// Weight according to the endpoint list.
     pub(crate) weight: f64,
 }
 
-/// The types of the caches' machines, by number.
+/// The machine types of all caches.
 pub(crate) struct MachineTypes {
+    /// The types, by number.
     types: BTreeMap<u32, MachineType>,
-    /// Whether the list has different weights.
+    /// Whether the caches in service have different weights.
     is_weighted: bool,
 }
 
 impl MachineTypes {
-    /// No machine is listed.
+    /// The state before the first endpoint list.
     pub(crate) fn new() -> Self {
         MachineTypes { types: BTreeMap::new(), is_weighted: false }
     }
 
-    /// Follows the endpoint list: these caches are in service now. Measured ratios stay.
+    /// Follows the endpoint list: `caches` are those in service now. Measured ratios stay.
     pub(crate) fn update_list(&mut self, caches: impl Iterator<Item = ListedWeight> + Clone) {
         self.types.values_mut().for_each(|machine_type| machine_type.total_weight = 0.0);
         for cache in caches.clone() {
@@ -65,18 +67,18 @@
         self.is_weighted = !caches.zip(next_caches).all(|(cache, next)| cache.weight == next.weight);
     }
 
-    /// Takes in the relative response time of a cache of this type.
+    /// Records a response time of a cache of this type, as a multiple of the average.
     pub(crate) fn record(&mut self, machine_type: u32, sample: f64) {
         self.types.entry(machine_type).or_insert_with(MachineType::new).record(sample);
     }
 
-    /// How slow a type is in comparison; 1 where the list has weights.
+    /// The response times of a type as a multiple of the average; 1 where the list has different weights.
     #[inline]
     pub(crate) fn latency_ratio(&self, machine_type: u32) -> f64 {
         self.types.get(&machine_type).map_or(1.0, |machine_type| self.effective_ratio(machine_type))
     }
 
-    /// The part of all caches' capacity that one cache has.
+    /// The fraction of the capacity of all caches that one cache has.
     pub(crate) fn capacity_share(&self, cache: ListedWeight) -> f64 {
         let capacity = |of: &MachineType| of.total_weight / self.effective_ratio(of);
         let total: f64 = self.types.values().map(capacity).sum();
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -1,28 +1,30 @@
 //! Which servers are avoided because they don't answer (passive health checks).
 //!
 //! A server is suspected after two attempts in a row without an answer, or while an attempt at it is long
-//! overdue. It is ejected then, but for one request at a time that finds out whether it has recovered.
+//! overdue. A suspected server is ejected, except for one request at a time that probes whether it has
+//! recovered.
 //!
-//! Inputs: the outcomes of this node's attempts and the attempts in flight; times are in microseconds. A node
-//! with little traffic notices an outlier late, but needs no message from others.
+//! Inputs: the outcomes of this node's attempts and the attempts in flight; times are in microseconds. A
+//! node with little traffic notices an outlier late, but needs no message from other nodes.
 
 use crate::api::{Micros, Outcome};
 use crate::in_flight::InFlight;
 use crate::latency::LatencyEstimate;
 
-/// Attempts in a row without an answer after which a server is suspected.
+/// Number of attempts in a row without an answer after which a server is suspected.
 const SUSPECT_AFTER_FAILURES: u32 = 2;
-/// An attempt is overdue when its response time exceeds the mean by this many deviations.
+/// An attempt is overdue when its response time exceeds the mean by this many mean deviations.
 const OVERDUE_AFTER_DEVIATIONS: f64 = 6.0;
-/// An ejected server is tried again after this many times the time in which an attempt becomes overdue.
+/// Time between two probes of an ejected server, as a multiple of the time after which an attempt is
+/// overdue.
 const PROBE_INTERVAL_FACTOR: Micros = 4;
 
-/// How long after its send an attempt without an answer is overdue, in microseconds.
+/// The time after which an attempt without an answer is overdue, in microseconds from its send.
 pub(crate) fn overdue_after(latency: &LatencyEstimate) -> Micros {
     latency.mean_plus_deviations(OVERDUE_AFTER_DEVIATIONS).max(1)
 }
 
-/// When an ejected server or zone is tried again after an attempt that is sent now.
+/// When an ejected server or an unreachable zone may be probed next, if an attempt is sent to it now.
 pub(crate) fn next_probe_at(now: Micros, overdue_after: Micros) -> Micros {
     now + PROBE_INTERVAL_FACTOR * overdue_after
 }
@@ -33,17 +35,17 @@
     consecutive_failures: u32,
     /// Whether the server has ever answered.
     has_answered: bool,
-    /// While the server is ejected: when one request may try it.
+    /// While the server is suspected: from when one request may probe it.
     probe_at: Micros,
 }
 
 impl ServerHealth {
-    /// Nothing is known against the server.
+    /// The state of a server that this node has not used yet: not suspected.
     pub(crate) fn new(now: Micros) -> Self {
         ServerHealth { consecutive_failures: 0, has_answered: false, probe_at: now }
     }
 
-    /// The server has restarted: failures of its former process don't count.
+    /// Drops the failures counted so far, which a former process of the server may have caused.
     pub(crate) fn reset(&mut self) {
         self.consecutive_failures = 0;
     }
@@ -53,23 +55,25 @@
         self.has_answered
     }
 
-    /// Whether the server seems not to answer.
+    /// Whether the server is suspected not to answer.
     pub(crate) fn is_suspect(&self, in_flight: &InFlight, now: Micros) -> bool {
         self.consecutive_failures >= SUSPECT_AFTER_FAILURES || in_flight.has_overdue(now)
     }
 
-    /// Whether the server is avoided: it is suspected, and no single request is due to try it.
+    /// Whether the server is avoided: it is suspected, and no probe is due.
     pub(crate) fn is_ejected(&self, in_flight: &InFlight, now: Micros) -> bool {
         let may_be_probed = now >= self.probe_at && in_flight.is_empty();
         self.is_suspect(in_flight, now) && !may_be_probed
     }
 
-    /// An attempt is sent to the server although it is suspected: the next one may follow at `probe_at`.
+    /// Notes that an attempt is sent to the server although it is suspected; the next may follow at
+    /// `probe_at`.
     pub(crate) fn record_probe(&mut self, probe_at: Micros) {
         self.probe_at = probe_at;
     }
 
-    /// An attempt has ended. A cancelled attempt counts as a failure only if it was overdue.
+    /// Counts the end of an attempt. A cancelled attempt counts as a failure only if it was overdue; an
+    /// answer of any kind, also an error or a rejection, ends a row of failures.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome, was_overdue: bool) {
         match outcome {
             Outcome::Success | Outcome::CacheMiss | Outcome::ServerError | Outcome::Rejected => {
--- a/crates/balancer/src/overrides.rs
+++ b/crates/balancer/src/overrides.rs
@@ -1,17 +1,19 @@
-//! Administrative overrides: servers that operators disable and enable again, whatever the endpoint list
-//! says.
+//! Administrative overrides: servers that operators disable and enable again, regardless of the endpoint
+//! list.
 //!
-//! An override outlives changes of the list, and applies to a server that is listed only later. Times are in
-//! microseconds.
+//! An override outlasts changes of the list, and also applies to a server that is listed only later. Times
+//! are in microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{Micros, ServerId};
 
-/// Which servers are disabled, listed or not, and when others were enabled.
+/// The overrides in force.
 #[derive(Default)]
 pub(crate) struct Overrides {
+    /// The disabled servers, listed or not.
     disabled: BTreeSet<ServerId>,
+    /// When servers were enabled again, while their slow start may last.
     enabled_at: BTreeMap<ServerId, Micros>,
 }
 
@@ -22,8 +24,8 @@
         self.disabled.insert(server)
     }
 
-    /// Enables a server since a time in microseconds. Earlier entries are dropped once they no longer matter,
-    /// which is after `slow_start_duration`.
+    /// Enables a server, which may be used since `since`. Entries of servers enabled earlier are dropped
+    /// after `slow_start_duration`, when they no longer matter.
     pub(crate) fn enable(
         &mut self,
         server: ServerId,
@@ -41,7 +43,7 @@
         self.disabled.contains(&server)
     }
 
-    /// When a server was last enabled, if that is not long ago.
+    /// When a server was last enabled; `None` if it was not, or if the entry was dropped.
     pub(crate) fn enabled_at(&self, server: ServerId) -> Option<Micros> {
         self.enabled_at.get(&server).copied()
     }
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -1,21 +1,22 @@
-//! The priority weight of a request: its class's weight, reduced while its tenant exceeds its quota.
+//! The priority weight of a request: the weight of its class, reduced while its tenant exceeds its quota.
 //!
-//! Quotas only matter when requests compete: a tenant over its share is served as long as there is capacity.
+//! Priority weights have no unit: they only order the requests that wait for capacity. A tenant over its
+//! quota is therefore served as long as there is capacity.
 //!
-//! Inputs: the class's weight, the tenant's quota as a part of the node's traffic, and both arrival rates per
-//! second.
+//! Inputs: the weight of the class, the tenant's quota as a fraction of the node's traffic, and the arrival
+//! rates of the tenant and of the node, per second.
 
 use crate::api::{Micros, Request, Settings};
 use crate::load_estimate::DecayingRate;
 
-/// A tenant is over its quota when its part of the node's traffic exceeds its share by this factor.
+/// A tenant is over its quota when its fraction of the node's traffic exceeds the quota by this factor.
 const QUOTA_TOLERANCE: f64 = 1.25;
-/// Weight of a request without a known class.
+/// Priority weight of a request without a known class.
 const UNCLASSIFIED_WEIGHT: f64 = 1.0;
 
-/// The traffic of this node, against which a tenant's is compared.
-pub(crate) struct Traffic {
-    /// Arrivals per second, the request in question included.
+/// The traffic of this node, with which a tenant's traffic is compared.
+pub(crate) struct NodeTraffic {
+    /// Arrivals per second, including the request whose weight is computed.
     pub(crate) arrivals_per_second: f64,
     /// Time constant of that rate, in microseconds.
     pub(crate) time_constant: f64,
@@ -27,12 +28,12 @@
 }
 
 impl TenantRates {
-    /// Rates of zero for this many tenants.
+    /// Rates of zero for `tenants` tenants.
     pub(crate) fn new(tenants: usize, now: Micros) -> Self {
         TenantRates { rates: (0..tenants).map(|_| DecayingRate::new(now)).collect() }
     }
 
-    /// Adds tenants; the rates of those known stay.
+    /// Adds tenants up to `tenants`; the rates of the known ones stay, even if there are more of them.
     pub(crate) fn grow(&mut self, tenants: usize, now: Micros) {
         let tenants = tenants.max(self.rates.len());
         self.rates.resize_with(tenants, || DecayingRate::new(now));
@@ -43,7 +44,7 @@
         &mut self,
         request: &Request,
         settings: &Settings,
-        traffic: &Traffic,
+        traffic: &NodeTraffic,
         now: Micros,
     ) -> f64 {
         let class = request.class.and_then(|class| settings.classes.get(class));
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,23 +1,23 @@
-//! A request that awaits its final answer, or still has an attempt in flight.
+//! An open request: one that has no final answer yet, or still has an attempt in flight.
 
 use crate::admission_queue::QueuePosition;
 use crate::api::{Idempotency, Micros, Request, ServerId};
 
-/// A repeat is sent only while the servers surely still discard it: within the deduplication window, less one
-/// part in this many for the difference between the clocks.
+/// The deduplication window is shortened by itself divided by this, to allow for the difference between the
+/// clocks: a repeat is sent only while the servers certainly still discard it.
 const CLOCK_MARGIN_DIVISOR: Micros = 8;
 
 /// An attempt that was sent.
 pub(crate) struct Attempt {
-    /// Where it was sent.
+    /// The server it was sent to.
     pub(crate) server: ServerId,
     /// When it was sent.
     pub(crate) sent_at: Micros,
-    /// Its outcome has not come yet.
+    /// Whether its end has not been reported yet.
     pub(crate) in_flight: bool,
-    /// It has ended and may have taken effect.
+    /// Whether it has ended and may have taken effect.
     pub(crate) may_have_run: bool,
-    /// The cache held no value.
+    /// Whether it ended because the cache held no value.
     pub(crate) missed: bool,
 }
 
@@ -28,32 +28,34 @@
     }
 }
 
-/// What a request without an attempt in flight waits for.
+/// What a request waits for before an attempt of it can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WaitingFor {
-    /// Nothing.
+    /// Nothing: it has an attempt in flight, or its next step is taken at once.
     Nothing,
-    /// Another request's fetch of its key.
+    /// The fetch of its key by another read.
     Fetch,
     /// Capacity at a tier.
     Capacity,
-    /// The end of a backoff before it is sent to the origin.
+    /// The end of a backoff, before it may be sent to the origin.
     Backoff,
 }
 
-/// What the settings state for a request when it arrives; later changes don't concern it.
+/// The settings that apply to a request, taken when it arrives: later changes of the settings don't affect
+/// it.
 pub(crate) struct RequestRules {
-    /// Its class, if the settings know it.
+    /// Its class, if the settings have it.
     pub(crate) class: Option<usize>,
     /// Its latency objective, in microseconds.
     pub(crate) latency_objective: Micros,
-    /// Its priority weight, compared with other requests'.
+    /// Its priority weight, from [`priority`](crate::priority): without unit, only compared with other
+    /// requests'.
     pub(crate) priority_weight: f64,
     /// Whether it may run more than once.
     pub(crate) idempotency: Idempotency,
-    /// Attempts it may have.
+    /// The largest number of attempts.
     pub(crate) max_attempts: usize,
-    /// Whether two of its attempts may be in flight at once.
+    /// Whether the settings allow two of its attempts in flight at once.
     pub(crate) may_hedge: bool,
 }
 
@@ -61,27 +63,27 @@
 pub(crate) struct OpenRequest {
     /// Hash of its key, or random if it has none.
     pub(crate) key: u64,
-    /// It changes something.
+    /// Whether it is a write.
     pub(crate) is_write: bool,
     /// When it arrived.
     pub(crate) arrived_at: Micros,
-    /// When its final answer is due.
+    /// The time by which it must have its final answer.
     pub(crate) deadline: Micros,
-    /// What the settings state for it.
+    /// The settings that apply to it.
     pub(crate) rules: RequestRules,
     /// Its attempts, in the order in which they were sent.
     pub(crate) attempts: Vec<Attempt>,
-    /// What it waits for while none of them is in flight.
+    /// What it waits for while no attempt is in flight.
     pub(crate) waiting_for: WaitingFor,
-    /// Its latest place in a queue.
+    /// Its latest position in an admission queue.
     pub(crate) queue_position: Option<QueuePosition>,
-    /// It fetches the value of its key, for other reads too.
+    /// Whether it fetches the value of its key from the origin, also for other reads.
     pub(crate) leads_fetch: bool,
-    /// The cache in which the fetch that it waited for has stored the value.
+    /// The cache that stores the value that another read has fetched for it.
     pub(crate) stored_at: Option<ServerId>,
-    /// It has its final answer, or needs none any more.
+    /// Whether it has its final answer, or needs none any more.
     pub(crate) is_settled: bool,
-    /// Its answer is being streamed to the client.
+    /// Whether its answer has begun and is being streamed to the client.
     pub(crate) is_streaming: bool,
 }
 
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
@@ -120,7 +122,7 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Whether it was sent to this server before.
+    /// Whether any attempt was sent to this server.
     pub(crate) fn was_sent_to(&self, server: ServerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.server == server)
     }
@@ -130,17 +132,17 @@
         self.attempts.iter().any(|attempt| attempt.missed)
     }
 
-    /// The cache that had no value for it, where a fetched one is stored.
+    /// The cache that had no value for it, which stores the fetched value.
     pub(crate) fn missed_at(&self) -> Option<ServerId> {
         self.attempts.iter().find(|attempt| attempt.missed).map(|attempt| attempt.server)
     }
 
-    /// Whether it is a read that may run any number of times.
+    /// Whether it is a read that may run more than once.
     pub(crate) fn is_idempotent_read(&self) -> bool {
         !self.is_write && self.rules.idempotency == Idempotency::Idempotent
     }
 
-    /// Whether a second attempt may be sent while one is in flight.
+    /// Whether another attempt may be sent while one is in flight.
     pub(crate) fn allows_hedging(&self) -> bool {
         self.rules.may_hedge && self.is_idempotent_read() && !self.is_streaming
     }
@@ -151,8 +153,9 @@
             || !self.attempts.iter().any(Attempt::may_take_effect)
     }
 
-    /// Until when a request with an idempotency key that may have taken effect can be sent again: afterwards
-    /// the servers may not discard the repeat. None where a repeat needs no time limit.
+    /// The time before which a request with an idempotency key that may have taken effect can be sent
+    /// again: from then on the servers may no longer discard the repeat. `None` where a send has no time
+    /// limit.
     pub(crate) fn send_before(&self) -> Option<Micros> {
         let Idempotency::Keyed { window, .. } = self.rules.idempotency else { return None };
         let window = window - window / CLOCK_MARGIN_DIVISOR;
--- a/crates/balancer/src/send_guard.rs
+++ b/crates/balancer/src/send_guard.rs
@@ -1,18 +1,23 @@
 //! The rules that every send must pass, whichever decision asks for it.
 //!
-//! Nothing is sent after the final answer, too late for an answer, beyond the allowed attempts, to a server
-//! out of service, beside an attempt in flight unless the request may be hedged, again where a former attempt
-//! may have taken effect and the servers don't discard the repeat, or beyond the slow start quota of a
-//! server.
+//! An attempt is not sent:
+//!
+//! - after the final answer or once the answer has begun,
+//! - when too little time is left for an answer,
+//! - beyond the number of attempts that the request may have,
+//! - to a server that is out of service,
+//! - while another attempt is in flight, unless the request may be hedged,
+//! - when an earlier attempt may have taken effect and the servers would not certainly discard the repeat,
+//! - beyond this node's quota of a server in slow start.
 
 use crate::api::{Endpoint, Idempotency, Micros, ServerId};
 use crate::request::OpenRequest;
 use crate::server::Server;
 
-/// Why a send is not allowed.
+/// Why a send is not allowed, in the order in which the rules are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Denied {
-    /// The request has its answer, or the answer has begun.
+    /// The request has its final answer or needs none any more, or the answer has begun.
     Answered,
     /// Too little time is left for an answer.
     TooLate,
@@ -22,16 +27,17 @@
     OutOfService,
     /// An attempt is in flight and the request may not be hedged.
     AlreadyInFlight,
-    /// A former attempt may have taken effect and a repeat would not surely be discarded.
+    /// An earlier attempt may have taken effect, and the server would not certainly discard the repeat.
     NotRepeatable,
-    /// The server warms up and has had its calls from this node.
+    /// The server is in slow start and this node has used its quota.
     QuotaExhausted,
 }
 
-/// What the guard allows.
+/// A send that the guard allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Permit {
-    /// The send may not happen later than this: afterwards servers may not discard the repeat.
+    /// The send must happen before this time: from then on servers may no longer discard the repeat. `None`
+    /// where the send has no time limit.
     pub(crate) send_before: Option<Micros>,
 }
 
@@ -39,17 +45,17 @@
 pub(crate) struct ProposedSend<'a> {
     /// The request.
     pub(crate) request: &'a OpenRequest,
-    /// Where it is to be sent.
+    /// The server it would be sent to.
     pub(crate) server: &'a Server,
     /// The present time.
     pub(crate) now: Micros,
-    /// The least time that an answer needs, in microseconds.
+    /// The least time that must be left for an answer, in microseconds.
     pub(crate) attempt_time: Micros,
 }
 
 impl ProposedSend<'_> {
-    /// Checks the send against all rules. `endpoint` looks up the servers of former attempts,
-    /// `remaining_calls` is what the server can take from this node.
+    /// Checks the send against all rules. `endpoint` looks up the servers of earlier attempts,
+    /// `remaining_calls` is the number of calls that this node may still send to the server.
     ///
     /// # Errors
     /// The first rule that the send would break.
@@ -84,7 +90,7 @@
         Ok(Permit { send_before })
     }
 
-    /// Whether another attempt does no harm even if all former ones took effect.
+    /// Whether another attempt does no harm even if all earlier ones that may have taken effect did.
     fn may_repeat<'a>(
         &self,
         send_before: Option<Micros>,
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -1,4 +1,4 @@
-//! A listed server and the state that the rules keep for it.
+//! A server of the endpoint list and the state that the rules keep for it.
 
 use crate::api::{Endpoint, EndpointState, Micros, Settings};
 use crate::idle_connections::IdleConnection;
@@ -13,22 +13,22 @@
 pub(crate) struct Server {
     /// Its entry in the endpoint list.
     pub(crate) endpoint: Endpoint,
-    /// Operators have taken it out of service.
+    /// Whether operators have taken it out of service.
     pub(crate) is_disabled: bool,
-    /// This node's attempts there.
+    /// This node's attempts in flight at the server.
     pub(crate) in_flight: InFlight,
-    /// Whether it answers.
+    /// Whether it is suspected not to answer.
     pub(crate) health: ServerHealth,
-    /// How slow it is in comparison with other caches.
+    /// How slow it is in comparison with all caches.
     pub(crate) relative_latency: RelativeLatency,
-    /// Its slow start.
+    /// The state of its slow start.
     pub(crate) warm_up: WarmUp,
-    /// The idle connection to it.
+    /// The idle connection of this node to it.
     pub(crate) idle_connection: IdleConnection,
 }
 
 impl Server {
-    /// A server that was just listed.
+    /// The state of a server that is listed for the first time.
     pub(crate) fn new(endpoint: Endpoint, now: Micros) -> Self {
         Server {
             is_disabled: false,
@@ -41,7 +41,9 @@
         }
     }
 
-    /// The server has restarted, at `started_at` if it still warms up. What it was sent before still counts.
+    /// Forgets what was learned of a former process of the server. `started_at` is when its slow start
+    /// began, and `None` if it is warm, so this is also called at the end of a slow start. Calls that were
+    /// sent before still count against the quota.
     pub(crate) fn restart(
         &mut self,
         started_at: Option<Micros>,
@@ -54,7 +56,7 @@
         self.warm_up.restart(started_at, now, sender, &settings.slow_start());
     }
 
-    /// Whether requests may be sent to it: it is up, and not disabled.
+    /// Whether requests may be sent to it: the list has it as up, and it is not disabled.
     #[inline]
     pub(crate) fn in_service(&self) -> bool {
         self.endpoint.state == EndpointState::Up && !self.is_disabled
@@ -66,7 +68,7 @@
         self.in_service() && self.tier() == Tier::Caches
     }
 
-    /// Whether it is the origin and in service.
+    /// Whether it is the origin, in service.
     pub(crate) fn is_origin_in_service(&self) -> bool {
         self.in_service() && self.tier() == Tier::Origin
     }
@@ -77,12 +79,12 @@
         if self.endpoint.is_origin { Tier::Origin } else { Tier::Caches }
     }
 
-    /// Whether an attempt at it is overdue or several in a row failed.
+    /// Whether an attempt at it is overdue, or several in a row were not answered.
     pub(crate) fn is_suspect(&self, now: Micros) -> bool {
         self.health.is_suspect(&self.in_flight, now)
     }
 
-    /// Its weight and type of machine.
+    /// Its weight and machine type by the endpoint list.
     pub(crate) fn listed_weight(&self) -> ListedWeight {
         ListedWeight { machine_type: self.endpoint.machine_type, weight: self.endpoint.weight }
     }
--- a/crates/balancer/src/settings_document.rs
+++ b/crates/balancer/src/settings_document.rs
@@ -1,8 +1,8 @@
-//! The settings document of the protocol, mapped to the terms of this code.
+//! The settings document of the protocol, and its translation to the settings of this crate.
 //!
-//! The node and the simulator adapter read the same document. [`SettingsDocument`] has its fields, by the names that
-//! they have on the wire; [`ResolvedSettings`] is what they mean, with names of classes, tenants, zones and machine
-//! types as indices. Unknown fields are skipped.
+//! The node and the simulator adapter read the same document. [`SettingsDocument`] has the fields by their names on the
+//! wire. [`ResolvedSettings`] has their meaning, with the names of classes, tenants, zones and machine types replaced
+//! by indices. Unknown fields are ignored.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
@@ -14,28 +14,29 @@
 
 use document::{ClassDocument, TenantDocument};
 pub use document::{SettingsDocument, SettingsError};
-use names::{Names, index_of};
+use names::{IndexedNames, index_of};
 
-/// Connections that are not up after this time have failed, where the document states no time.
+/// [`ResolvedSettings::connect_timeout`] where the document has none.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
 
-/// The largest time that [`micros_from_millis`] returns. It leaves room for sums and lies well above Unix time: below
-/// that, a server that has just started would count as started long ago.
+/// The largest time that [`micros_from_millis`] returns. It leaves room for sums and is well above the present Unix
+/// time: if it were below, a server that has just started would count as started long ago.
 const MAX_MICROS: f64 = 1e17;
 
-/// What a settings document means: the settings of the balancer, those of the node, and the names behind the indices.
+/// The meaning of a settings document: the settings of the balancer and of the node, and the names behind the indices.
 #[derive(Debug, Clone)]
 pub struct ResolvedSettings {
     /// The settings of the balancer.
     pub settings: Settings,
-    /// A connection that is not up after this time has failed.
+    /// A connection that is not open after this time has failed.
     pub connect_timeout: Micros,
-    /// The longest deadline of any class, counted from the request.
+    /// The longest deadline of any class, from the arrival of a request.
     pub max_deadline: Micros,
-    classes: Names,
-    tenants: Names,
+    classes: IndexedNames,
+    tenants: IndexedNames,
     zones: HashMap<String, u32>,
     machine_types: HashMap<String, u32>,
+    /// The name of the machine type that marks the origin.
     origin_machine_type: Option<String>,
 }
 
@@ -48,7 +49,7 @@
 }
 
 impl ResolvedSettings {
-    /// The settings after these: what is named in both keeps its index.
+    /// The meaning of the document that replaces this one: names in both keep their indices.
     ///
     /// # Errors
     /// If a class has an unknown effect.
@@ -91,7 +92,7 @@
         })
     }
 
-    /// The index of a class that the settings name, or named before.
+    /// The index of a class that the settings in force or earlier ones name.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.index(name)
     }
@@ -106,23 +107,24 @@
         self.tenants.index(name).filter(|_| self.tenants.in_force().contains(name))
     }
 
-    /// The number of a zone; a new one for a name not met before.
+    /// The number of a zone; a new one if its name was not used before.
     pub fn zone(&mut self, name: Cow<str>) -> u32 {
         index_of(&mut self.zones, name)
     }
 
-    /// The number of a type of machine; a new one for a name not met before.
+    /// The number of a machine type; a new one if its name was not used before.
     pub fn machine_type(&mut self, name: Cow<str>) -> u32 {
         index_of(&mut self.machine_types, name)
     }
 
-    /// Whether servers of this type of machine are the origin.
+    /// Whether a server of this machine type is the origin.
     pub fn is_origin(&self, machine_type: &str) -> bool {
         self.origin_machine_type.as_deref() == Some(machine_type)
     }
 }
 
-/// The document's settings for the balancer. Classes and tenants come resolved, zones with all names known so far.
+/// The settings of the balancer by the document. Classes and tenant quotas are passed in resolved; `zones` has the
+/// numbers of all zones known so far.
 fn balancer_settings(
     document: SettingsDocument,
     classes: Vec<RequestClass>,
@@ -158,10 +160,10 @@
     }
 }
 
-/// Puts the document's classes at the indices of their names.
+/// Stores the document's classes at the indices of their names.
 fn update_classes(
     classes: &mut Vec<RequestClass>,
-    names: &mut Names,
+    names: &mut IndexedNames,
     documents: &[ClassDocument],
 ) -> Result<(), SettingsError> {
     let indices = names.replace(documents.iter().map(|class| &class.name));
@@ -176,14 +178,15 @@
     Ok(())
 }
 
-/// Puts the document's quotas at the indices of their tenants' names.
-fn update_tenant_quotas(quotas: &mut Vec<f64>, names: &mut Names, documents: &[TenantDocument]) {
+/// Stores the document's quotas at the indices of their tenants' names.
+fn update_tenant_quotas(quotas: &mut Vec<f64>, names: &mut IndexedNames, documents: &[TenantDocument]) {
     let indices = names.replace(documents.iter().map(|tenant| &tenant.name));
     for (document, index) in documents.iter().zip(indices) {
         set_or_push(quotas, index, document.share);
     }
 }
 
+/// The idempotency of a class by the document.
 fn idempotency(class: &ClassDocument) -> Result<Idempotency, SettingsError> {
     let scope = match class.dedup_scope.as_str() {
         "zone" => DeduplicationScope::Zone,
@@ -198,7 +201,7 @@
     }
 }
 
-/// Sets the value at an index, which is at most one behind the last.
+/// Sets the value at an index, which is at most the number of values.
 fn set_or_push<T>(values: &mut Vec<T>, index: usize, value: T) {
     match values.get_mut(index) {
         Some(previous) => *previous = value,
@@ -206,7 +209,8 @@
     }
 }
 
-/// Milliseconds to microseconds, rounded. NaN and negative times are 0; large ones are cut to some 3,000 years.
+/// Converts milliseconds to microseconds, rounded. NaN and negative times become 0; large ones are limited to about
+/// 3,000 years.
 pub fn micros_from_millis(millis: f64) -> Micros {
     (millis * 1000.0).round().min(MAX_MICROS) as Micros
 }
--- a/crates/balancer/src/settings_document/document.rs
+++ b/crates/balancer/src/settings_document/document.rs
@@ -1,10 +1,10 @@
-//! The settings document as it stands on the wire, with the names that its fields have there.
+//! The settings document by its field names on the wire.
 
 use std::collections::HashSet;
 
 use serde::Deserialize;
 
-/// The settings as they stand in the document, on the wire or in a node's configuration. Times are milliseconds.
+/// The settings document of the wire or of a node's configuration. Times are in milliseconds.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SettingsDocument {
@@ -13,37 +13,37 @@
     /// How misses are fetched, and which machine type is the origin.
     #[serde(default)]
     pub(super) family_info: FamilyInfo,
-    /// What discovery and servers in slow start keep to.
+    /// The bounds within which discovery and servers in slow start behave.
     #[serde(default)]
     pub(super) guarantees: Guarantees,
-    /// What attempts and connections may do.
+    /// The limits of attempts and connections.
     #[serde(default)]
     pub(super) limits: Limits,
-    /// Weight of a request beyond its tenant's quota, as a part of its class's.
+    /// Factor on the priority weight of a request whose tenant exceeds its quota.
     #[serde(default)]
     pub(super) over_share_worth: Option<f64>,
     /// The least time between two events.
     #[serde(default)]
     pub(super) quantum: f64,
-    /// What attempts cost.
+    /// The costs of attempts.
     #[serde(default)]
     pub(super) prices: Prices,
     /// The zone of this node.
     #[serde(default)]
     pub(super) zone: Option<String>,
-    /// `subscribe` if the endpoint list must be watched.
+    /// `subscribe` if the endpoint list must be watched rather than polled.
     #[serde(default)]
     pub(super) registry_mode: String,
-    /// Nodes that send to the same servers, this one included.
+    /// Number of nodes that send to the same servers, including this one.
     #[serde(default)]
     pub(super) siblings: usize,
-    /// Which of them this one is, from 0.
+    /// The index of this node among them, from 0.
     #[serde(default)]
     pub(super) me: Option<i64>,
     /// The tenants and their quotas.
     #[serde(default)]
     pub(super) tenants: Vec<TenantDocument>,
-    /// `live` if an endpoint's weight is not its size.
+    /// `live` if the weight of an endpoint is not its steady size.
     #[serde(default)]
     pub(super) weights: String,
     /// The names of the zones.
@@ -58,11 +58,11 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct ClassDocument {
-    /// The name by which clients name it.
+    /// The name that clients use for it.
     pub(super) name: String,
     /// The latency objective.
     pub(super) aim: f64,
-    /// The longest deadline of a client, over all attempts.
+    /// The longest deadline that a client may ask for, for all attempts together.
     #[serde(default)]
     pub(super) hard_limit: f64,
     /// The priority weight.
@@ -82,9 +82,9 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct TenantDocument {
-    /// The name by which clients name it.
+    /// The name that clients use for it.
     pub(super) name: String,
-    /// Its quota, as a part of the service.
+    /// Its quota, as a fraction of the service.
     #[serde(default)]
     pub(super) share: f64,
 }
@@ -103,37 +103,37 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct Prices {
-    /// Cost of an attempt at another zone, as a part of the service's value.
+    /// Cost of an attempt at another zone, as a fraction of the value of the service.
     pub(super) cross_zone: f64,
 }
 
-/// Bounds that discovery, and servers in slow start, have.
+/// Bounds within which discovery and servers in slow start behave.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct Guarantees {
     /// The duration of slow start.
     pub(super) cold: f64,
-    /// The part of its capacity that a started server has at least, 0 to 1.
+    /// The smallest fraction of its capacity that a server has after a start, 0 to 1.
     pub(super) cold_from: Option<f64>,
-    /// The length of the window in which a server in slow start is overloaded.
+    /// The length of the window in which a server in slow start can be overloaded.
     pub(super) fall: f64,
-    /// Without a watch, the list is polled at least this often.
+    /// The longest interval between two polls of the endpoint list where it is not watched.
     pub(super) must_ask_in: Option<f64>,
     /// The multiple of its present capacity that overloads a server in slow start.
     pub(super) overload_factor: Option<f64>,
 }
 
-/// Bounds of attempts and connections.
+/// Limits of attempts and connections.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct Limits {
     /// Whether attempts may be cancelled.
     pub(super) cancel: bool,
-    /// A connection that is not up by then has failed.
+    /// A connection that is not open after this time has failed.
     pub(super) connect_timeout: Option<f64>,
-    /// Servers close a connection that has been idle for so long.
+    /// Servers close a connection that has been idle for this time.
     pub(super) keepalive: Option<f64>,
-    /// The most attempts for one request.
+    /// The largest number of attempts for one request.
     pub(super) max_attempts: Option<usize>,
     /// The longest Retry-After that clients honour.
     pub(super) max_retry_after: f64,
@@ -143,32 +143,32 @@
     pub(super) second_copies: bool,
 }
 
-/// Why a settings document can't be used.
+/// The reason why a settings document can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A class has an unknown effect.
-    #[error("unknown effect {0:?}")]
+    #[error("unknown effect {0:?} of a class")]
     UnknownEffect(String),
     /// There is no class.
-    #[error("no class")]
+    #[error("the settings have no class")]
     NoClass,
-    /// A class has no name, or the name of another.
+    /// A class has an empty name, or the same name as another class.
     #[error("class name {0:?} is empty or used twice")]
     ClassName(String),
-    /// The latency objective or the deadline of a class is no positive number.
-    #[error("class {0:?} has no positive aim and deadline")]
+    /// The latency objective or the deadline of a class is not a positive number.
+    #[error("class {0:?}: aim and deadline must be positive numbers")]
     ClassTimes(String),
-    /// The most attempts are 0 or not stated.
-    #[error("attempts are not a positive number")]
+    /// The largest number of attempts is 0 or missing.
+    #[error("attempts must be a positive number")]
     MaxAttempts,
 }
 
 impl SettingsDocument {
-    /// Checks that a node can use the document as it stands, with no default for what matters.
+    /// Checks that the document has usable values for the fields that a node needs and that have no default for it.
     ///
     /// # Errors
-    /// If there is no class, or one without a name of its own, a positive latency objective or a positive deadline, or if
-    /// there are no attempts.
+    /// If there is no class; if a class has an empty name, the name of another class, or a latency objective or deadline
+    /// that is not positive; or if the largest number of attempts is missing or 0.
     pub fn check(&self) -> Result<(), SettingsError> {
         let mut names = HashSet::new();
         for class in &self.classes {
--- a/crates/balancer/src/settings_document/names.rs
+++ b/crates/balancer/src/settings_document/names.rs
@@ -1,18 +1,20 @@
-//! Indices for names, which stay the same from one settings document to the next.
+//! Indices of names, which stay the same from one settings document to the next.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
 
-/// Names in the order in which they were first met, and which of them are in force.
+/// All names of the settings documents so far, with their indices.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Names {
+pub(super) struct IndexedNames {
+    /// The index of each name, in the order in which the names were first used.
     indices: HashMap<String, usize>,
+    /// The names of the present document.
     in_force: HashSet<String>,
 }
 
-impl Names {
-    /// Puts these names in force in place of those before: each keeps its index, new ones come behind. Returns their
-    /// indices.
+impl IndexedNames {
+    /// Puts these names in force instead of the previous ones, and returns their indices. Names used before keep their
+    /// indices, and new ones get the next indices.
     pub(super) fn replace<'a>(&mut self, names: impl Iterator<Item = &'a String>) -> Vec<usize> {
         let names: Vec<String> = names.cloned().collect();
         self.in_force = names.iter().cloned().collect();
@@ -34,9 +36,9 @@
     }
 }
 
-/// The index of a name; a new one for a name not met before.
+/// The index of a name; the next one for a name that was not used before.
 pub(super) fn index_of(names: &mut HashMap<String, u32>, name: Cow<str>) -> u32 {
-    let next = names.len() as u32; // none is ever taken out
+    let next = names.len() as u32; // names are never removed
     match names.get(&*name) {
         Some(&index) => index,
         None => *names.entry(name.into_owned()).or_insert(next),
--- a/crates/balancer/src/single_flight.rs
+++ b/crates/balancer/src/single_flight.rs
@@ -1,6 +1,6 @@
 //! Request coalescing: of the reads that missed the same key, one fetches the value and the others wait.
 //!
-//! Keeps a popular key that expires from being fetched once per waiting client.
+//! A popular key that expires is then fetched once instead of once per waiting client.
 //!
 //! Inputs: hashes of keys and the ids of requests, in the order in which they join.
 
@@ -8,23 +8,24 @@
 
 use crate::api::RequestId;
 
-/// The part of a read in the fetch of its key.
+/// The role of a read in the fetch of its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FetchRole {
-    /// It fetches the value, for others too.
+    /// It fetches the value, also for other reads.
     Leader,
-    /// It waits for the fetch of another.
+    /// It waits for the fetch by another read.
     Waiter,
 }
 
-/// Fetches in progress or waiting for capacity, by key hash, with the reads that wait for each.
+/// The fetches that are in progress or wait for capacity.
 #[derive(Default)]
 pub(crate) struct SingleFlight {
+    /// The reads that wait for each fetch, by the hash of its key.
     waiters: HashMap<u64, Vec<RequestId>>,
 }
 
 impl SingleFlight {
-    /// Joins the fetch of a key, or starts one if there is none.
+    /// Has a read join the fetch of a key, or start it if there is none.
     pub(crate) fn join(&mut self, key: u64, request: RequestId) -> FetchRole {
         if let Some(waiters) = self.waiters.get_mut(&key) {
             waiters.push(request);
@@ -34,7 +35,7 @@
         FetchRole::Leader
     }
 
-    /// Ends the fetch of a key and returns the reads that waited, in their order.
+    /// Ends the fetch of a key and returns the reads that waited, in the order in which they joined.
     pub(crate) fn finish(&mut self, key: u64) -> Vec<RequestId> {
         self.waiters.remove(&key).unwrap_or_default()
     }
@@ -44,8 +45,8 @@
         self.waiters.contains_key(&key)
     }
 
-    /// Has reads wait for the present fetch of a key. They need no timer: that of their first wait still
-    /// runs.
+    /// Has reads that waited for an earlier fetch of a key wait for the present one. They need no new
+    /// timer: the one set when they began to wait is still running.
     pub(crate) fn rejoin(&mut self, key: u64, requests: impl Iterator<Item = RequestId>) {
         self.waiters.entry(key).or_default().extend(requests);
     }
--- a/crates/balancer/src/tier.rs
+++ b/crates/balancer/src/tier.rs
@@ -6,7 +6,7 @@
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::latency::LatencyEstimate;
 
-/// Where a request is sent.
+/// One of the two groups of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Tier {
     /// The cache servers together.
@@ -15,13 +15,13 @@
     Origin,
 }
 
-/// What is kept for a tier.
+/// The state that the rules keep for a tier.
 pub(crate) struct TierState {
     /// Response times of the tier.
     pub(crate) latency: LatencyEstimate,
     /// The limit on attempts in flight.
     pub(crate) limit: ConcurrencyLimit,
-    /// Requests that wait for the limit.
+    /// Requests that wait for capacity within the limit.
     pub(crate) queue: AdmissionQueue,
 }
 
@@ -32,8 +32,7 @@
 }
 
 impl Tiers {
-    /// Tiers at the start of one of `nodes`, where answers are expected to meet `objective` (in
-    /// microseconds).
+    /// The initial state at one of `nodes`; answers are expected to meet `objective` (in microseconds).
     pub(crate) fn new(objective: f64, nodes: usize) -> Self {
         let tier = || TierState {
             latency: LatencyEstimate::for_objective(objective),
@@ -43,7 +42,7 @@
         Tiers { caches: tier(), origin: tier() }
     }
 
-    /// Whether neither tier shows congestion.
+    /// Whether both tiers have spare capacity for hedged requests.
     pub(crate) fn allow_hedging(&self) -> bool {
         self.caches.limit.allows_hedging() && self.origin.limit.allows_hedging()
     }
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -1,4 +1,5 @@
-//! What a timer is for, and the token that stands for it: a request id, or a larger number.
+//! The purpose of a timer, and the token that identifies it: a request id, or a number above all request
+//! ids.
 
 use crate::api::{RequestId, TimerToken};
 
@@ -9,14 +10,14 @@
 /// Token of [`Timer::Shutdown`].
 const SHUTDOWN_TOKEN: u64 = u64::MAX - 2;
 
-/// What is due when a timer ends.
+/// What is due when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The next watch of the endpoint list.
+    /// The start of the next watch of the endpoint list.
     EndpointWatch,
     /// A check of idle connections.
     IdleConnections,
-    /// The last answers before the process ends.
+    /// The answers to all open requests before the process ends.
     Shutdown,
     /// The next step of a request.
     Request(RequestId),
