--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -9,9 +9,9 @@
     Config as FileConfig, Layers, Log, LogFormat, Membership, Role, SharedDocument, Store, load,
 };
 use stonefold_membership::{Codec, Settings};
-use stonefold_node::config::{Config, Document, DocumentError, Source};
+use stonefold_node::config::{Config, DocumentError, DocumentSource, Source};
 use stonefold_node::membership::MembershipConfig;
-use stonefold_node::shared::SharedState;
+use stonefold_node::shared::ReplicatedState;
 use stonefold_observe::{Format, LogOptions, Logging};
 use stonefold_store::wire::Keys;
 use stonefold_store::{daemon, follower};
@@ -33,7 +33,7 @@
     shared: Option<Arc<dyn SharedConfig>>,
 }
 
-impl Document for FileDocument {
+impl DocumentSource for FileDocument {
     fn read(&self) -> Result<Value, DocumentError> {
         let committed = self.shared.as_ref().and_then(|shared| shared.config());
         let shared = committed.map(|config| SharedDocument {
@@ -68,7 +68,7 @@
     let document = FileDocument { path, flags: args.set, seed: fastrand::u64(..), shared: shared.clone() };
     let mut config = Config::from_source(Source::Document(Box::new(document))).map_err(Failure::unusable)?;
     config.started = started; // before the store, which may wait for others
-    config.shared = shared.map(|shared| shared as Arc<dyn SharedState>);
+    config.shared = shared.map(|shared| shared as Arc<dyn ReplicatedState>);
     config.membership = membership.map(|membership| membership_config(node.name, membership)).transpose()?;
     serve(config, &log)
 }
--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stonefold_node::overrides::{Override, Overrides};
-use stonefold_node::shared::{BoxFuture, SharedState};
+use stonefold_node::shared::{BoxFuture, ReplicatedState};
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::daemon::MemberDaemon;
 use stonefold_store::freshness::VersionCheck;
@@ -150,7 +150,7 @@
     }
 }
 
-impl SharedState for MemberState {
+impl ReplicatedState for MemberState {
     fn ready(&self) -> BoxFuture<'_, ()> {
         let mut ready = self.daemon.ready.clone();
         // An error means that the store has ended, which must not block the node.
--- a/crates/cli/src/shared_state/mod.rs
+++ b/crates/cli/src/shared_state/mod.rs
@@ -3,7 +3,7 @@
 mod member;
 mod subscriber;
 
-use stonefold_node::shared::SharedState;
+use stonefold_node::shared::ReplicatedState;
 use stonefold_proto::endpoints::EndpointList;
 use tracing::warn;
 
@@ -21,7 +21,7 @@
 }
 
 /// Shared state that contains a part of the node's configuration.
-pub(crate) trait SharedConfig: SharedState {
+pub(crate) trait SharedConfig: ReplicatedState {
     /// The committed configuration; `None` if there is none, or it is not known yet.
     fn config(&self) -> Option<ConfigRevision>;
 }
--- a/crates/cli/src/shared_state/subscriber.rs
+++ b/crates/cli/src/shared_state/subscriber.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use stonefold_node::overrides::{Override, Overrides};
-use stonefold_node::shared::{BoxFuture, SharedState};
+use stonefold_node::shared::{BoxFuture, ReplicatedState};
 use stonefold_proto::endpoints::EndpointList;
 use stonefold_store::feed::frame::{Item, ItemKey};
 use stonefold_store::feed::subscriber::Event;
@@ -56,7 +56,7 @@
     }
 }
 
-impl SharedState for SubscriberState {
+impl ReplicatedState for SubscriberState {
     fn ready(&self) -> BoxFuture<'_, ()> {
         let mut ready = self.daemon.ready.clone();
         // An error means that the subscriber has ended, which must not block the node.
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -16,7 +16,7 @@
 use stonefold_emulator::discovery::{Counts, Registry, Service, document};
 use stonefold_model::site::{DiscoveryKind, Site};
 use stonefold_model::{Listed, Listing, Micros, State};
-use stonefold_node::config::{Config, ConfigError, Document, DocumentError, Source};
+use stonefold_node::config::{Config, ConfigError, DocumentError, DocumentSource, Source};
 use stonefold_node::hollow::{self, AppliedList};
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
@@ -153,7 +153,7 @@
 /// A configuration as the platform would state it.
 struct Stated(Value);
 
-impl Document for Stated {
+impl DocumentSource for Stated {
     fn read(&self) -> Result<Value, DocumentError> {
         Ok(self.0.clone())
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -17,12 +17,12 @@
 use crate::membership::MembershipConfig;
 use crate::operator::MAX_CONNECTIONS as OPERATOR_CONNECTIONS;
 use crate::relay::MemoryBudget;
-use crate::shared::SharedState;
+use crate::shared::ReplicatedState;
 use crate::transient::{TransientError, retry_transient_blocking};
 
 pub use document::check_file;
 pub(crate) use source::ConfigSource;
-pub use source::{Document, DocumentError, Source};
+pub use source::{DocumentError, DocumentSource, Source};
 
 /// Descriptors that are neither clients' nor servers' connections: the standard streams, the listeners, discovery, the
 /// runtimes' own, operators, and one to spare for a connection that is rejected.
@@ -57,7 +57,7 @@
     /// When the process started, as far as is known: the time to ready counts from here.
     pub started: Instant,
     /// The store that all nodes share, where an installation has one.
-    pub shared: Option<Arc<dyn SharedState>>,
+    pub shared: Option<Arc<dyn ReplicatedState>>,
     /// How this node takes part in the membership, where it is enabled.
     pub membership: Option<MembershipConfig>,
 }
--- a/crates/node/src/config/source.rs
+++ b/crates/node/src/config/source.rs
@@ -14,7 +14,7 @@
 pub type DocumentError = Box<dyn Error + Send + Sync>;
 
 /// Another source of the platform's document: read at the start, and at each reload.
-pub trait Document: Send + Sync {
+pub trait DocumentSource: Send + Sync {
     /// The current document.
     ///
     /// # Errors
@@ -29,7 +29,7 @@
     #[default]
     Platform,
     /// Another document, which the environment does not override.
-    Document(Box<dyn Document>),
+    Document(Box<dyn DocumentSource>),
 }
 
 impl Source {
--- a/crates/node/src/overrides/store.rs
+++ b/crates/node/src/overrides/store.rs
@@ -10,7 +10,7 @@
 
 use super::{Override, OverrideError, OverrideFile, Overrides, now_ms};
 use crate::message::{Control, Message};
-use crate::shared::SharedState;
+use crate::shared::ReplicatedState;
 use crate::transient::{TransientError, retry_transient};
 
 /// How often changes by other processes and nodes are looked for.
@@ -21,7 +21,7 @@
     /// A file of this machine.
     File(OverrideFile),
     /// The store that all nodes share.
-    Shared(Arc<dyn SharedState>),
+    Shared(Arc<dyn ReplicatedState>),
 }
 
 /// The overrides that a process starts with.
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -13,7 +13,7 @@
 use crate::config::{ConfigError, ConfigSource};
 use crate::message::{Control, SharedSettings};
 use crate::metrics::Metrics;
-use crate::shared::SharedState;
+use crate::shared::ReplicatedState;
 use crate::transient::retry_transient;
 
 /// Requests of a class that a reload has removed are still accepted for this time, since some are in flight.
@@ -32,7 +32,7 @@
     /// Takes the settings of the parts around the driver.
     pub(crate) settings: watch::Sender<SharedSettings>,
     /// The store that all nodes share, if there is one.
-    pub(crate) shared: Option<Arc<dyn SharedState>>,
+    pub(crate) shared: Option<Arc<dyn ReplicatedState>>,
 }
 
 /// The settings without removed classes, and when they take effect.
@@ -111,7 +111,7 @@
 }
 
 /// Waits for a revision of the shared configuration later than the one seen; forever where nothing is shared.
-async fn next_revision(shared: &Option<Arc<dyn SharedState>>, seen: u64) -> u64 {
+async fn next_revision(shared: &Option<Arc<dyn ReplicatedState>>, seen: u64) -> u64 {
     match shared {
         Some(shared) => shared.config_after(seen).await,
         None => std::future::pending().await,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -15,7 +15,7 @@
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// State that outlives this process and is the same at all nodes. Only methods that return a future may block.
-pub trait SharedState: Send + Sync + 'static {
+pub trait ReplicatedState: Send + Sync + 'static {
     /// Waits until the committed state is known, up to a limit of the implementation's.
     fn ready(&self) -> BoxFuture<'_, ()>;
 
@@ -51,14 +51,14 @@
 
 /// The endpoint list as this node knows it, published to the other nodes when it changes.
 pub struct SharedEndpoints {
-    shared: Arc<dyn SharedState>,
+    shared: Arc<dyn ReplicatedState>,
     version: u64,
     servers: BTreeMap<String, ListedServer>,
 }
 
 impl SharedEndpoints {
     /// Starts with an empty list.
-    pub fn new(shared: Arc<dyn SharedState>) -> SharedEndpoints {
+    pub fn new(shared: Arc<dyn ReplicatedState>) -> SharedEndpoints {
         SharedEndpoints { shared, version: 0, servers: BTreeMap::new() }
     }
 
--- a/crates/node/src/shared/tests.rs
+++ b/crates/node/src/shared/tests.rs
@@ -14,7 +14,7 @@
 #[derive(Default)]
 struct Recorder(Mutex<Vec<Learned>>);
 
-impl SharedState for Recorder {
+impl ReplicatedState for Recorder {
     fn ready(&self) -> BoxFuture<'_, ()> {
         Box::pin(async {})
     }
