--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -9,7 +9,7 @@
     Config as FileConfig, Layers, Log, LogFormat, Membership, Role, SharedDocument, Store, load,
 };
 use stonefold_membership::{Codec, Settings};
-use stonefold_node::config::{Config, DocumentError, DocumentSource, Source};
+use stonefold_node::config::{DocumentError, DocumentSource, NodeConfig, Source};
 use stonefold_node::membership::MembershipConfig;
 use stonefold_node::shared::ReplicatedState;
 use stonefold_observe::{Format, LogOptions, Logging};
@@ -55,7 +55,7 @@
 }
 
 fn run_from_platform(args: &NodeArgs, started: Instant) -> Result<(), Failure> {
-    let mut config = Config::from_source(Source::Platform).map_err(Failure::unusable)?;
+    let mut config = NodeConfig::from_source(Source::Platform).map_err(Failure::unusable)?;
     config.started = started;
     serve(config, &start_logging(LogOptions::default(), args)?)
 }
@@ -66,7 +66,8 @@
     let log = start_logging(log_options(&log)?, &args)?;
     let shared = store.map(start_store).transpose()?;
     let document = FileDocument { path, flags: args.set, seed: fastrand::u64(..), shared: shared.clone() };
-    let mut config = Config::from_source(Source::Document(Box::new(document))).map_err(Failure::unusable)?;
+    let mut config =
+        NodeConfig::from_source(Source::Document(Box::new(document))).map_err(Failure::unusable)?;
     config.started = started; // before the store, which may wait for others
     config.shared = shared.map(|shared| shared as Arc<dyn ReplicatedState>);
     config.membership = membership.map(|membership| membership_config(node.name, membership)).transpose()?;
@@ -122,7 +123,7 @@
     })
 }
 
-fn serve(config: Config, log: &Logging) -> Result<(), Failure> {
+fn serve(config: NodeConfig, log: &Logging) -> Result<(), Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(runtime.block_on(stonefold_node::run(config, log.dropped()))?)
 }
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -16,7 +16,7 @@
 use stonefold_emulator::discovery::{Counts, Registry, Service, document};
 use stonefold_model::site::{DiscoveryKind, Site};
 use stonefold_model::{Listed, Listing, Micros, State};
-use stonefold_node::config::{Config, ConfigError, DocumentError, DocumentSource, Source};
+use stonefold_node::config::{ConfigError, DocumentError, DocumentSource, NodeConfig, Source};
 use stonefold_node::hollow::{self, AppliedList};
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
@@ -249,7 +249,7 @@
     /// If its configuration can't be used.
     pub fn start_node(&mut self, node: usize) -> Result<(), FleetError> {
         self.nodes[node] = None;
-        let config = Config::from_source(Source::Document(Box::new(Stated(self.config(node)))))?;
+        let config = NodeConfig::from_source(Source::Document(Box::new(Stated(self.config(node)))))?;
         locked(&self.hollows.truth).started(node, self.clock.now());
         let hollows = self.hollows.clone();
         let running = hollow::run(config, move |acted| hollows.acted(node, &acted));
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -33,7 +33,7 @@
 const DEFAULT_MEMORY_MIB: usize = 192;
 
 /// The configuration of a node.
-pub struct Config {
+pub struct NodeConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery is polled.
@@ -103,12 +103,12 @@
     }
 }
 
-impl Config {
+impl NodeConfig {
     /// Reads and checks the configuration of a source.
     ///
     /// # Errors
     /// If it can't be read, lacks something or states what can't be used.
-    pub fn from_source(source: Source) -> Result<Config, ConfigError> {
+    pub fn from_source(source: Source) -> Result<NodeConfig, ConfigError> {
         let started = Instant::now();
         let (document, value) = retry_transient_blocking(|| source.read())?;
         let processes = if handover::is_passed() { 2 } else { 1 };
@@ -116,7 +116,7 @@
         if sockets < 2 * RESERVED_SOCKETS * processes {
             return Err(ConfigError::Sockets(sockets));
         }
-        Ok(Config {
+        Ok(NodeConfig {
             listen: source.required_address("EDGE_LISTEN", document.listen)?,
             discovery: source.required_address("EDGE_DISCOVERY", document.discovery)?,
             operator: source.address("EDGE_OPERATOR", document.operator)?,
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -26,7 +26,7 @@
 use clock::Clock;
 use open_request::OpenRequest;
 
-use crate::config::Config;
+use crate::config::NodeConfig;
 use crate::message::{Control, Message};
 use crate::metrics::Metrics;
 use crate::overrides::Overrides;
@@ -113,7 +113,7 @@
 
 impl Driver {
     /// Creates a driver, and applies the list and the overrides known at the start.
-    pub(crate) fn new(config: Config, context: DriverContext, overrides: Overrides) -> Self {
+    pub(crate) fn new(config: NodeConfig, context: DriverContext, overrides: Overrides) -> Self {
         let clock = Clock::new();
         let now = Instant::now();
         let settings = config.settings.settings.clone();
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::config::{Config, ConfigSource};
+use crate::config::{ConfigSource, NodeConfig};
 use crate::discovery::EndpointWatcher;
 use crate::driver::{CONTROL_CAPACITY, Driver, DriverContext};
 use crate::message::{Message, SharedSettings};
@@ -54,7 +54,7 @@
 }
 
 impl HollowNode {
-    fn start(mut config: Config) -> HollowNode {
+    fn start(mut config: NodeConfig) -> HollowNode {
         let (to_self, inbox) = mpsc::unbounded_channel();
         let (to_driver, watcher_messages) = mpsc::unbounded_channel();
         let (control_sender, control) = mpsc::channel(CONTROL_CAPACITY);
@@ -107,7 +107,7 @@
 ///
 /// # Cancel safety
 /// When it is cancelled, the node and all its tasks end.
-pub async fn run(config: Config, mut on_list: impl FnMut(AppliedList<'_>)) {
+pub async fn run(config: NodeConfig, mut on_list: impl FnMut(AppliedList<'_>)) {
     let mut node = HollowNode::start(config);
     on_list(node.applied_list());
     loop {
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -16,7 +16,7 @@
 use tracing::info;
 
 use crate::clients::{ClientContext, ClientServer};
-use crate::config::Config;
+use crate::config::NodeConfig;
 use crate::discovery::EndpointWatcher;
 use crate::driver::{CONTROL_CAPACITY, Driver, DriverContext};
 use crate::membership::{Membership, MembershipConfig};
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// Fails if the node cannot listen on one of its addresses, or if the driver ends.
-pub async fn run(config: Config, log: DroppedLines) -> io::Result<()> {
+pub async fn run(config: NodeConfig, log: DroppedLines) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     // SIGHUP would end a process that does not handle it.
     let reload = signal(SignalKind::hangup())?;
@@ -73,7 +73,7 @@
 impl Node {
     /// Starts the parts of the node, the clients' side last.
     async fn start(
-        mut config: Config,
+        mut config: NodeConfig,
         listener: Listener,
         reload: Signal,
         metrics: Arc<Metrics>,
@@ -138,7 +138,7 @@
 }
 
 /// Waits for the state that all nodes share, if there is any, and adopts its endpoint list if that is newer.
-async fn adopt_shared_list(config: &mut Config) {
+async fn adopt_shared_list(config: &mut NodeConfig) {
     let Some(shared) = config.shared.clone() else { return };
     shared.ready().await;
     if let Some(list) = shared.newer_list() {
@@ -155,7 +155,7 @@
     }
 
     /// The watch on discovery, which continues from the known list. An empty list has no version to continue from.
-    fn endpoint_watcher(&self, config: &Config, watch_requested: Arc<Notify>) -> EndpointWatcher {
+    fn endpoint_watcher(&self, config: &NodeConfig, watch_requested: Arc<Notify>) -> EndpointWatcher {
         let known = &config.known;
         let version = (!known.servers.is_empty()).then_some(known.version);
         EndpointWatcher::new(
@@ -168,7 +168,7 @@
     }
 
     /// Loads the overrides of operators, and starts to follow changes that are made elsewhere.
-    async fn start_override_store(&self, config: &Config) -> (Arc<OverrideStore>, Overrides) {
+    async fn start_override_store(&self, config: &NodeConfig) -> (Arc<OverrideStore>, Overrides) {
         let store = match config.shared.clone() {
             Some(shared) => OverrideStore::Shared(shared),
             None => OverrideStore::File(OverrideFile::of_node()),
@@ -184,7 +184,7 @@
 
     fn driver_context(
         &self,
-        config: &Config,
+        config: &NodeConfig,
         watch_requested: Arc<Notify>,
         inbox: UnboundedReceiver<Message>,
         control: mpsc::Receiver<Control>,
@@ -201,7 +201,7 @@
         }
     }
 
-    fn client_context(&self, config: &Config, driver: &DriverContext) -> ClientContext {
+    fn client_context(&self, config: &NodeConfig, driver: &DriverContext) -> ClientContext {
         ClientContext {
             driver: self.driver.clone(),
             limits: config.client_limits(driver.server_connections.clone()),
@@ -215,7 +215,7 @@
     /// The task that reloads the configuration.
     fn reloader(
         &self,
-        config: &mut Config,
+        config: &mut NodeConfig,
         new_address: watch::Sender<SocketAddr>,
         new_settings: watch::Sender<SharedSettings>,
     ) -> ConfigReloader {
