--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -21,7 +21,7 @@
 use crate::transient::{TransientError, retry_transient_blocking};
 
 pub use document::check_file;
-pub(crate) use source::ConfigSource;
+pub(crate) use source::ReloadSource;
 pub use source::{DocumentError, DocumentSource, Source};
 
 /// Descriptors that are neither clients' nor servers' connections: the standard streams, the listeners, discovery, the
@@ -53,7 +53,7 @@
     /// The balancer's settings.
     pub settings: ResolvedSettings,
     /// Where the configuration is read again.
-    pub(crate) source: ConfigSource,
+    pub(crate) source: ReloadSource,
     /// When the process started, as far as is known: the time to ready counts from here.
     pub started: Instant,
     /// The store that all nodes share, where an installation has one.
@@ -126,7 +126,7 @@
             memory: (document.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MIB) << 20) / processes,
             known: document.known,
             settings: ResolvedSettings::try_from(document.settings).map_err(ConfigError::Settings)?,
-            source: ConfigSource::new(source, value),
+            source: ReloadSource::new(source, value),
             started,
             shared: None,
             membership: None,
--- a/crates/node/src/config/source.rs
+++ b/crates/node/src/config/source.rs
@@ -84,15 +84,15 @@
 
 /// The source of the configuration, and the document in force.
 #[derive(Default)]
-pub(crate) struct ConfigSource {
+pub(crate) struct ReloadSource {
     source: Source,
     current: Value,
 }
 
-impl ConfigSource {
+impl ReloadSource {
     /// A source, and the document that was read from it.
-    pub(super) fn new(source: Source, current: Value) -> ConfigSource {
-        ConfigSource { source, current }
+    pub(super) fn new(source: Source, current: Value) -> ReloadSource {
+        ReloadSource { source, current }
     }
 
     /// Reads and checks the document again; it is not in force yet. Discovery's address in the document overrides the
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they start, and every way in which they end.
+//! Starts attempts at servers, and handles every way in which they end.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -19,11 +19,11 @@
 use crate::upstream::directory::Target;
 use crate::upstream::send_permit::{SendConditions, SendStart};
 
-/// An attempt that the balancer asks for.
+/// An attempt that the balancer has requested.
 pub(super) struct NewAttempt {
     pub(super) request: RequestId,
     pub(super) server: ServerId,
-    /// After this time the attempt is abandoned.
+    /// The attempt is abandoned if it takes longer than this.
     pub(super) timeout: Duration,
     /// A retry must start before this time, so that servers still recognise the repeated request.
     pub(super) send_before: Option<Instant>,
@@ -48,7 +48,7 @@
         let NewAttempt { request: id, server, timeout, send_before } = new;
         let now = Instant::now();
         let due = self.now + timeout;
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
         let attempt = AttemptId::new(id, open.attempts.len());
         let start = SendStart::default();
         let conditions = SendConditions {
@@ -64,7 +64,7 @@
             return self.report_end(attempt, AttemptOutcome::NOT_MADE);
         }
         if open.client.is_disconnected() {
-            // The message about it is still in the inbox, behind the one that made the balancer send.
+            // The message `ClientDisconnected` is still in the inbox, behind the message that led to this attempt.
             self.on_client_disconnected(id);
             return self.report_end(attempt, AttemptOutcome::NOT_MADE);
         }
@@ -72,33 +72,34 @@
             return self.report_end(attempt, AttemptOutcome::NOT_MADE);
         };
         let timer = self.timers.insert_at(Timer::AttemptTimeout(attempt), due);
-        let open = &self.open[&id];
+        let open = &self.open_requests[&id];
         trace!(event = "attempt_started", request = %open.client_id(), attempt = attempt.number, at = %target.addr,
-            new_connection = pooled.is_none(), timeout_us = timeout.as_micros() as u64, "an attempt is in flight");
+            new_connection = pooled.is_none(), timeout_us = timeout.as_micros() as u64, "attempt started");
         self.log_warm_up(attempt, server);
-        // An attempt may continue for other requests; its server gets no more time than its own client.
+        // The timeout may be longer than the client waits, since an attempt may continue for other requests. The deadline
+        // that the server is told is never later than the client's.
         let deadline = due.min(open.deadline);
         let task = self.spawn_attempt(attempt, server, target, pooled, deadline);
         let running = RunningAttempt { started_at: now, task, timeout: Some(timer), first_byte_after: None };
-        let open = self.open.get_mut(&id).expect("the request is open");
+        let open = self.open_requests.get_mut(&id).expect("the request is open");
         open.attempts[attempt.number].running = Some(running);
-        self.running += 1;
+        self.attempts_in_flight += 1;
     }
 
-    /// Logs what the balancer knows of a server that is warming up, after it was sent this attempt.
+    /// Logs the state of the server's slow start with the attempt, if the server is warming up.
     fn log_warm_up(&self, attempt: AttemptId, server: ServerId) {
         if !enabled!(Level::TRACE) {
             return;
         }
         let Some(status) = self.balancer.warm_up_status(server) else { return };
-        let Some(open) = self.open.get(&attempt.request) else { return };
+        let Some(open) = self.open_requests.get(&attempt.request) else { return };
         trace!(event = "attempt_to_warming_server", request = %open.client_id(), attempt = attempt.number,
             age_us = status.age, capacity_fraction = status.capacity_fraction,
-            remaining_calls = status.remaining_calls, "the server has started a short while ago");
+            remaining_calls = status.remaining_calls, "the server of this attempt is warming up");
     }
 
     /// Returns the target of an attempt and an idle connection to it, or `None` if the server is unknown or there are too
-    /// many connections. May close the oldest idle connection in favour of a new one.
+    /// many connections. At the limit, closes the oldest idle connection to make room for a new one.
     fn check_out(
         &mut self,
         server: ServerId,
@@ -106,12 +107,12 @@
         conditions: SendConditions,
     ) -> Option<(Target, Option<ServerConnection>)> {
         let (target, pooled) = self.directory.check_out(server, now, conditions)?;
-        let connections = self.running + self.directory.idle_connections();
+        let connections = self.attempts_in_flight + self.directory.idle_connections();
         self.server_connections.store(connections, Ordering::Relaxed);
         if pooled.is_none() && connections >= self.max_connections {
             self.directory.close_oldest();
         }
-        (pooled.is_some() || self.running < self.max_connections).then_some((target, pooled))
+        (pooled.is_some() || self.attempts_in_flight < self.max_connections).then_some((target, pooled))
     }
 
     fn spawn_attempt(
@@ -129,7 +130,7 @@
         let attempt = attempt::Attempt {
             target,
             pooled,
-            request: self.open[&id.request].request.clone(),
+            request: self.open_requests[&id.request].request.clone(),
             deadline,
             connect_timeout: Duration::from_micros(self.settings.connect_timeout),
             metrics: self.metrics.clone(),
@@ -144,11 +145,11 @@
         tokio::spawn(work).abort_handle()
     }
 
-    /// Removes an attempt from those in flight; `None` if it has ended before.
+    /// Removes an attempt from those in flight and returns its state; `None` if it has ended already.
     fn take_running(&mut self, attempt: AttemptId) -> Option<RunningAttempt> {
-        let open = self.open.get_mut(&attempt.request)?;
+        let open = self.open_requests.get_mut(&attempt.request)?;
         let running = open.attempts.get_mut(attempt.number)?.running.take()?;
-        self.running -= 1;
+        self.attempts_in_flight -= 1;
         Some(running)
     }
 
@@ -163,11 +164,11 @@
         self.report_end(attempt, AttemptOutcome { outcome, elapsed, cache_hit: None });
     }
 
-    /// Abandons the attempts of an ended request of which nothing has been written, such as one whose connection is not
-    /// open yet. They were never executed, so that this is allowed even where the settings forbid cancelling. Requests
-    /// that wait for the same key fetch it with an attempt of their own.
+    /// Abandons the attempts of an ended request of which nothing has been written, for example because the connection is
+    /// not open yet. No server can have executed them, so they are abandoned even where the settings forbid cancelling.
+    /// Requests that wait for the same key fetch it with an attempt of their own.
     pub(super) fn stop_unwritten_attempts(&mut self, id: RequestId) {
-        let Some(open) = self.open.get(&id).filter(|open| open.response.is_none()) else { return };
+        let Some(open) = self.open_requests.get(&id).filter(|open| open.response.is_none()) else { return };
         for number in open.unwritten_attempts() {
             self.abandon(AttemptId::new(id, number), Outcome::NotSent);
         }
@@ -180,7 +181,7 @@
         if let Some(connection) = connection {
             self.directory.check_in(server, addr, connection, Instant::now());
         }
-        let Some(running) = running else { return }; // abandoned before
+        let Some(running) = running else { return }; // it was abandoned
         if let Some(timer) = running.timeout {
             self.timers.try_remove(&timer);
         }
@@ -190,19 +191,20 @@
             None if succeeded => self.respond(attempt.request, Response::Value(result.value)),
             None => {}
         }
-        // How long a large value takes depends on its length and its client rather than on the server.
+        // The duration of a large value depends on its length and its client rather than on the server, so the time to
+        // its first bytes is reported.
         let elapsed = running.first_byte_after.unwrap_or_else(|| running.started_at.elapsed());
         let outcome = AttemptOutcome { outcome: result.outcome, elapsed, cache_hit: result.cache_hit };
         self.report_end(attempt, outcome);
         self.stop_unwritten_attempts(attempt.request);
     }
 
-    /// Handles the first bytes of a large value. The first value to start is the final response, whatever becomes of it;
-    /// dropping the stream of another one ends its attempt.
+    /// Handles the first bytes of a large value. The first value that starts to arrive is the final response, even if it
+    /// breaks off later. The stream of any other value is dropped, which ends its attempt.
     pub(super) fn on_response_started(&mut self, attempt: AttemptId, stream: ValueStream) {
-        let Some(open) = self.open.get_mut(&attempt.request) else { return };
+        let Some(open) = self.open_requests.get_mut(&attempt.request) else { return };
         let Some(entry) = open.attempts.get_mut(attempt.number) else { return };
-        let Some(running) = &mut entry.running else { return }; // abandoned before
+        let Some(running) = &mut entry.running else { return }; // it was abandoned
         let Some(sender) = open.response.take() else { return };
         if let Some(timer) = running.timeout.take() {
             self.timers.try_remove(&timer);
@@ -216,7 +218,7 @@
 
     /// Counts the outcome of a relayed value.
     fn count_relayed(&self, id: RequestId, complete: bool) {
-        if let Some(outcomes) = self.open.get(&id).and_then(|open| open.outcomes.as_ref()) {
+        if let Some(outcomes) = self.open_requests.get(&id).and_then(|open| open.outcomes.as_ref()) {
             let outcome = if complete { &outcomes.succeeded } else { &outcomes.failed };
             outcome.increment();
         }
@@ -227,17 +229,18 @@
         let AttemptOutcome { outcome, elapsed, cache_hit } = ended;
         let AttemptId { request: id, number } = attempt;
         let elapsed = elapsed.as_micros() as Micros;
-        // A relayed value is not settled before its end.
-        let settled = self.open.get(&id).is_none_or(|open| open.response.is_none() && !open.is_relaying());
+        // A request whose value is being relayed is settled only once the relay has ended.
+        let settled =
+            self.open_requests.get(&id).is_none_or(|open| open.response.is_none() && !open.is_relaying());
         let mut bytes_sent = true;
-        if let Some(open) = self.open.get_mut(&id) {
+        if let Some(open) = self.open_requests.get_mut(&id) {
             bytes_sent = open.attempts.get(number).is_none_or(|attempt| attempt.start.is_set());
             open.may_have_run |= bytes_sent && outcome.may_have_run();
             if open.started_after_end(number) {
                 self.metrics.violations.record(Invariant::NoSendAfterEnd, &open.request.id);
             }
             trace!(event = "attempt_ended", request = %open.client_id(), attempt = number, ?outcome,
-                elapsed_us = elapsed, "an attempt has ended");
+                elapsed_us = elapsed, "attempt ended");
         }
         let end = AttemptEnd { elapsed, settled, cache_hit, bytes_sent, ..AttemptEnd::new(attempt, outcome) };
         self.events.push_back(Event::AttemptEnded(end));
--- a/crates/node/src/driver/clock.rs
+++ b/crates/node/src/driver/clock.rs
@@ -1,11 +1,12 @@
-//! The clock of the balancer: Unix time that never goes back.
+//! The clock of the balancer: Unix time that never goes backwards.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use stonefold_balancer::Micros;
 use tokio::time::Instant;
 
-/// Converts between the monotonic clock and the Unix time that it started at.
+/// Converts between the monotonic clock and Unix time. The wall clock is read only once, when this is created, so that
+/// changes to it have no effect.
 pub(crate) struct Clock {
     start: Instant,
     /// The Unix time at `start`.
@@ -13,7 +14,7 @@
 }
 
 impl Clock {
-    /// Starts at the current Unix time.
+    /// Creates a clock that starts at the current Unix time.
     pub(crate) fn new() -> Self {
         let offset = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), offset }
--- a/crates/node/src/driver/control.rs
+++ b/crates/node/src/driver/control.rs
@@ -1,4 +1,4 @@
-//! Control messages: shutdown, new settings, and the overrides of operators.
+//! Handles control messages: shutdown, new settings, and the overrides of operators.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Replaces the settings. Open requests keep the rules under which they arrived.
+    /// Replaces the settings. Open requests keep the settings under which they arrived.
     fn apply_settings(&mut self, settings: ResolvedSettings) -> SharedSettings {
         self.settings = settings;
         let balancer_settings = &self.settings.settings;
@@ -42,14 +42,15 @@
         SharedSettings::from(&self.settings)
     }
 
-    /// Applies the overrides that differ from those in force. One that was made while the process runs counts from
-    /// `received_at`; the time of others is known only by the wall clock.
+    /// Applies the overrides that differ from those in force. Overrides that were made while this process runs take effect
+    /// at `received_at`. It is `None` for those loaded at the start, whose time is known only from the wall clock.
     pub(super) fn apply_overrides(&mut self, overrides: Overrides, received_at: Option<Micros>) {
         for (name, server_override) in &overrides {
             if self.overrides.get(name) == Some(server_override) {
                 continue;
             }
-            // An override that was changed twice since has disabled the server and enabled it again.
+            // An override with the same state and a new time was changed twice since: the server was, for example, disabled
+            // and enabled again.
             let server = self.directory.set_disabled(name, server_override.disabled);
             if server_override.disabled {
                 info!(event = "server_disabled", server = name, "disabled by an operator");
--- a/crates/node/src/driver/mod.rs
+++ b/crates/node/src/driver/mod.rs
@@ -37,14 +37,14 @@
 use crate::upstream::directory::Directory;
 use crate::upstream::start_times::ListArrival;
 
-/// The longest timer. The queue panics at times of some years, which unusual settings could ask for.
+/// The maximum delay of a timer. `DelayQueue` panics at delays of some years, which unusual settings could request.
 const MAX_TIMER: Duration = Duration::from_secs(86_400);
-/// How often idle connections are checked.
+/// The interval at which expired idle connections are closed.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the metrics that only the balancer knows are updated. They may be half a second old.
+/// The interval at which the metrics that only the balancer knows are updated. They may be up to half a second old.
 const METRICS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The number of control messages that may wait for the driver.
+/// The capacity of the driver's channel for control messages.
 pub(crate) const CONTROL_CAPACITY: usize = 16;
 
 /// What wakes the driver.
@@ -84,23 +84,23 @@
     stalls: StallMonitor,
     settings: ResolvedSettings,
     clock: Clock,
-    /// The time of the current turn, read before anything else in it. A stall between two readings of the clock would
-    /// delay everything that is due later.
+    /// The time at the start of the current step, read before anything else in it. If the clock was read again later in
+    /// the step, a stall in between would delay everything that is scheduled from then.
     now: Instant,
     directory: Directory,
-    /// Whether discovery has answered: changes that it reports from then on happened while this process ran.
+    /// Whether discovery has answered. Changes that it reports after that happened while this process ran.
     discovery_answered: bool,
-    open: HashMap<RequestId, OpenRequest>,
+    open_requests: HashMap<RequestId, OpenRequest>,
     budget: MemoryBudget,
     /// The number of attempts in flight, each of which has a connection or is opening one.
-    running: usize,
+    attempts_in_flight: usize,
     max_connections: usize,
     /// The number of connections to servers, for the limit on client connections.
     server_connections: Arc<AtomicUsize>,
     timers: DelayQueue<Timer>,
     /// Events that have not been reported to the balancer yet.
     events: VecDeque<Event>,
-    /// An empty buffer for the balancer's actions.
+    /// The buffer for the balancer's actions, reused and empty between events.
     actions: Vec<Action>,
     watch_requested: Arc<Notify>,
     sender: UnboundedSender<Message>,
@@ -128,9 +128,9 @@
             clock,
             now,
             discovery_answered: false,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             budget: context.budget,
-            running: 0,
+            attempts_in_flight: 0,
             server_connections: context.server_connections,
             timers: DelayQueue::new(),
             events: VecDeque::new(),
@@ -164,7 +164,7 @@
     ///
     /// # Cancel safety
     ///
-    /// Cancel safe: nothing has been handled or lost.
+    /// Cancel safe: when it is cancelled, no wakeup was taken from a queue or lost.
     pub(crate) async fn step(&mut self) -> bool {
         let wakeup = tokio::select! {
             biased;
@@ -185,7 +185,7 @@
         true
     }
 
-    /// Handles a message at once, without the inbox.
+    /// Handles a message at once, bypassing the inbox.
     pub(crate) fn handle(&mut self, message: Message) {
         self.now = Instant::now();
         self.on_message(message);
@@ -213,7 +213,7 @@
                 self.apply_list_if_current(list);
                 self.discovery_answered = true;
             }
-            // The watch tries again by itself; the list stays as it was.
+            // The endpoint watcher retries by itself, and the known list stays in use.
             Message::EndpointListFailed => self.metrics.failed_polls.increment(),
         }
     }
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Reports the events to the balancer and executes its actions, until there are no more events.
+    /// Reports the queued events to the balancer and executes its actions, until the queue is empty.
     fn decide(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Copies what only the balancer knows into the metrics.
+    /// Copies the values that only the balancer knows into the metrics.
     fn update_metrics(&self) {
         let caches = self.balancer.cache_counts();
         self.metrics.listed_servers.set(caches.listed as u64);
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -12,18 +12,18 @@
 use tracing::debug;
 
 use crate::client_status::ClientStatus;
-use crate::metrics::Outcomes;
+use crate::metrics::OutcomeCounters;
 use crate::request::{ClientRequest, Response};
 use crate::upstream::send_permit::SendStart;
 
 /// A request that has no response yet, or has an attempt in flight.
 pub(crate) struct OpenRequest {
     pub(crate) request: Arc<ClientRequest>,
-    /// Until when the client waits, less [`RESPONSE_RESERVE`](crate::request::RESPONSE_RESERVE).
+    /// The end of the client's timeout, less [`RESPONSE_RESERVE`](crate::request::RESPONSE_RESERVE).
     pub(crate) deadline: Instant,
     /// Where the final response goes; `None` once it was sent.
     pub(crate) response: Option<oneshot::Sender<Response>>,
-    /// By attempt number, in the order in which they were started.
+    /// All attempts in the order in which they were started. The index is the attempt's number.
     pub(crate) attempts: Vec<AttemptState>,
     /// Whether the request may be repeated after it may have been executed.
     pub(crate) idempotency: Idempotency,
@@ -33,15 +33,15 @@
     pub(crate) responded_at: Option<Instant>,
     pub(crate) client: ClientStatus,
     /// Where the outcome is counted; `None` for a request without a class.
-    pub(crate) outcomes: Option<Arc<Outcomes>>,
+    pub(crate) outcomes: Option<Arc<OutcomeCounters>>,
 }
 
 /// What the driver knows of an attempt of an open request, in flight or ended.
 #[derive(Default)]
 pub(crate) struct AttemptState {
-    /// When its first byte was written.
+    /// When the attempt's first byte was written, if it was.
     pub(crate) start: SendStart,
-    /// `None` once it has ended, or if it was never made.
+    /// `None` once the attempt has ended, or if it was never made.
     pub(crate) running: Option<RunningAttempt>,
 }
 
@@ -51,7 +51,7 @@
     pub(crate) task: AbortHandle,
     /// The timeout; `None` once the value has started to arrive.
     pub(crate) timeout: Option<delay_queue::Key>,
-    /// After what time the value started to arrive, if it is being relayed.
+    /// The time from the start until the value started to arrive; `None` unless it is being relayed.
     pub(crate) first_byte_after: Option<Duration>,
 }
 
@@ -79,7 +79,7 @@
         running.any(|running| running.first_byte_after.is_some())
     }
 
-    /// The attempts in flight of which nothing has been written.
+    /// The numbers of the attempts in flight of which nothing has been written.
     pub(crate) fn unwritten_attempts(&self) -> Vec<usize> {
         let attempts = self.attempts.iter().enumerate();
         let unwritten = attempts.filter(|(_, attempt)| attempt.running.is_some() && !attempt.start.is_set());
@@ -102,6 +102,6 @@
         };
         debug!(event, class = self.request.class_name(), tenant = self.request.tenant_name(),
             request = %self.client_id(), attempts = self.attempts.len(), retry_after_us,
-            "a request is not served");
+            "request not served");
     }
 }
--- a/crates/node/src/driver/requests.rs
+++ b/crates/node/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: how they arrive, and every way in which they end.
+//! Opens requests, and handles every way in which they end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,11 +40,11 @@
             responded_at: None,
             client,
         };
-        self.open.insert(id, open);
+        self.open_requests.insert(id, open);
         self.events.push_back(Event::Request(event));
     }
 
-    /// Rejects a request that exceeds what its connection may have open.
+    /// Rejects a request that exceeds the number of open requests allowed on its connection.
     pub(super) fn reject_excess(&mut self, excess: ExcessRequest) {
         let class = excess.class.as_deref();
         let index = class.and_then(|name| self.settings.class(name));
@@ -56,14 +56,14 @@
             event = "request_rejected",
             class,
             retry_after_us = retry_after,
-            "a connection has too many requests open"
+            "the connection has too many open requests"
         );
         let _ = excess.response.send(Response::Rejected { retry_after }); // the client may have disconnected
     }
 
     /// Ends a request whose client has disconnected.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
         if open.response.take().is_some()
             && let Some(disconnected_at) = open.client.disconnected_at()
         {
@@ -83,9 +83,9 @@
         self.remove_if_done(id);
     }
 
-    /// Sends the final response, unless there was one before.
+    /// Sends the final response, unless one was sent already.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
         let Some(sender) = open.response.take() else { return };
         if let Some(outcomes) = &open.outcomes {
             let outcome = match &response {
@@ -102,8 +102,8 @@
 
     /// Drops a request that is done.
     pub(super) fn remove_if_done(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(OpenRequest::is_done) {
-            self.open.remove(&id);
+        if self.open_requests.get(&id).is_some_and(OpenRequest::is_done) {
+            self.open_requests.remove(&id);
         }
     }
 }
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::config::{ConfigSource, NodeConfig};
+use crate::config::{NodeConfig, ReloadSource};
 use crate::discovery::EndpointWatcher;
 use crate::driver::{CONTROL_CAPACITY, Driver, DriverContext};
 use crate::message::{Message, SharedSettings};
@@ -67,7 +67,7 @@
             EndpointWatcher::new(watch_requested.clone(), known_version, settings, config.seed, to_driver);
         let store = Arc::new(OverrideStore::File(OverrideFile::of_node()));
         store.changed(); // what is loaded below is no change
-        config.source = ConfigSource::default();
+        config.source = ReloadSource::default();
         let metrics = Arc::new(Metrics::new(DroppedLines::default()));
         let stalls = StallMonitor::new();
         let heartbeat = stalls.clone().run(metrics.clone());
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -22,7 +22,7 @@
 
 /// How the requests of one class ended.
 #[derive(Default, Debug)]
-pub(crate) struct Outcomes {
+pub(crate) struct OutcomeCounters {
     /// Answered as asked.
     pub(crate) succeeded: Counter,
     /// Rejected for lack of capacity.
@@ -43,7 +43,7 @@
 /// All metrics of this process.
 #[derive(Default)]
 pub(crate) struct Metrics {
-    classes: Mutex<BTreeMap<String, Arc<Outcomes>>>,
+    classes: Mutex<BTreeMap<String, Arc<OutcomeCounters>>>,
     /// Attempts written completely to servers.
     pub(crate) attempts_written: Counter,
     /// By how much the time that an attempt stated exceeded its client's when its last byte was written.
@@ -99,12 +99,12 @@
         let _ = self.membership.set(metrics);
     }
 
-    fn classes(&self) -> MutexGuard<'_, BTreeMap<String, Arc<Outcomes>>> {
+    fn classes(&self) -> MutexGuard<'_, BTreeMap<String, Arc<OutcomeCounters>>> {
         self.classes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The counters of a class, which are shown from now on.
-    pub(crate) fn class(&self, name: &str) -> Arc<Outcomes> {
+    pub(crate) fn class(&self, name: &str) -> Arc<OutcomeCounters> {
         let mut classes = self.classes();
         match classes.get(name) {
             Some(outcomes) => outcomes.clone(),
@@ -141,7 +141,7 @@
     }
 
     fn write_outcomes(&self, text: &mut String) {
-        type Select = fn(&Outcomes) -> &Counter;
+        type Select = fn(&OutcomeCounters) -> &Counter;
         let metrics: [(&str, Select); 3] = [
             ("svc_success_total", |outcomes| &outcomes.succeeded),
             ("svc_busy_total", |outcomes| &outcomes.rejected),
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{Instrument, error, info, info_span};
 
-use crate::config::{ConfigError, ConfigSource};
+use crate::config::{ConfigError, ReloadSource};
 use crate::message::{Control, SharedSettings};
 use crate::metrics::Metrics;
 use crate::shared::ReplicatedState;
@@ -22,7 +22,7 @@
 /// Reloads the configuration.
 pub(crate) struct ConfigReloader {
     /// Where the configuration is read.
-    pub(crate) source: ConfigSource,
+    pub(crate) source: ReloadSource,
     /// The driver's control channel.
     pub(crate) control: mpsc::Sender<Control>,
     /// Counts the reloads.
