--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,6 +1,6 @@
-//! The endpoint list, followed at discovery: first the changes since the known list, then a watch.
+//! Follows the endpoint list of discovery: fetches the list or its changes since the known version, then watches it.
 //!
-//! [`poll_schedule`] decides when discovery is polled and for how long, [`client`] makes the request, and
+//! [`poll_schedule`] decides when discovery is polled and how long an answer may take, [`client`] makes the request, and
 //! [`EndpointWatcher`] connects the two and sends the lists to the driver.
 
 mod client;
@@ -29,7 +29,7 @@
     settings: watch::Receiver<SharedSettings>,
     /// The version of the known list; 0 if there is none.
     version: u64,
-    to: UnboundedSender<Message>,
+    to_driver: UnboundedSender<Message>,
     connection: Option<Connection>,
     /// Whether the full list is needed: none is known, or discovery's versions have restarted. Otherwise only changes are
     /// requested, since full lists for all nodes at once overload discovery.
@@ -43,13 +43,13 @@
 }
 
 impl EndpointWatcher {
-    /// A watcher that continues from a known version of the list, if there is one. `seed` determines the jitter.
+    /// Creates a watcher that continues from a known version of the list, if there is one. `seed` determines the jitter.
     pub(crate) fn new(
         watch_requested: Arc<Notify>,
         known_version: Option<u64>,
         settings: watch::Receiver<SharedSettings>,
         seed: u64,
-        to: UnboundedSender<Message>,
+        to_driver: UnboundedSender<Message>,
     ) -> EndpointWatcher {
         let needs_full_list = known_version.is_none();
         let awaits_request = settings.borrow().discovery.watch;
@@ -59,7 +59,7 @@
             watch_requested,
             settings,
             version: known_version.unwrap_or(0),
-            to,
+            to_driver,
             connection: None,
             needs_full_list,
             awaits_request,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Polls until the node ends. A failed poll keeps the known list. A new address cancels the poll in flight at the
-    /// old one, and is polled at once.
+    /// Polls until the node ends. The known list stays in use after a failed poll. When the address changes, the poll in
+    /// flight is cancelled and the new address is polled at once.
     pub(crate) async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
         loop {
             let current = *address.borrow_and_update();
@@ -84,7 +84,7 @@
                 }
                 message = self.poll(current) => message,
             };
-            if self.to.send(message).is_err() {
+            if self.to_driver.send(message).is_err() {
                 return;
             }
         }
@@ -100,12 +100,12 @@
         }
         tokio::select! {
             () = self.watch_requested.notified() => {}
-            // A reload has switched to pushed lists, which the balancer does not request.
+            // A reload has switched to pushed lists, for which the balancer does not request a watch.
             Ok(_) = self.settings.wait_for(|settings| !settings.discovery.watch) => {}
         }
     }
 
-    /// Makes the next poll when it is due; returns what the driver has to know of it.
+    /// Makes the next poll when it is due, and returns its result as a message for the driver.
     ///
     /// # Cancel safety
     /// When it is cancelled, the connection of the poll in flight is closed.
@@ -133,24 +133,28 @@
         match result {
             Ok((list, connection)) => {
                 self.connection = Some(connection);
-                self.note_list(&list);
+                self.record_list(&list);
                 Message::EndpointList(list)
             }
             Err(error) => {
                 let failed = self.schedule.failures();
-                warn!(event = "discovery_failed", at = %address, %error, failed, "the known list stays in use");
+                warn!(event = "discovery_failed", at = %address, %error, failed, "the poll failed; the known list stays in use");
                 Message::EndpointListFailed
             }
         }
     }
 
-    /// Notes the version of a list, and logs the first one with unreadable entries.
-    fn note_list(&mut self, list: &EndpointList) {
-        // Discovery's versions have restarted, and the changes before that are not known.
+    /// Records the version of a list, and logs the first list with unreadable entries.
+    fn record_list(&mut self, list: &EndpointList) {
+        // A lower version shows that discovery's versions have restarted. The changes until then are not known.
         self.needs_full_list = !list.full && list.version < self.version;
         self.version = list.version;
         if list.skipped > 0 && !self.logged_unreadable {
-            warn!(event = "entries_skipped", entries = list.skipped, "entries of the list can't be read");
+            warn!(
+                event = "entries_skipped",
+                entries = list.skipped,
+                "unreadable entries of the endpoint list are skipped"
+            );
             self.logged_unreadable = true;
         }
     }
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -21,10 +21,10 @@
 /// What broke a connection or an answer.
 type Cause = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a poll brought no list.
+/// Why a poll returned no list.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
-    /// Nothing came in time, at first or in the middle of an answer.
+    /// The connection or the answer was not complete in time.
     #[error("timed out {0}")]
     TimedOut(&'static str),
     /// Discovery answered with an error status.
@@ -43,7 +43,7 @@
         PollError::Broken(cause.into())
     }
 
-    /// The same for the poll schedule.
+    /// How the poll schedule classifies the error.
     pub(super) fn outcome(&self) -> PollOutcome {
         match self {
             PollError::TimedOut(_) => PollOutcome::TimedOut,
@@ -70,11 +70,11 @@
     }
 }
 
-/// Requests a list, on the given connection if it is still open and else on a new one; returns the list and the
-/// connection for the next request.
+/// Requests a list, on the given connection if it is still open, or else on a new one. Returns the list and the connection
+/// for the next request.
 ///
 /// # Cancel safety
-/// When it is cancelled the connection is closed.
+/// When it is cancelled, the connection is closed.
 pub(super) async fn fetch(
     connection: Option<Connection>,
     address: SocketAddr,
--- a/crates/node/src/discovery/poll_schedule.rs
+++ b/crates/node/src/discovery/poll_schedule.rs
@@ -1,58 +1,61 @@
-//! When discovery is polled and for how long an answer is waited for: a schedule without I/O and without a clock.
+//! Decides when discovery is polled and how long an answer may take. The schedule does no I/O and reads no clock.
 //!
-//! A change must reach the node within [`NOTIFICATION_DEADLINE`] after discovery had it and could be reached, whatever
-//! became of the poll that was in flight. Two polls begin at most [`MAX_POLL_SPACING`] apart, with backoff, connect,
-//! queueing and answer of the first included, and the second is answered within [`POLL_TIMEOUT`]. A watch that falls
-//! silent is the first of the two, and has its wait and [`WATCH_SLACK`].
+//! A change must reach the node within [`NOTIFICATION_DEADLINE`] after discovery has it and can be reached, even if the
+//! poll in flight fails. Therefore a failed poll and the next one begin at most [`MAX_POLL_SPACING`] apart, which includes
+//! the connect, queueing and answer of the first and the backoff, and the second is answered within [`POLL_TIMEOUT`]. If
+//! the failed poll is a watch that has fallen silent, it times out [`WATCH_SLACK`] after its wait.
 //!
 //! Discovery is shared by all nodes and answers one poll at a time. The backoff has full jitter and grows with the
-//! number of nodes, so that their polls spread over the time there is. A watch waits as long as the deadline allows, or
+//! number of nodes, so that their polls spread over the available time. A watch waits as long as the deadline allows, or
 //! longer where a shared discovery has to be watched or shows that it is overloaded.
 
 use std::time::Duration;
 
 use crate::message::DiscoverySettings;
 
-/// A change counts as notified this long after discovery could be reached.
+/// A change must reach the node within this time after discovery has it and can be reached.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Two polls begin no further apart than this, if the first fails and is no watch that was open for long.
+/// The maximum time between the starts of a failed poll and of the next one. It does not apply if the failed poll is a
+/// watch that broke after having been open for longer.
 const MAX_POLL_SPACING: Duration = Duration::from_millis(3_500);
-/// A poll that does not wait for changes times out after this, connect and queueing included. Discovery may queue it
-/// for some 2 s; a shorter timeout would abandon polls shortly before their answer.
+/// The timeout of a poll that does not wait for changes, including connect and queueing. Discovery may queue a poll for
+/// about 2 s; a shorter timeout would abandon polls shortly before their answer.
 const POLL_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// How much longer than its wait a watch may take.
+/// The time after the end of its wait at which a watch times out.
 const WATCH_SLACK: Duration = Duration::from_secs(1);
 /// The timeout of a connect to discovery.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The timeout of an answer's body, so that one that stalls is not waited for as long as a watch.
+/// The timeout for the body of an answer. Without it, a body that stalls would take as long as a watch to time out.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a watch waits for changes where lists are pushed and discovery is not overloaded. It bounds how long a
-/// discovery that has fallen silent passes for one without changes.
+/// The wait of a watch where lists are pushed and discovery is not overloaded. It limits how long a discovery that has
+/// fallen silent is mistaken for one without changes.
 const MIN_WATCH_WAIT: Duration = Duration::from_secs(2);
-/// The longest wait of a watch: of an overloaded discovery, or of a shared one.
+/// The maximum wait of a watch, where discovery is overloaded or shared.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
-/// An answer without changes that is later than its wait by more than this shows that polls queue at discovery.
+/// An answer without changes that comes later than this after the end of the wait shows that polls queue at discovery.
 const OVERLOAD_DELAY: Duration = Duration::from_millis(750);
 /// The factor by which the wait of a watch shrinks after an answer in time.
 const WATCH_WAIT_DECAY: f64 = 0.75;
 
-/// The longest first backoff, times a factor that grows with the number of nodes: all may have been rejected at once.
+/// The maximum backoff after a first failure. It is multiplied by a factor that grows with the number of nodes, since all
+/// of them may have been rejected at once.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(600);
-/// The longest first backoff after a silence, whose missed changes are due soon.
-const INITIAL_BACKOFF_AFTER_SILENCE: Duration = Duration::from_millis(200);
-/// Nodes for each step of the initial backoff's factor.
+/// The maximum backoff after a first failure if changes may have been missed, which are due soon.
+const INITIAL_BACKOFF_WITH_MISSED_CHANGES: Duration = Duration::from_millis(200);
+/// The number of nodes for each step of the initial backoff's factor.
 const NODES_PER_BACKOFF_STEP: usize = 8;
-/// The highest factor of the initial backoff; beyond it [`MAX_POLL_SPACING`] is the bound.
+/// The maximum factor of the initial backoff. With a higher one, [`MAX_POLL_SPACING`] would be the limit.
 const MAX_BACKOFF_STEPS: usize = 8;
-/// The backoff doubles at most so often.
+/// The maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// What the timeouts leave of the deadline, in milliseconds.
+/// The part of the deadline that the timeouts leave unused, in milliseconds.
 const DEADLINE_MARGIN_MS: u128 = 300;
 
-/// The changes that a silent watch has missed are due at the deadline, or 2 s after the watch's wait is over. A watch of
-/// a pushed list is reopened by then with the margin to spare.
+/// Checks that the timeouts fit into the deadline and leave the margin. The changes that a silent watch has missed are due
+/// at the deadline, or 2 s after the end of the watch's wait if that is later. After a silent watch of a pushed list, the
+/// next poll is complete by the deadline.
 const _: () = {
     let deadline = NOTIFICATION_DEADLINE.as_millis() - DEADLINE_MARGIN_MS;
     assert!(MAX_POLL_SPACING.as_millis() + POLL_TIMEOUT.as_millis() <= deadline);
@@ -65,24 +68,24 @@
 /// The next poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Poll {
-    /// It begins this long after the last one has ended.
+    /// The delay between the end of the previous poll and the start of this one.
     pub(super) backoff: Duration,
-    /// How long discovery may wait for changes before it answers; zero asks for those that it has already.
+    /// How long discovery may wait for changes before it answers. If zero, it answers at once with the changes it has.
     pub(super) wait: Duration,
-    /// It times out this long after it began.
+    /// The time from its start after which the poll times out.
     pub(super) timeout: Duration,
 }
 
 /// How a poll ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PollOutcome {
-    /// With a list, or without changes.
+    /// Discovery answered with a list, which may be without changes.
     Answered,
     /// Discovery answered with an error status.
     Rejected,
-    /// It could not be made, broke off, or brought what can't be read.
+    /// The connection could not be opened or broke, or the answer can't be read.
     Broken,
-    /// Nothing came, or nothing more, within its timeout.
+    /// The connection or the answer was not complete within its timeout.
     TimedOut,
 }
 
@@ -91,25 +94,26 @@
 pub(super) struct PollSchedule {
     /// Failed polls in a row.
     failures: u32,
-    /// How much of [`MAX_POLL_SPACING`] the last poll has used up.
+    /// How much of [`MAX_POLL_SPACING`] the last poll has used.
     spacing_used: Duration,
-    /// Whether the next poll is for the changes that discovery has already, and waits for no others.
+    /// Whether the next poll only fetches the changes that discovery already has, without waiting for others.
     immediate: bool,
-    /// Whether changes may have been missed, by a timeout or since discovery has moved, and not been polled since.
+    /// Whether changes may have been missed, because a poll timed out or discovery has moved, and no poll has been answered
+    /// since.
     missed_changes: bool,
-    /// How long a watch of a pushed list waits.
-    watch_wait: Duration,
+    /// The wait of a watch where lists are pushed.
+    pushed_watch_wait: Duration,
 }
 
 impl PollSchedule {
-    /// A schedule whose first poll is immediate, or a watch.
+    /// Creates a schedule whose first poll is immediate, or else a watch.
     pub(super) fn new(immediate: bool) -> PollSchedule {
         PollSchedule {
             failures: 0,
             spacing_used: Duration::ZERO,
             immediate,
             missed_changes: false,
-            watch_wait: MIN_WATCH_WAIT,
+            pushed_watch_wait: MIN_WATCH_WAIT,
         }
     }
 
@@ -118,10 +122,14 @@
         self.failures
     }
 
-    /// Discovery has a new address: it is polled there at once, since its changes have 4 s to be notified,
-    /// less than [`NOTIFICATION_DEADLINE`].
+    /// Handles a new address of discovery. It is polled there at once, since changes at a new address must reach the node
+    /// within 4 s, which is less than [`NOTIFICATION_DEADLINE`].
     pub(super) fn on_new_address(&mut self) {
-        *self = PollSchedule { watch_wait: self.watch_wait, missed_changes: true, ..PollSchedule::new(true) };
+        *self = PollSchedule {
+            pushed_watch_wait: self.pushed_watch_wait,
+            missed_changes: true,
+            ..PollSchedule::new(true)
+        };
     }
 
     /// Makes the next poll an immediate one.
@@ -129,7 +137,7 @@
         self.immediate = true;
     }
 
-    /// The next poll. The same state and the same random numbers give the same poll.
+    /// Returns the next poll. The same state, settings and random numbers give the same poll.
     pub(super) fn next(&self, settings: DiscoverySettings, rng: &mut fastrand::Rng) -> Poll {
         let backoff = self.max_backoff(settings).mul_f64(rng.f64());
         if self.immediate {
@@ -139,57 +147,60 @@
         Poll { backoff, wait, timeout: wait + WATCH_SLACK }
     }
 
-    /// The upper bound of the next backoff. It doubles with each failure, within what the failed poll has left of the
-    /// spacing. After an answer it is zero: a change that comes before the next watch is open must not wait for it.
+    /// The upper bound of the next backoff. It doubles with each failure, up to the part of [`MAX_POLL_SPACING`] that the
+    /// failed poll has left. After an answer it is zero, since a change that happens before the next watch is open must not
+    /// be delayed by a backoff.
     fn max_backoff(&self, settings: DiscoverySettings) -> Duration {
         let Some(doublings) = self.failures.checked_sub(1) else { return Duration::ZERO };
         let steps = (settings.node_count / NODES_PER_BACKOFF_STEP).clamp(1, MAX_BACKOFF_STEPS) as u32;
         let initial =
-            if self.missed_changes { INITIAL_BACKOFF_AFTER_SILENCE } else { INITIAL_BACKOFF * steps };
+            if self.missed_changes { INITIAL_BACKOFF_WITH_MISSED_CHANGES } else { INITIAL_BACKOFF * steps };
         let doubled = initial.saturating_mul(1 << doublings.min(MAX_BACKOFF_DOUBLINGS));
         doubled.min(MAX_POLL_SPACING.saturating_sub(self.spacing_used))
     }
 
     /// How long a watch waits for changes; `jitter` is 0 to 1.
     ///
-    /// A shared discovery has to serve one poll of each node in the poll interval, so that a watch waits for at least that.
-    /// The jitter keeps nodes whose watches time out together from returning at once.
+    /// A shared discovery has to serve one poll of each node in the poll interval, so a watch waits for at least that long,
+    /// within bounds. The jitter keeps nodes whose watches time out together from polling again at the same time.
     fn watch_wait(&self, settings: DiscoverySettings, jitter: f64) -> Duration {
         if settings.watch {
             let shortest = settings.max_poll_interval.clamp(MIN_WATCH_WAIT / 2, MAX_WATCH_WAIT / 2);
             return shortest + shortest.mul_f64(jitter);
         }
-        self.watch_wait
+        self.pushed_watch_wait
     }
 
-    /// Notes how a poll has ended, and how long it took.
+    /// Records how a poll has ended, and how long it took.
     pub(super) fn on_end(&mut self, poll: Poll, outcome: PollOutcome, took: Duration) {
         if outcome == PollOutcome::Answered {
-            *self = PollSchedule { watch_wait: self.watch_wait, ..PollSchedule::new(false) };
-            // A change before the wait is over shows nothing of a queue.
+            *self = PollSchedule { pushed_watch_wait: self.pushed_watch_wait, ..PollSchedule::new(false) };
+            // An answer before the end of the wait has a change, and does not show whether polls queue at discovery.
             if !poll.wait.is_zero() && took >= poll.wait {
                 self.adapt_watch_wait(took - poll.wait > OVERLOAD_DELAY);
             }
             return;
         }
         self.failures = self.failures.saturating_add(1);
-        // After a timeout, polls are immediate until one is answered: a second silence must not last as long as a watch.
+        // After a timeout, polls are immediate until one is answered: a second one that falls silent must not take as long
+        // as a watch to time out.
         self.missed_changes |= outcome == PollOutcome::TimedOut;
         self.immediate |= self.missed_changes;
-        // A long watch that broke has used up nothing of the spacing: those of all nodes may have broken at once.
-        let counts = outcome == PollOutcome::TimedOut || took < MAX_POLL_SPACING;
-        self.spacing_used = if counts { took } else { Duration::ZERO };
+        // A watch that broke after being open for long uses none of the spacing, so that the backoff may use all of it: the
+        // watches of all nodes may have broken at once.
+        let uses_spacing = outcome == PollOutcome::TimedOut || took < MAX_POLL_SPACING;
+        self.spacing_used = if uses_spacing { took } else { Duration::ZERO };
         if outcome == PollOutcome::Rejected {
             self.adapt_watch_wait(true);
         }
     }
 
-    /// Doubles the wait of a watch before an overloaded discovery, and shrinks it otherwise.
+    /// Doubles the wait of a watch if discovery is overloaded, and shortens it otherwise.
     fn adapt_watch_wait(&mut self, overloaded: bool) {
-        self.watch_wait = if overloaded {
-            (self.watch_wait * 2).min(MAX_WATCH_WAIT)
+        self.pushed_watch_wait = if overloaded {
+            (self.pushed_watch_wait * 2).min(MAX_WATCH_WAIT)
         } else {
-            self.watch_wait.mul_f64(WATCH_WAIT_DECAY).max(MIN_WATCH_WAIT)
+            self.pushed_watch_wait.mul_f64(WATCH_WAIT_DECAY).max(MIN_WATCH_WAIT)
         };
     }
 }
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The watcher over real connections, in paused time.
+//! Tests the endpoint watcher over real connections, with tokio's clock paused.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 mod notification_deadline;
 mod schedule;
 
-/// A running watcher, and the ends by which a test plays discovery, the balancer and the configuration.
+/// A running watcher, and the listener and channels with which a test acts as discovery, balancer and configuration.
 struct Harness {
     listener: TcpListener,
     watch_requested: Arc<Notify>,
@@ -26,10 +26,10 @@
     _watcher: AbortOnDropHandle<()>,
 }
 
-/// No expected event takes longer than this.
+/// The maximum time to wait for an expected event.
 const MAX_WAIT: Duration = Duration::from_secs(300);
 
-/// A way of following lists in one fleet, and the seed of its jitter.
+/// How the watcher follows the list: whether it has to watch, the fleet's size, and the seed of its jitter.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     watch_required: bool,
@@ -38,14 +38,14 @@
 }
 
 impl Case {
-    /// A small fleet.
+    /// A case with a small fleet.
     fn small(watch_required: bool) -> Case {
         Case { watch_required, nodes: 4, seed: 7 }
     }
 }
 
 impl Harness {
-    /// A watcher that was requested to watch.
+    /// Starts a watcher that the balancer has requested to watch.
     async fn start(case: Case) -> Harness {
         Harness::start_at(case, TcpListener::bind("127.0.0.1:0").await.unwrap())
     }
@@ -56,7 +56,7 @@
         harness
     }
 
-    /// A watcher that waits for the balancer's request.
+    /// Starts a watcher that waits for the balancer's request if it has to watch.
     fn idle(case: Case, listener: TcpListener) -> Harness {
         let Case { watch_required, nodes, seed } = case;
         let address = listener.local_addr().unwrap();
@@ -75,7 +75,7 @@
         Harness { listener, watch_requested, settings, messages, address, _watcher }
     }
 
-    /// The next poll on a new connection: the connection, and how long the poll waits for changes.
+    /// Accepts a connection and reads its first poll. Returns the connection and how long the poll waits for changes.
     async fn accept_poll(&self) -> (TcpStream, Duration) {
         let mut stream = timeout(MAX_WAIT, self.listener.accept()).await.expect("a connection").unwrap().0;
         let wait = read_poll(&mut stream).await;
@@ -83,7 +83,7 @@
     }
 }
 
-/// A listener whose backlog is full, and the connection that fills it.
+/// Returns a listener whose backlog is full, and the connection that fills it.
 async fn full_backlog() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -111,8 +111,9 @@
 /// An answer that rejects a poll.
 const BUSY: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
+/// A connection may fall silent before the answer, in its head or in its body.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_falls_silent_at_any_point_is_reopened_before_the_notification_deadline() {
+async fn a_silent_watch_is_reopened_before_the_notification_deadline() {
     for (watch_required, sent) in [(true, 0), (true, 30), (true, CHANGE.len() - 5), (false, 0), (false, 30)] {
         let harness = Harness::start(Case::small(watch_required)).await;
         let (mut stream, mut wait) = harness.accept_poll().await;
@@ -122,7 +123,7 @@
         }
         let since = Instant::now();
         stream.write_all(&CHANGE.as_bytes()[..sent]).await.unwrap(); // and then nothing more
-        // Rejected at first: the retry does not wait for the balancer, which nobody plays here.
+        // The first retry is rejected. The second must not wait for the balancer, which sends no request here.
         let (mut second, _) = harness.accept_poll().await;
         second.write_all(BUSY.as_bytes()).await.unwrap();
         harness.accept_poll().await;
@@ -131,12 +132,13 @@
     }
 }
 
+/// A timeout that each received byte restarts would never expire.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_trickles_times_out_like_a_silent_one() {
+async fn an_answer_sent_byte_by_byte_times_out_like_a_silent_one() {
     let harness = Harness::start(Case::small(true)).await;
     let (mut stream, wait) = harness.accept_poll().await;
     let since = Instant::now();
-    let trickle = async {
+    let slow_answer = async {
         for byte in CHANGE.bytes().cycle() {
             sleep(Duration::from_millis(700)).await;
             if stream.write_all(&[byte]).await.is_err() {
@@ -145,7 +147,7 @@
         }
     };
     tokio::select! {
-        () = trickle => panic!("timed out, and not polled again"),
+        () = slow_answer => panic!("the answer timed out, and discovery was not polled again"),
         _ = harness.accept_poll() => {}
     }
     assert!(since.elapsed() < wait + Duration::from_secs(2), "{:?}", since.elapsed());
@@ -163,7 +165,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_waits_for_the_balancer_polls_once_lists_are_pushed() {
+async fn a_reload_to_pushed_lists_starts_polls_without_a_request_of_the_balancer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let harness = Harness::idle(Case::small(true), listener);
     assert!(timeout(MAX_WAIT, harness.listener.accept()).await.is_err(), "the balancer has not requested it");
--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of poll schedules before the model of one discovery, in virtual time: how often it is polled, how many polls
-//! it rejects, and how old the lists of nodes get. `docs/measurements/discovery-clock.md` has the figures.
+//! Simulates fleets of poll schedules against the model of one discovery, in virtual time: how often it is polled, how
+//! many polls it rejects, and how old the lists of nodes get. `docs/measurements/discovery-clock.md` has the figures.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -19,7 +19,7 @@
 enum Event {
     /// A node begins its poll.
     Begin(usize),
-    /// Discovery takes a poll from its queue: the node, and the number of its poll.
+    /// Discovery takes a poll from its queue. The fields are the node and the number of its poll.
     Dequeued(usize, u64),
     /// The wait of a poll is over.
     WaitOver(usize, u64),
@@ -36,7 +36,7 @@
     Idle,
     Queued,
     Open,
-    /// It will never be answered.
+    /// The poll will never be answered.
     Lost,
 }
 
@@ -44,22 +44,24 @@
     schedule: PollSchedule,
     rng: fastrand::Rng,
     poll: Poll,
-    count: u64,
-    began: Micros,
+    poll_number: u64,
+    poll_started: Micros,
     state: PollState,
     version: u64,
-    /// Changes that its silent watch has missed are due no sooner.
-    missed_due: Micros,
+    /// The earliest time at which changes that the node's silent watch has missed are due.
+    missed_changes_due: Micros,
 }
 
-/// The figures of one fleet in one scenario.
+/// The results of one fleet in one scenario.
 #[derive(Default)]
-struct Figures {
+struct FleetStats {
     polls: u64,
     rejected: u64,
     /// The most polls in one second.
-    peak: u64,
-    second: (Micros, u64),
+    peak_per_s: u64,
+    /// The current second, and the polls in it so far.
+    current_second: (Micros, u64),
+    /// How long after it was available each change reached each node.
     ages: Vec<Micros>,
     /// Changes that reached a node after the notification deadline.
     late: u64,
@@ -68,17 +70,19 @@
 struct Fleet {
     settings: DiscoverySettings,
     discovery: Discovery,
-    /// Polls of other clients in a second, during the fault.
-    others: f64,
+    /// Polls per second of other clients during the fault.
+    other_polls_per_s: f64,
     nodes: Vec<Node>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     sequence: u64,
     now: Micros,
+    /// Discovery can't be reached until then.
     down_until: Micros,
+    /// Connects to discovery time out until then.
     blackholed_until: Micros,
-    /// From when on each change was available, by its version less 2.
+    /// The time from which each change was available. The index is the change's version less 2.
     changes: Vec<Micros>,
-    figures: Figures,
+    stats: FleetStats,
 }
 
 impl Fleet {
@@ -93,16 +97,16 @@
             schedule: PollSchedule::new(!settings.watch),
             rng: fastrand::Rng::with_seed(seed ^ (index as u64 + 1) << 20),
             poll: Poll { backoff: Duration::ZERO, wait: Duration::ZERO, timeout: Duration::ZERO },
-            count: 0,
-            began: 0,
+            poll_number: 0,
+            poll_started: 0,
             state: PollState::Idle,
             version: 1,
-            missed_due: 0,
+            missed_changes_due: 0,
         };
         let mut fleet = Fleet {
             settings,
             discovery: Discovery::new(&kind, seed, 0..12),
-            others: 3.0 * capacity,
+            other_polls_per_s: 3.0 * capacity,
             nodes: (0..settings.node_count).map(node).collect(),
             events: BinaryHeap::new(),
             sequence: 0,
@@ -110,14 +114,14 @@
             down_until: 0,
             blackholed_until: 0,
             changes: Vec::new(),
-            figures: Figures::default(),
+            stats: FleetStats::default(),
         };
         for node in 0..settings.node_count {
             let starts = if scenario == Scenario::FleetStart { START } else { rng.u64(0..START / 2) };
-            fleet.at(starts, Event::Begin(node));
+            fleet.schedule(starts, Event::Begin(node));
         }
         for at in scenario.changes() {
-            fleet.at(at, Event::Change);
+            fleet.schedule(at, Event::Change);
         }
         fleet.schedule_fault(scenario);
         fleet
@@ -125,23 +129,25 @@
 
     fn schedule_fault(&mut self, scenario: Scenario) {
         match scenario {
-            Scenario::Down | Scenario::WatchesSilent | Scenario::Blackholed => self.at(START, Event::Fault),
+            Scenario::Down | Scenario::WatchesSilent | Scenario::Blackholed => {
+                self.schedule(START, Event::Fault)
+            }
             Scenario::Overloaded => {
-                for number in 0..(FAULT_DURATION as f64 * self.others / 1e6) as u64 {
-                    let at = START + (number as f64 * 1e6 / self.others) as Micros;
-                    self.at(at, Event::OtherPoll);
+                for number in 0..(FAULT_DURATION as f64 * self.other_polls_per_s / 1e6) as u64 {
+                    let at = START + (number as f64 * 1e6 / self.other_polls_per_s) as Micros;
+                    self.schedule(at, Event::OtherPoll);
                 }
             }
             Scenario::Calm | Scenario::FleetStart => {}
         }
     }
 
-    fn at(&mut self, at: Micros, event: Event) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    fn play(mut self, scenario: Scenario) -> Figures {
+    fn simulate(mut self, scenario: Scenario) -> FleetStats {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now > END {
                 break;
@@ -149,13 +155,15 @@
             self.now = now;
             match event {
                 Event::Begin(node) => self.begin(node),
-                Event::Dequeued(node, count) if self.is_current(node, count, PollState::Queued) => {
+                Event::Dequeued(node, poll_number)
+                    if self.is_current(node, poll_number, PollState::Queued) =>
+                {
                     self.dequeue(node);
                 }
-                Event::WaitOver(node, count) if self.is_current(node, count, PollState::Open) => {
+                Event::WaitOver(node, poll_number) if self.is_current(node, poll_number, PollState::Open) => {
                     self.answer(node);
                 }
-                Event::TimedOut(node, count) if self.nodes[node].count == count => {
+                Event::TimedOut(node, poll_number) if self.nodes[node].poll_number == poll_number => {
                     if self.nodes[node].state != PollState::Idle {
                         self.end(node, PollOutcome::TimedOut);
                     }
@@ -175,39 +183,41 @@
         for node in 0..self.nodes.len() {
             self.receive_list(node, 1 + self.changes.len() as u64);
         }
-        self.figures
+        self.stats
     }
 
-    fn is_current(&self, index: usize, count: u64, state: PollState) -> bool {
-        self.nodes[index].count == count && self.nodes[index].state == state
+    fn is_current(&self, index: usize, poll_number: u64, state: PollState) -> bool {
+        self.nodes[index].poll_number == poll_number && self.nodes[index].state == state
     }
 
     fn begin(&mut self, index: usize) {
         let now = self.now;
         if now >= START {
-            let figures = &mut self.figures;
-            figures.polls += 1;
-            figures.second = match figures.second {
+            let stats = &mut self.stats;
+            stats.polls += 1;
+            stats.current_second = match stats.current_second {
                 (second, polls) if second == now / SECOND => (second, polls + 1),
                 _ => (now / SECOND, 1),
             };
-            figures.peak = figures.peak.max(figures.second.1);
+            stats.peak_per_s = stats.peak_per_s.max(stats.current_second.1);
         }
         let node = &mut self.nodes[index];
-        (node.count, node.began, node.state) = (node.count + 1, now, PollState::Queued);
-        let (count, limit) = (node.count, node.poll.timeout.as_micros() as Micros);
+        (node.poll_number, node.poll_started, node.state) = (node.poll_number + 1, now, PollState::Queued);
+        let (poll_number, timeout) = (node.poll_number, node.poll.timeout.as_micros() as Micros);
         if now < self.blackholed_until {
             node.state = PollState::Lost;
-            return self
-                .at(now + limit.min(CONNECT_TIMEOUT.as_micros() as Micros), Event::TimedOut(index, count));
+            return self.schedule(
+                now + timeout.min(CONNECT_TIMEOUT.as_micros() as Micros),
+                Event::TimedOut(index, poll_number),
+            );
         }
         match self.discovery.call(now) {
-            Some(turn) => {
-                self.at(turn, Event::Dequeued(index, count));
-                self.at(now + limit, Event::TimedOut(index, count));
+            Some(dequeued_at) => {
+                self.schedule(dequeued_at, Event::Dequeued(index, poll_number));
+                self.schedule(now + timeout, Event::TimedOut(index, poll_number));
             }
             None => {
-                self.figures.rejected += u64::from(now >= START);
+                self.stats.rejected += u64::from(now >= START);
                 self.end(
                     index,
                     if now < self.down_until { PollOutcome::Broken } else { PollOutcome::Rejected },
@@ -222,8 +232,8 @@
             return self.answer(index);
         }
         node.state = PollState::Open;
-        let (over, count) = (self.now + node.poll.wait.as_micros() as Micros, node.count);
-        self.at(over, Event::WaitOver(index, count));
+        let (wait_end, poll_number) = (self.now + node.poll.wait.as_micros() as Micros, node.poll_number);
+        self.schedule(wait_end, Event::WaitOver(index, poll_number));
     }
 
     fn answer(&mut self, index: usize) {
@@ -234,24 +244,24 @@
     /// The node receives the list of this version.
     fn receive_list(&mut self, index: usize, version: u64) {
         let node = &mut self.nodes[index];
-        for had in self.changes.iter().take(version as usize - 1).skip(node.version as usize - 1) {
-            let age = self.now.saturating_sub(*had);
-            self.figures.ages.push(age);
-            self.figures.late += u64::from(self.now > (had + DEADLINE).max(node.missed_due));
+        for available_at in self.changes.iter().take(version as usize - 1).skip(node.version as usize - 1) {
+            let age = self.now.saturating_sub(*available_at);
+            self.stats.ages.push(age);
+            self.stats.late += u64::from(self.now > (available_at + DEADLINE).max(node.missed_changes_due));
         }
         node.version = version;
     }
 
-    /// The poll has ended, and the next is scheduled.
+    /// Ends the node's poll and schedules the next.
     fn end(&mut self, index: usize, outcome: PollOutcome) {
         let node = &mut self.nodes[index];
         node.state = PollState::Idle;
-        if node.count > 0 {
-            node.schedule.on_end(node.poll, outcome, Duration::from_micros(self.now - node.began));
+        if node.poll_number > 0 {
+            node.schedule.on_end(node.poll, outcome, Duration::from_micros(self.now - node.poll_started));
         }
         node.poll = node.schedule.next(self.settings, &mut node.rng);
         let next = self.now + node.poll.backoff.as_micros() as Micros;
-        self.at(next, Event::Begin(index));
+        self.schedule(next, Event::Begin(index));
     }
 
     fn change(&mut self) {
@@ -276,9 +286,9 @@
     fn silence_watches(&mut self) {
         for node in self.nodes.iter_mut().filter(|node| node.state == PollState::Open) {
             node.state = PollState::Lost;
-            // A watch of a shared discovery may wait for long, and what it misses is due 2 s after its wait.
-            let over = node.began + node.poll.wait.as_micros() as Micros + 2 * SECOND;
-            node.missed_due = if self.settings.watch { over } else { 0 };
+            // A watch of a shared discovery may wait for long. The changes that it misses are due 2 s after its wait.
+            let due = node.poll_started + node.poll.wait.as_micros() as Micros + 2 * SECOND;
+            node.missed_changes_due = if self.settings.watch { due } else { 0 };
         }
     }
 
@@ -291,39 +301,46 @@
     }
 }
 
-fn play(watch_required: bool, nodes: usize, per_node: f64, scenario: Scenario, seed: u64) -> Figures {
+fn simulate(
+    watch_required: bool,
+    nodes: usize,
+    capacity_per_node: f64,
+    scenario: Scenario,
+    seed: u64,
+) -> FleetStats {
     let settings = DiscoverySettings {
         watch: watch_required,
         max_poll_interval: Duration::from_secs(10),
         node_count: nodes,
     };
-    let mut fleet = Fleet::new(settings, per_node * nodes as f64, scenario, seed);
+    let mut fleet = Fleet::new(settings, capacity_per_node * nodes as f64, scenario, seed);
     for index in 0..nodes {
         let node = &mut fleet.nodes[index];
         node.poll = node.schedule.next(settings, &mut node.rng);
     }
-    fleet.play(scenario)
+    fleet.simulate(scenario)
 }
 
-/// Polls that discovery answers in a second for each node: for full lists, and at the end for changes alone.
+/// The polls per second and node that discovery can answer. The last is for polls for changes, the others for full lists.
 const CAPACITIES: [f64; 4] = [0.125, 0.19, 0.3, CAPACITY_FOR_CHANGES];
 const CAPACITY_FOR_CHANGES: f64 = 0.51;
 const SIZES: [usize; 4] = [4, 30, 300, 900];
 
+/// Nodes whose polls queue at discovery, fail together or fall silent must still learn of each change in time.
 #[test]
-fn no_change_is_later_than_the_notification_deadline_in_a_fleet_of_any_size() {
+fn every_change_meets_the_notification_deadline_in_a_fleet_of_any_size() {
     for (watch_required, scenario) in [true, false]
         .into_iter()
         .flat_map(|watch_required| SCENARIOS.map(|scenario| (watch_required, scenario)))
     {
         for (nodes, seed) in SIZES.into_iter().flat_map(|nodes| (1..=5).map(move |seed| (nodes, seed))) {
-            let figures = play(watch_required, nodes, CAPACITY_FOR_CHANGES, scenario, seed);
-            let worst = figures.ages.iter().max().unwrap();
+            let stats = simulate(watch_required, nodes, CAPACITY_FOR_CHANGES, scenario, seed);
+            let worst = stats.ages.iter().max().unwrap();
             assert_eq!(
-                figures.late,
+                stats.late,
                 0,
                 "{watch_required} {scenario:?} {nodes} {seed}: {worst} of {:?}",
-                figures.ages.len()
+                stats.ages.len()
             );
             assert!(
                 *worst < DEADLINE
@@ -331,29 +348,30 @@
                 "{watch_required} {scenario:?} {nodes} {seed}"
             );
             assert!(
-                scenario != Scenario::Calm || figures.rejected == 0,
+                scenario != Scenario::Calm || stats.rejected == 0,
                 "{watch_required} {nodes} {seed}: {}",
-                figures.rejected
+                stats.rejected
             );
         }
     }
 }
 
+/// Has no asserts: prints the table of results by capacity, scenario and fleet size.
 #[test]
-fn figures_of_fleets_before_one_discovery() {
+fn prints_poll_rates_and_list_ages_of_fleets() {
     println!(
         "| lists | capacity | scenario | nodes | polls/s | worst second | rejected | p50 | p99 | worst age | late |"
     );
     println!("|{}", " --- |".repeat(11));
     for watch_required in [true, false] {
-        for per_node in CAPACITIES {
+        for capacity_per_node in CAPACITIES {
             for scenario in SCENARIOS {
                 for nodes in SIZES {
-                    let figures = play(watch_required, nodes, per_node, scenario, 1);
+                    let stats = simulate(watch_required, nodes, capacity_per_node, scenario, 1);
                     println!(
-                        "| {} | {per_node} | {scenario:?} | {nodes} {}",
+                        "| {} | {capacity_per_node} | {scenario:?} | {nodes} {}",
                         if watch_required { "watched" } else { "pushed" },
-                        row(figures)
+                        row(stats)
                     );
                 }
             }
@@ -361,12 +379,12 @@
     }
 }
 
-fn row(figures: Figures) -> String {
-    let Figures { polls, rejected, peak, mut ages, late, .. } = figures;
+fn row(stats: FleetStats) -> String {
+    let FleetStats { polls, rejected, peak_per_s, mut ages, late, .. } = stats;
     ages.sort();
     let age = |part: f64| ages[((ages.len() - 1) as f64 * part) as usize] as f64 / 1e6;
     format!(
-        "| {:.1} | {peak} | {:.0}% | {:.1} s | {:.1} s | {:.1} s | {late} of {} |",
+        "| {:.1} | {peak_per_s} | {:.0}% | {:.1} s | {:.1} s | {:.1} s | {late} of {} |",
         polls as f64 * 1e6 / (END - START) as f64,
         100.0 * rejected as f64 / polls as f64,
         age(0.5),
--- a/crates/node/src/discovery/tests/fleet/scenario.rs
+++ b/crates/node/src/discovery/tests/fleet/scenario.rs
@@ -1,15 +1,15 @@
-//! The scenarios that a fleet is played through: times of changes and faults.
+//! The scenarios in which a fleet is simulated, with the times of their changes and faults.
 
 /// A point in virtual time or a duration, in microseconds.
 pub(super) type Micros = u64;
 
 /// Microseconds in a second.
 pub(super) const SECOND: Micros = 1_000_000;
-/// A change counts as late this long after discovery could be reached.
+/// A change is late if it takes longer than this to reach a node once it is available.
 pub(super) const DEADLINE: Micros = 6 * SECOND;
-/// The scenario starts here; the nodes have started before, each at its own time.
+/// When the scenario starts. Unless it is [`Scenario::FleetStart`], the nodes have started before, each at its own time.
 pub(super) const START: Micros = 40 * SECOND;
-/// The run ends here.
+/// When the run ends.
 pub(super) const END: Micros = 70 * SECOND;
 /// How long the fault of a scenario lasts.
 pub(super) const FAULT_DURATION: Micros = 8 * SECOND;
@@ -17,9 +17,9 @@
 /// What happens to discovery and its fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Scenario {
-    /// Changes without a fault.
+    /// The list changes, and there is no fault.
     Calm,
-    /// Discovery goes down, which ends the watches, and comes back with a change.
+    /// Discovery goes down, which ends the watches. The list changes while it is down, and after it is back.
     Down,
     /// Other clients poll three times as often as discovery can answer.
     Overloaded,
--- a/crates/node/src/discovery/tests/notification_deadline.rs
+++ b/crates/node/src/discovery/tests/notification_deadline.rs
@@ -1,5 +1,5 @@
-//! A change that discovery has, and for which it can be reached, is at the node within 6 s, whatever became of the poll
-//! in flight: real connections, paused time, polls that queue for 1.5 s.
+//! Tests that a change reaches the node within 6 s after discovery has it and can be reached, even if the poll in flight
+//! fails. Connections are real, tokio's clock is paused, and polls queue for 1.5 s at discovery.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 impl Harness {
-    /// The watch that is open, and how long it waits for changes.
+    /// Accepts polls until one is a watch. Returns its connection and how long it waits for changes.
     async fn accept_watch(&mut self) -> (TcpStream, Duration) {
         let (mut stream, mut wait) = self.accept_poll().await;
         if wait.is_zero() {
@@ -36,7 +36,7 @@
         (stream, wait)
     }
 
-    /// Discovery answers every poll with the change, after so much queueing, until the node has it.
+    /// Answers every poll with the change, after it was queued for the given time, until the change has reached the node.
     async fn answer_with_change(&mut self, queueing: Duration) {
         let answers = async {
             loop {
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Answers with the change as above; it has to be at the node in less than `deadline` after `since`.
+    /// Answers as [`Self::answer_with_change`], and asserts that the change reaches the node in less than `deadline` after
+    /// `since`.
     async fn assert_notified(
         &mut self,
         queueing: Duration,
@@ -67,7 +68,7 @@
         assert!(since.elapsed() < deadline, "{case:?}: {:?}", since.elapsed());
     }
 
-    /// Discovery moves to a new address, from when on the time counts.
+    /// Moves discovery to a new address. Returns the time of the move.
     async fn move_discovery(&mut self) -> Instant {
         self.listener = unused_listener().await;
         self.address.send(self.listener.local_addr().unwrap()).unwrap();
@@ -78,7 +79,7 @@
 /// Waits until the change has reached the node.
 async fn change_received(messages: &mut UnboundedReceiver<Message>) {
     loop {
-        match messages.recv().await.expect("the watcher goes on") {
+        match messages.recv().await.expect("the watcher runs") {
             Message::EndpointList(list) if list.version == 42 => return,
             _ => {}
         }
@@ -95,12 +96,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_a_watch_that_has_fallen_silent() {
+async fn a_change_meets_the_deadline_after_a_silent_watch() {
     for case in cases() {
         let mut harness = Harness::start(case).await;
         let (_silent, wait) = harness.accept_watch().await;
         let since = Instant::now();
-        // A watch of a shared discovery may wait for long, and what it misses is due 2 s after its wait.
+        // A watch of a shared discovery may wait for long. The changes that it misses are due 2 s after its wait.
         let (queueing, deadline) = if case.watch_required {
             (Duration::from_millis(900), DEADLINE.max(wait + Duration::from_secs(2)))
         } else {
@@ -111,7 +112,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_rejected_polls() {
+async fn a_change_meets_the_deadline_after_rejected_polls() {
     for case in cases() {
         let mut harness = Harness::start(case).await;
         let (mut stream, _) = harness.accept_watch().await;
@@ -126,7 +127,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_polls_whose_connections_were_reset() {
+async fn a_change_meets_the_deadline_after_connection_resets() {
     for case in cases() {
         let mut harness = Harness::start(case).await;
         let mut stream = harness.accept_watch().await.0;
@@ -140,14 +141,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_connects_that_timed_out() {
+async fn a_change_meets_the_deadline_after_connect_timeouts() {
     for case in cases() {
         let (listener, filler) = full_backlog().await;
         let mut harness = Harness::start_at(case, listener);
         for _ in 0..4 {
             assert!(matches!(harness.messages.recv().await, Some(Message::EndpointListFailed)));
         }
-        // The backlog holds one connection at a time from now on; the connect in flight has been dropped by then.
+        // After the reset the backlog holds one connection at a time. The sleep lets the connect in flight be dropped first.
         sleep(Duration::from_millis(10)).await;
         reset(filler);
         drop(harness.listener.accept().await.unwrap());
@@ -156,7 +157,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_an_answer_that_was_cut_off_in_its_body() {
+async fn a_change_meets_the_deadline_after_a_truncated_answer() {
     for case in cases() {
         for closed in [true, false] {
             let mut harness = Harness::start(case).await;
@@ -172,7 +173,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_discovery_was_down_and_is_back() {
+async fn a_change_meets_the_deadline_after_discovery_was_down() {
     for case in cases() {
         let mut harness = Harness::start(case).await;
         let stream = harness.accept_watch().await.0;
@@ -186,7 +187,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_a_new_address_whose_first_poll_is_never_answered() {
+async fn a_change_meets_the_deadline_if_a_new_address_ignores_the_first_poll() {
     for case in cases() {
         let mut harness = Harness::start(case).await;
         let _old = harness.accept_watch().await;
@@ -198,7 +199,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn at_a_new_address_that_rejects_two_polls_within_four_seconds() {
+async fn a_change_arrives_within_four_seconds_if_a_new_address_rejects_two_polls() {
     for case in cases() {
         let mut harness = Harness::start(case).await;
         let _old = harness.accept_watch().await;
--- a/crates/node/src/discovery/tests/schedule.rs
+++ b/crates/node/src/discovery/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule alone: backoff, wait and timeout of polls.
+//! Tests the backoff, wait and timeout of polls as the schedule alone determines them.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     schedule.next(settings, &mut fastrand::Rng::with_seed(seed))
 }
 
-/// A schedule after so many polls that were rejected at once.
+/// A schedule after the given number of polls, each rejected without delay.
 fn rejected(times: u32, settings: DiscoverySettings) -> PollSchedule {
     let mut schedule = PollSchedule::new(false);
     (0..times)
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn nodes_that_were_rejected_together_retry_spread_out_and_ever_later() {
+fn nodes_rejected_together_retry_with_growing_and_spread_out_backoffs() {
     let backoffs = |failed, nodes| {
         let backoff = |seed| next(&rejected(failed, pushed(nodes)), pushed(nodes), seed).backoff;
         let mut all: Vec<Duration> = (0..100).map(backoff).collect();
@@ -71,13 +71,13 @@
     let (first, later, many) = (backoffs(1, 4), backoffs(4, 4), backoffs(1, 48));
     assert!(first[99] <= SECOND * 6 / 10 && later[99] <= 3 * SECOND + SECOND / 2);
     assert!(later[50] > first[99], "later: {:?}", later[50]);
-    assert!(many[50] > 3 * first[50], "more nodes poll more rarely: {:?}", many[50]);
-    assert!(later[10] < later[99] / 4 && later[90] > later[99] / 2, "spread over all of the time");
+    assert!(many[50] > 3 * first[50], "more nodes have longer backoffs: {:?}", many[50]);
+    assert!(later[10] < later[99] / 4 && later[90] > later[99] / 2, "spread over the whole range");
     assert!(backoffs(u32::MAX >> 22, 100_000)[99] <= 3 * SECOND + SECOND / 2);
 }
 
 #[test]
-fn a_watch_is_opened_at_once_after_an_answer_however_many_polls_were_rejected_before() {
+fn after_an_answer_a_watch_opens_at_once_despite_earlier_rejections() {
     for settings in [pushed(300), DiscoverySettings { watch: true, ..pushed(300) }] {
         for (times, took) in [(0, SECOND), (1, Duration::from_millis(5)), (4, 2 * SECOND)] {
             let mut schedule = rejected(times, settings);
@@ -104,8 +104,8 @@
     }
 }
 
-/// However polls end, and whatever the random numbers: from the start of a poll that fails to the end of the next one
-/// less than 6 s pass, unless the first was a watch that was open for long.
+/// For any outcome of polls and any random numbers, less than 6 s pass from the start of a failed poll to the end of the
+/// next one, unless the first was a watch, which may have been open for long.
 #[test]
 fn a_failed_poll_and_the_next_one_take_less_than_six_seconds_together() {
     for seed in 0..2_000 {
@@ -123,7 +123,7 @@
             schedule.on_end(poll, outcome, took);
             let again = schedule.next(settings, &mut rng);
             if outcome == PollOutcome::TimedOut {
-                assert!(again.wait.is_zero(), "a second silence is noticed at once");
+                assert!(again.wait.is_zero(), "a poll after a timeout must not wait for changes");
             }
             let next = Duration::from_millis(2_200); // connect, queueing and answer
             assert!(again.timeout >= next || !again.wait.is_zero(), "{again:?}");
