--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a node: the environment, and the JSON document that it names.
+//! The configuration of a node, read from the environment and from the JSON document that it names.
 
 mod document;
 mod source;
@@ -24,76 +24,76 @@
 pub(crate) use source::ReloadSource;
 pub use source::{DocumentError, DocumentSource, Source};
 
-/// Descriptors that are neither clients' nor servers' connections: the standard streams, the listeners, discovery, the
-/// runtimes' own, operators, and one to spare for a connection that is rejected.
+/// File descriptors that are not connections of clients or to servers: the standard streams, the listeners, discovery, the
+/// runtimes' own, operators, and a spare one for a connection that is rejected.
 const RESERVED_SOCKETS: usize = 22 + OPERATOR_CONNECTIONS;
-/// Descriptors of the node where the configuration states no limit.
+/// The limit on file descriptors where the configuration states none.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory of the node where the configuration states no limit, in MiB.
+/// The memory limit where the configuration states none, in MiB.
 const DEFAULT_MEMORY_MIB: usize = 192;
 
 /// The configuration of a node.
 pub struct NodeConfig {
-    /// Where clients connect.
+    /// The address where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is polled.
+    /// The address where discovery is polled.
     pub discovery: SocketAddr,
-    /// Where operators connect, if they do.
+    /// The address where operators connect; `None` if operators are not served.
     pub operator: Option<SocketAddr>,
     /// Determines the node's random choices.
     pub seed: u64,
-    /// Processes that share the limits: two, where a successor may run beside this one.
+    /// The number of processes that share the limits: two if a successor may run at the same time.
     pub processes: usize,
-    /// Descriptors of the node.
+    /// The limit on file descriptors of all processes of the node.
     pub sockets: usize,
-    /// This process's part of the memory, in bytes.
+    /// The part of the memory limit that is for this process, in bytes.
     pub memory: usize,
     /// The endpoint list to start with.
     pub known: EndpointList,
     /// The balancer's settings.
     pub settings: ResolvedSettings,
-    /// Where the configuration is read again.
+    /// Where a reload reads the configuration.
     pub(crate) source: ReloadSource,
-    /// When the process started, as far as is known: the time to ready counts from here.
+    /// When the process started, as far as is known. The time to ready counts from then.
     pub started: Instant,
-    /// The store that all nodes share, where an installation has one.
+    /// The store that all nodes share, if the installation has one.
     pub shared: Option<Arc<dyn ReplicatedState>>,
-    /// How this node takes part in the membership, where it is enabled.
+    /// How this node takes part in the membership, if that is enabled.
     pub membership: Option<MembershipConfig>,
 }
 
 /// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Neither the environment nor the document states it.
+    /// Neither the environment nor the document states this setting.
     #[error("{0} is not set")]
     Missing(&'static str),
     /// The file can't be read.
     #[error("cannot read configuration {0}: {1}")]
     Unreadable(String, io::Error),
-    /// The document is not JSON, or not in the platform's form.
-    #[error("bad configuration {0}: {1}")]
+    /// The document is not JSON, or not in the platform's format.
+    #[error("invalid configuration {0}: {1}")]
     Malformed(String, serde_json::Error),
-    /// A setting is no socket address.
-    #[error("{0}: {1:?} is no address with a port")]
+    /// A setting is not a socket address.
+    #[error("{0}: {1:?} is not an address with a port")]
     Address(&'static str, String),
     /// The seed is not hexadecimal.
-    #[error("bad seed {0:?}: 16 hex digits at most")]
+    #[error("invalid seed {0:?}: expected at most 16 hexadecimal digits")]
     Seed(String),
     /// The balancer's settings are invalid.
-    #[error("bad settings: {0}")]
+    #[error("invalid settings: {0}")]
     Settings(SettingsError),
     /// The limit leaves no sockets for clients and servers.
-    #[error("a limit of {0} sockets is too low: {wanted} wanted for each process", wanted = 2 * RESERVED_SOCKETS)]
+    #[error("a limit of {0} sockets is too low: each process needs {wanted}", wanted = 2 * RESERVED_SOCKETS)]
     Sockets(usize),
-    /// A document of another source than the platform's file can't be read or used.
+    /// The document of a [`DocumentSource`] can't be read or used.
     #[error("{0}")]
     Document(DocumentError),
-    /// A key of the document in force is missing in the new one.
+    /// A key of the document in force is missing from the new one.
     #[error("the key {0} is missing")]
     MissingKey(String),
     /// The node is shutting down.
-    #[error("the node ends")]
+    #[error("the node is shutting down")]
     ShuttingDown,
 }
 
@@ -107,7 +107,7 @@
     /// Reads and checks the configuration of a source.
     ///
     /// # Errors
-    /// If it can't be read, lacks something or states what can't be used.
+    /// If it can't be read, is incomplete or has an invalid setting.
     pub fn from_source(source: Source) -> Result<NodeConfig, ConfigError> {
         let started = Instant::now();
         let (document, value) = retry_transient_blocking(|| source.read())?;
@@ -133,13 +133,14 @@
         })
     }
 
-    /// What clients may use: a third of the descriptors, and more while connections to servers use less than their part,
-    /// with an eighth left for those to come; a quarter of the memory. Both processes of an upgrade share the third,
-    /// since a client of the new one has left the old.
+    /// The limits on clients. They are guaranteed a third of the descriptors, and may use more while connections to servers
+    /// use less than their part, except an eighth that is left for new connections to servers. They may use a quarter of the
+    /// memory. The two processes of an upgrade share the guaranteed third, since a client that connects to the new process
+    /// has left the old one.
     pub(crate) fn client_limits(&self, server_connections: Arc<AtomicUsize>) -> ClientLimits {
         let total_connections = (self.sockets - RESERVED_SOCKETS - self.sockets / 8) / self.processes;
         let guaranteed_connections = self.sockets / 3;
-        // A quarter stays free for new connections of the clients, and for those that a successor accepts.
+        // A quarter of the guaranteed connections stays free for new clients, and for those that a successor accepts.
         let idle_connections = (guaranteed_connections * 3 / 4 / self.processes).max(1);
         ClientLimits {
             guaranteed_connections,
@@ -150,12 +151,12 @@
         }
     }
 
-    /// The memory for long values that are relayed: a quarter.
+    /// The memory for large values that are relayed: a quarter.
     pub(crate) fn relay_budget(&self) -> MemoryBudget {
         MemoryBudget::new(self.memory / 4)
     }
 
-    /// The maximum of connections to servers.
+    /// The maximum number of connections to servers.
     pub(crate) fn server_connections(&self) -> usize {
         (self.sockets - self.sockets / 3) / self.processes - RESERVED_SOCKETS
     }
--- a/crates/node/src/config/document.rs
+++ b/crates/node/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The platform's JSON document.
+//! The JSON document in the platform's format.
 
 use std::fs;
 
@@ -9,10 +9,10 @@
 
 use super::ConfigError;
 
-/// Objects of the document whose keys must all be present in a new version of it.
+/// JSON pointers to the objects whose keys must all be present in a reloaded document again.
 const COMPLETE_OBJECTS: [&str; 4] = ["", "/settings", "/settings/Limits", "/settings/Guarantees"];
 
-/// The document in the platform's form.
+/// The document in the platform's format.
 #[derive(Deserialize)]
 pub(super) struct PlatformDocument {
     pub(super) listen: Option<String>,
@@ -20,21 +20,21 @@
     pub(super) operator: Option<String>,
     pub(super) seed: String,
     #[serde(default)]
-    pub(super) limits: Limits,
+    pub(super) limits: ResourceLimits,
     #[serde(default)]
     pub(super) known: EndpointList,
     pub(super) settings: SettingsDocument,
 }
 
-/// Limits of the node.
+/// The limits on what the node may use.
 #[derive(Deserialize, Default)]
-pub(super) struct Limits {
+pub(super) struct ResourceLimits {
     pub(super) sockets: Option<usize>,
     pub(super) memory_mb: Option<usize>,
 }
 
 impl PlatformDocument {
-    /// Parses and checks a document; `name` is for the error.
+    /// Parses and checks a document. Errors state its `name`.
     pub(super) fn parse(name: String, value: &Value) -> Result<PlatformDocument, ConfigError> {
         let document = PlatformDocument::deserialize(value);
         let document = document.map_err(|error| ConfigError::Malformed(name, error))?;
@@ -54,10 +54,10 @@
     u64::from_str_radix(&text, 16).map_err(|_| ConfigError::Seed(text))
 }
 
-/// Checks a file in the platform's form, as a node does at its start.
+/// Checks a file in the platform's format, as a node does at its start.
 ///
 /// # Errors
-/// The first fault that a node would report.
+/// The first error that a node would report.
 pub fn check_file(path: &str) -> Result<(), ConfigError> {
     let value = read_json(path)?;
     let document = PlatformDocument::parse(path.to_owned(), &value)?;
@@ -65,7 +65,7 @@
     ResolvedSettings::try_from(document.settings).map(drop).map_err(ConfigError::Settings)
 }
 
-/// The first key of the document in force that is missing in a new one.
+/// The first key of the document in force that is missing from a new one.
 pub(super) fn missing_key(current: &Value, new: &Value) -> Option<String> {
     COMPLETE_OBJECTS.into_iter().find_map(|object| {
         let keys = current.pointer(object)?.as_object()?.keys();
--- a/crates/node/src/config/source.rs
+++ b/crates/node/src/config/source.rs
@@ -10,10 +10,10 @@
 use super::ConfigError;
 use super::document::{PlatformDocument, missing_key, read_json};
 
-/// Why another source has no document to give.
+/// Why a [`DocumentSource`] can't provide its document.
 pub type DocumentError = Box<dyn Error + Send + Sync>;
 
-/// Another source of the platform's document: read at the start, and at each reload.
+/// A source of the document other than the platform's file. It is read at the start, and at each reload.
 pub trait DocumentSource: Send + Sync {
     /// The current document.
     ///
@@ -28,7 +28,7 @@
     /// The file that `EDGE_CONFIG` names; `EDGE_LISTEN`, `EDGE_DISCOVERY` and `EDGE_OPERATOR` override what it states.
     #[default]
     Platform,
-    /// Another document, which the environment does not override.
+    /// Another source, whose document the environment does not override.
     Document(Box<dyn DocumentSource>),
 }
 
@@ -48,7 +48,7 @@
         Ok((PlatformDocument::parse(name, &value)?, value))
     }
 
-    /// An address that has to be stated.
+    /// Like [`Self::address`], for an address that must be set.
     pub(super) fn required_address(
         &self,
         name: &'static str,
@@ -57,7 +57,7 @@
         self.address(name, stated)?.ok_or(ConfigError::Missing(name))
     }
 
-    /// An address from the environment, where that overrides the document, or else as the document states it.
+    /// Returns an address from the environment if that overrides the document, or else the one `stated` in the document.
     pub(super) fn address(
         &self,
         name: &'static str,
@@ -79,10 +79,10 @@
     pub(crate) settings: SettingsDocument,
 }
 
-/// A document that was read and is not yet in force.
+/// A document that was read, but is not in force yet.
 pub(crate) struct PendingDocument(Value);
 
-/// The source of the configuration, and the document in force.
+/// Reads the configuration at reloads. Holds its source and the document in force.
 #[derive(Default)]
 pub(crate) struct ReloadSource {
     source: Source,
@@ -90,13 +90,13 @@
 }
 
 impl ReloadSource {
-    /// A source, and the document that was read from it.
+    /// Creates it from a source and the document that was read from that.
     pub(super) fn new(source: Source, current: Value) -> ReloadSource {
         ReloadSource { source, current }
     }
 
-    /// Reads and checks the document again; it is not in force yet. Discovery's address in the document overrides the
-    /// environment's, which is as old as the process.
+    /// Reads and checks the document again, without putting it in force. Discovery's address in the document overrides the
+    /// environment's, which is from the start of the process.
     ///
     /// # Errors
     /// If the document can't be read or used, or lacks a key of the one in force.
@@ -112,13 +112,13 @@
         Ok((ReloadedConfig { discovery, settings: document.settings }, PendingDocument(value)))
     }
 
-    /// Notes that a document that was read is in force.
+    /// Records that a document that was read is now in force.
     pub(crate) fn commit(&mut self, document: PendingDocument) {
         self.current = document.0;
     }
 }
 
-/// A variable of the environment, if it is set.
+/// The value of an environment variable, if it is set.
 fn variable(name: &'static str) -> Result<Option<String>, ConfigError> {
     match env::var(name) {
         Ok(text) => Ok(Some(text)),
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -2,9 +2,9 @@
 use stonefold_balancer::Settings;
 use stonefold_balancer::settings_document::SettingsDocument;
 
-/// A missing or zero interval must not make nodes poll without a pause between failed polls.
+/// An interval of zero would make nodes poll without a pause between failed polls.
 #[test]
-fn a_poll_interval_that_is_not_stated_is_the_default() {
+fn a_missing_or_zero_poll_interval_falls_back_to_the_default() {
     for rules in ["{}", r#"{"MustAskIn":0}"#] {
         let class = r#"{"Name":"read","Aim":1,"HardLimit":2,"Effect":"safe"}"#;
         let text = format!(r#"{{"Classes":[{class}],"Guarantees":{rules},"RegistryMode":"subscribe"}}"#);
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that a node shares with the other nodes, where an installation has a store for it.
+//! State that a node shares with the other nodes, if the installation has a store for it.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -16,7 +16,7 @@
 
 /// State that outlives this process and is the same at all nodes. Only methods that return a future may block.
 pub trait ReplicatedState: Send + Sync + 'static {
-    /// Waits until the committed state is known, up to a limit of the implementation's.
+    /// Waits until the committed state is known, or until a time limit of the implementation is reached.
     fn ready(&self) -> BoxFuture<'_, ()>;
 
     /// The overrides in force.
@@ -42,7 +42,7 @@
     /// time.
     fn publish_list(&self, version: u64, text: String, started: Vec<(String, u64)>);
 
-    /// Waits for a configuration of a later revision, and returns that revision.
+    /// Waits for a configuration with a revision later than this, and returns its revision.
     fn config_after(&self, revision: u64) -> BoxFuture<'_, u64>;
 
     /// Reports that the configuration of this revision is in force here.
@@ -57,7 +57,7 @@
 }
 
 impl SharedEndpoints {
-    /// Starts with an empty list.
+    /// Creates an empty list.
     pub fn new(shared: Arc<dyn ReplicatedState>) -> SharedEndpoints {
         SharedEndpoints { shared, version: 0, servers: BTreeMap::new() }
     }
@@ -70,7 +70,7 @@
                 event = "list_outdated",
                 version = list.version,
                 known,
-                "an endpoint list older than the committed one is ignored"
+                "ignoring an endpoint list that is older than the committed one"
             );
             return false;
         }
--- a/crates/node/src/shared/tests.rs
+++ b/crates/node/src/shared/tests.rs
@@ -1,18 +1,18 @@
-//! The endpoint list as it is written for the other nodes.
+//! Tests of the text in which an endpoint list is published to the other nodes.
 
 use std::sync::Mutex;
 
 use super::*;
 
-/// A list as an earlier program has written it.
+/// A list as an earlier version of the program wrote it.
 const RECORDED: &str = include_str!("../../tests/fixtures/learned-list.json");
 
-/// What was learned: the list's version, its text, and the servers' starts.
-type Learned = (u64, String, Vec<(String, u64)>);
+/// A published list: its version, its text, and the start times of the servers.
+type PublishedList = (u64, String, Vec<(String, u64)>);
 
-/// Remembers what it is given.
+/// Records the lists that are published.
 #[derive(Default)]
-struct Recorder(Mutex<Vec<Learned>>);
+struct Recorder(Mutex<Vec<PublishedList>>);
 
 impl ReplicatedState for Recorder {
     fn ready(&self) -> BoxFuture<'_, ()> {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_recorded_list_means_the_same_and_is_written_alike() {
+fn a_recorded_list_parses_and_is_published_with_the_same_text() {
     let list: EndpointList = serde_json::from_str(RECORDED).unwrap();
     assert_eq!((list.version, list.full, list.skipped), (43, true, 0));
     let [first, second] = &list.servers[..] else { panic!("two servers") };
