--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -24,8 +24,8 @@
 pub(crate) use source::ReloadSource;
 pub use source::{DocumentError, DocumentSource, Source};
 
-/// File descriptors that are not connections of clients or to servers: the standard streams, the listeners, discovery, the
-/// runtimes' own, operators, and a spare one for a connection that is rejected.
+/// File descriptors that are not connections of clients or to servers: the standard streams, the listeners, discovery,
+/// the runtimes' own, operators, and a spare one for a connection that is rejected.
 const RESERVED_SOCKETS: usize = 22 + OPERATOR_CONNECTIONS;
 /// The limit on file descriptors where the configuration states none.
 const DEFAULT_SOCKETS: usize = 1024;
@@ -133,10 +133,10 @@
         })
     }
 
-    /// The limits on clients. They are guaranteed a third of the descriptors, and may use more while connections to servers
-    /// use less than their part, except an eighth that is left for new connections to servers. They may use a quarter of the
-    /// memory. The two processes of an upgrade share the guaranteed third, since a client that connects to the new process
-    /// has left the old one.
+    /// The limits on clients. They are guaranteed a third of the descriptors, and may use more while connections to
+    /// servers use less than their part, except an eighth that is left for new connections to servers. They may use a
+    /// quarter of the memory. The two processes of an upgrade share the guaranteed third, since a client that connects
+    /// to the new process has left the old one.
     pub(crate) fn client_limits(&self, server_connections: Arc<AtomicUsize>) -> ClientLimits {
         let total_connections = (self.sockets - RESERVED_SOCKETS - self.sockets / 8) / self.processes;
         let guaranteed_connections = self.sockets / 3;
--- a/crates/node/src/config/source.rs
+++ b/crates/node/src/config/source.rs
@@ -57,7 +57,8 @@
         self.address(name, stated)?.ok_or(ConfigError::Missing(name))
     }
 
-    /// Returns an address from the environment if that overrides the document, or else the one `stated` in the document.
+    /// Returns an address from the environment if that overrides the document, or else the one `stated` in the
+    /// document.
     pub(super) fn address(
         &self,
         name: &'static str,
@@ -95,8 +96,8 @@
         ReloadSource { source, current }
     }
 
-    /// Reads and checks the document again, without putting it in force. Discovery's address in the document overrides the
-    /// environment's, which is from the start of the process.
+    /// Reads and checks the document again, without putting it in force. Discovery's address in the document overrides
+    /// the environment's, which is from the start of the process.
     ///
     /// # Errors
     /// If the document can't be read or used, or lacks a key of the one in force.
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Follows the endpoint list of discovery: fetches the list or its changes since the known version, then watches it.
 //!
-//! [`poll_schedule`] decides when discovery is polled and how long an answer may take, [`client`] makes the request, and
-//! [`EndpointWatcher`] connects the two and sends the lists to the driver.
+//! [`poll_schedule`] decides when discovery is polled and how long an answer may take, [`client`] makes the request,
+//! and [`EndpointWatcher`] connects the two and sends the lists to the driver.
 
 mod client;
 mod poll_schedule;
@@ -43,7 +43,8 @@
 }
 
 impl EndpointWatcher {
-    /// Creates a watcher that continues from a known version of the list, if there is one. `seed` determines the jitter.
+    /// Creates a watcher that continues from a known version of the list, if there is one. `seed` determines the
+    /// jitter.
     pub(crate) fn new(
         watch_requested: Arc<Notify>,
         known_version: Option<u64>,
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Polls until the node ends. The known list stays in use after a failed poll. When the address changes, the poll in
-    /// flight is cancelled and the new address is polled at once.
+    /// Polls until the node ends. The known list stays in use after a failed poll. When the address changes, the poll
+    /// in flight is cancelled and the new address is polled at once.
     pub(crate) async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
         loop {
             let current = *address.borrow_and_update();
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Requests a list, on the given connection if it is still open, or else on a new one. Returns the list and the connection
-/// for the next request.
+/// Requests a list, on the given connection if it is still open, or else on a new one. Returns the list and the
+/// connection for the next request.
 ///
 /// # Cancel safety
 /// When it is cancelled, the connection is closed.
--- a/crates/node/src/discovery/poll_schedule.rs
+++ b/crates/node/src/discovery/poll_schedule.rs
@@ -1,13 +1,13 @@
 //! Decides when discovery is polled and how long an answer may take. The schedule does no I/O and reads no clock.
 //!
 //! A change must reach the node within [`NOTIFICATION_DEADLINE`] after discovery has it and can be reached, even if the
-//! poll in flight fails. Therefore a failed poll and the next one begin at most [`MAX_POLL_SPACING`] apart, which includes
-//! the connect, queueing and answer of the first and the backoff, and the second is answered within [`POLL_TIMEOUT`]. If
-//! the failed poll is a watch that has fallen silent, it times out [`WATCH_SLACK`] after its wait.
+//! poll in flight fails. Therefore a failed poll and the next one begin at most [`MAX_POLL_SPACING`] apart, which
+//! includes the connect, queueing and answer of the first and the backoff, and the second is answered within
+//! [`POLL_TIMEOUT`]. If the failed poll is a watch that has fallen silent, it times out [`WATCH_SLACK`] after its wait.
 //!
 //! Discovery is shared by all nodes and answers one poll at a time. The backoff has full jitter and grows with the
-//! number of nodes, so that their polls spread over the available time. A watch waits as long as the deadline allows, or
-//! longer where a shared discovery has to be watched or shows that it is overloaded.
+//! number of nodes, so that their polls spread over the available time. A watch waits as long as the deadline allows,
+//! or longer where a shared discovery has to be watched or shows that it is overloaded.
 
 use std::time::Duration;
 
@@ -38,8 +38,8 @@
 /// The factor by which the wait of a watch shrinks after an answer in time.
 const WATCH_WAIT_DECAY: f64 = 0.75;
 
-/// The maximum backoff after a first failure. It is multiplied by a factor that grows with the number of nodes, since all
-/// of them may have been rejected at once.
+/// The maximum backoff after a first failure. It is multiplied by a factor that grows with the number of nodes, since
+/// all of them may have been rejected at once.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(600);
 /// The maximum backoff after a first failure if changes may have been missed, which are due soon.
 const INITIAL_BACKOFF_WITH_MISSED_CHANGES: Duration = Duration::from_millis(200);
@@ -53,9 +53,9 @@
 /// The part of the deadline that the timeouts leave unused, in milliseconds.
 const DEADLINE_MARGIN_MS: u128 = 300;
 
-/// Checks that the timeouts fit into the deadline and leave the margin. The changes that a silent watch has missed are due
-/// at the deadline, or 2 s after the end of the watch's wait if that is later. After a silent watch of a pushed list, the
-/// next poll is complete by the deadline.
+/// Checks that the timeouts fit into the deadline and leave the margin. The changes that a silent watch has missed are
+/// due at the deadline, or 2 s after the end of the watch's wait if that is later. After a silent watch of a pushed
+/// list, the next poll is complete by the deadline.
 const _: () = {
     let deadline = NOTIFICATION_DEADLINE.as_millis() - DEADLINE_MARGIN_MS;
     assert!(MAX_POLL_SPACING.as_millis() + POLL_TIMEOUT.as_millis() <= deadline);
@@ -98,8 +98,8 @@
     spacing_used: Duration,
     /// Whether the next poll only fetches the changes that discovery already has, without waiting for others.
     immediate: bool,
-    /// Whether changes may have been missed, because a poll timed out or discovery has moved, and no poll has been answered
-    /// since.
+    /// Whether changes may have been missed, because a poll timed out or discovery has moved, and no poll has been
+    /// answered since.
     missed_changes: bool,
     /// The wait of a watch where lists are pushed.
     pushed_watch_wait: Duration,
@@ -122,8 +122,8 @@
         self.failures
     }
 
-    /// Handles a new address of discovery. It is polled there at once, since changes at a new address must reach the node
-    /// within 4 s, which is less than [`NOTIFICATION_DEADLINE`].
+    /// Handles a new address of discovery. It is polled there at once, since changes at a new address must reach the
+    /// node within 4 s, which is less than [`NOTIFICATION_DEADLINE`].
     pub(super) fn on_new_address(&mut self) {
         *self = PollSchedule {
             pushed_watch_wait: self.pushed_watch_wait,
@@ -147,9 +147,9 @@
         Poll { backoff, wait, timeout: wait + WATCH_SLACK }
     }
 
-    /// The upper bound of the next backoff. It doubles with each failure, up to the part of [`MAX_POLL_SPACING`] that the
-    /// failed poll has left. After an answer it is zero, since a change that happens before the next watch is open must not
-    /// be delayed by a backoff.
+    /// The upper bound of the next backoff. It doubles with each failure, up to the part of [`MAX_POLL_SPACING`] that
+    /// the failed poll has left. After an answer it is zero, since a change that happens before the next watch is open
+    /// must not be delayed by a backoff.
     fn max_backoff(&self, settings: DiscoverySettings) -> Duration {
         let Some(doublings) = self.failures.checked_sub(1) else { return Duration::ZERO };
         let steps = (settings.node_count / NODES_PER_BACKOFF_STEP).clamp(1, MAX_BACKOFF_STEPS) as u32;
@@ -161,8 +161,8 @@
 
     /// How long a watch waits for changes; `jitter` is 0 to 1.
     ///
-    /// A shared discovery has to serve one poll of each node in the poll interval, so a watch waits for at least that long,
-    /// within bounds. The jitter keeps nodes whose watches time out together from polling again at the same time.
+    /// A shared discovery has to serve one poll of each node in the poll interval, so a watch waits for at least that
+    /// long, within bounds. The jitter keeps nodes whose watches time out together from polling again at the same time.
     fn watch_wait(&self, settings: DiscoverySettings, jitter: f64) -> Duration {
         if settings.watch {
             let shortest = settings.max_poll_interval.clamp(MIN_WATCH_WAIT / 2, MAX_WATCH_WAIT / 2);
@@ -182,12 +182,12 @@
             return;
         }
         self.failures = self.failures.saturating_add(1);
-        // After a timeout, polls are immediate until one is answered: a second one that falls silent must not take as long
-        // as a watch to time out.
+        // After a timeout, polls are immediate until one is answered: a second one that falls silent must not take as
+        // long as a watch to time out.
         self.missed_changes |= outcome == PollOutcome::TimedOut;
         self.immediate |= self.missed_changes;
-        // A watch that broke after being open for long uses none of the spacing, so that the backoff may use all of it: the
-        // watches of all nodes may have broken at once.
+        // A watch that broke after being open for long uses none of the spacing, so that the backoff may use all of it:
+        // the watches of all nodes may have broken at once.
         let uses_spacing = outcome == PollOutcome::TimedOut || took < MAX_POLL_SPACING;
         self.spacing_used = if uses_spacing { took } else { Duration::ZERO };
         if outcome == PollOutcome::Rejected {
--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -321,7 +321,8 @@
     fleet.simulate(scenario)
 }
 
-/// The polls per second and node that discovery can answer. The last is for polls for changes, the others for full lists.
+/// The polls per second and node that discovery can answer. The last is for polls for changes, the others for full
+/// lists.
 const CAPACITIES: [f64; 4] = [0.125, 0.19, 0.3, CAPACITY_FOR_CHANGES];
 const CAPACITY_FOR_CHANGES: f64 = 0.51;
 const SIZES: [usize; 4] = [4, 30, 300, 900];
--- a/crates/node/src/discovery/tests/fleet/scenario.rs
+++ b/crates/node/src/discovery/tests/fleet/scenario.rs
@@ -7,7 +7,8 @@
 pub(super) const SECOND: Micros = 1_000_000;
 /// A change is late if it takes longer than this to reach a node once it is available.
 pub(super) const DEADLINE: Micros = 6 * SECOND;
-/// When the scenario starts. Unless it is [`Scenario::FleetStart`], the nodes have started before, each at its own time.
+/// When the scenario starts. Unless it is [`Scenario::FleetStart`], the nodes have started before, each at its own
+/// time.
 pub(super) const START: Micros = 40 * SECOND;
 /// When the run ends.
 pub(super) const END: Micros = 70 * SECOND;
--- a/crates/node/src/discovery/tests/notification_deadline.rs
+++ b/crates/node/src/discovery/tests/notification_deadline.rs
@@ -1,5 +1,5 @@
-//! Tests that a change reaches the node within 6 s after discovery has it and can be reached, even if the poll in flight
-//! fails. Connections are real, tokio's clock is paused, and polls queue for 1.5 s at discovery.
+//! Tests that a change reaches the node within 6 s after discovery has it and can be reached, even if the poll in
+//! flight fails. Connections are real, tokio's clock is paused, and polls queue for 1.5 s at discovery.
 
 use std::time::Duration;
 
@@ -36,7 +36,8 @@
         (stream, wait)
     }
 
-    /// Answers every poll with the change, after it was queued for the given time, until the change has reached the node.
+    /// Answers every poll with the change, after it was queued for the given time, until the change has reached the
+    /// node.
     async fn answer_with_change(&mut self, queueing: Duration) {
         let answers = async {
             loop {
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Answers as [`Self::answer_with_change`], and asserts that the change reaches the node in less than `deadline` after
-    /// `since`.
+    /// Answers as [`Self::answer_with_change`], and asserts that the change reaches the node in less than `deadline`
+    /// after `since`.
     async fn assert_notified(
         &mut self,
         queueing: Duration,
@@ -148,7 +149,8 @@
         for _ in 0..4 {
             assert!(matches!(harness.messages.recv().await, Some(Message::EndpointListFailed)));
         }
-        // After the reset the backlog holds one connection at a time. The sleep lets the connect in flight be dropped first.
+        // After the reset the backlog holds one connection at a time. The sleep lets the connect in flight be dropped
+        // first.
         sleep(Duration::from_millis(10)).await;
         reset(filler);
         drop(harness.listener.accept().await.unwrap());
--- a/crates/node/src/discovery/tests/schedule.rs
+++ b/crates/node/src/discovery/tests/schedule.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// For any outcome of polls and any random numbers, less than 6 s pass from the start of a failed poll to the end of the
-/// next one, unless the first was a watch, which may have been open for long.
+/// For any outcome of polls and any random numbers, less than 6 s pass from the start of a failed poll to the end of
+/// the next one, unless the first was a watch, which may have been open for long.
 #[test]
 fn a_failed_poll_and_the_next_one_take_less_than_six_seconds_together() {
     for seed in 0..2_000 {
--- a/crates/node/src/driver/attempts.rs
+++ b/crates/node/src/driver/attempts.rs
@@ -76,8 +76,8 @@
         trace!(event = "attempt_started", request = %open.client_id(), attempt = attempt.number, at = %target.addr,
             new_connection = pooled.is_none(), timeout_us = timeout.as_micros() as u64, "attempt started");
         self.log_warm_up(attempt, server);
-        // The timeout may be longer than the client waits, since an attempt may continue for other requests. The deadline
-        // that the server is told is never later than the client's.
+        // The timeout may be longer than the client waits, since an attempt may continue for other requests. The
+        // deadline that the server is told is never later than the client's.
         let deadline = due.min(open.deadline);
         let task = self.spawn_attempt(attempt, server, target, pooled, deadline);
         let running = RunningAttempt { started_at: now, task, timeout: Some(timer), first_byte_after: None };
@@ -164,9 +164,9 @@
         self.report_end(attempt, AttemptOutcome { outcome, elapsed, cache_hit: None });
     }
 
-    /// Abandons the attempts of an ended request of which nothing has been written, for example because the connection is
-    /// not open yet. No server can have executed them, so they are abandoned even where the settings forbid cancelling.
-    /// Requests that wait for the same key fetch it with an attempt of their own.
+    /// Abandons the attempts of an ended request of which nothing has been written, for example because the connection
+    /// is not open yet. No server can have executed them, so they are abandoned even where the settings forbid
+    /// cancelling. Requests that wait for the same key fetch it with an attempt of their own.
     pub(super) fn stop_unwritten_attempts(&mut self, id: RequestId) {
         let Some(open) = self.open_requests.get(&id).filter(|open| open.response.is_none()) else { return };
         for number in open.unwritten_attempts() {
@@ -199,8 +199,8 @@
         self.stop_unwritten_attempts(attempt.request);
     }
 
-    /// Handles the first bytes of a large value. The first value that starts to arrive is the final response, even if it
-    /// breaks off later. The stream of any other value is dropped, which ends its attempt.
+    /// Handles the first bytes of a large value. The first value that starts to arrive is the final response, even if
+    /// it breaks off later. The stream of any other value is dropped, which ends its attempt.
     pub(super) fn on_response_started(&mut self, attempt: AttemptId, stream: ValueStream) {
         let Some(open) = self.open_requests.get_mut(&attempt.request) else { return };
         let Some(entry) = open.attempts.get_mut(attempt.number) else { return };
--- a/crates/node/src/driver/control.rs
+++ b/crates/node/src/driver/control.rs
@@ -42,15 +42,16 @@
         SharedSettings::from(&self.settings)
     }
 
-    /// Applies the overrides that differ from those in force. Overrides that were made while this process runs take effect
-    /// at `received_at`. It is `None` for those loaded at the start, whose time is known only from the wall clock.
+    /// Applies the overrides that differ from those in force. Overrides that were made while this process runs take
+    /// effect at `received_at`. It is `None` for those loaded at the start, whose time is known only from the wall
+    /// clock.
     pub(super) fn apply_overrides(&mut self, overrides: Overrides, received_at: Option<Micros>) {
         for (name, server_override) in &overrides {
             if self.overrides.get(name) == Some(server_override) {
                 continue;
             }
-            // An override with the same state and a new time was changed twice since: the server was, for example, disabled
-            // and enabled again.
+            // An override with the same state and a new time was changed twice since: the server was, for example,
+            // disabled and enabled again.
             let server = self.directory.set_disabled(name, server_override.disabled);
             if server_override.disabled {
                 info!(event = "server_disabled", server = name, "disabled by an operator");
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,7 +1,8 @@
 //! The clients' listening socket: inherited from the platform, or bound here.
 //!
-//! Where upgrades are without interruption, the platform holds the socket and every process inherits it. The two
-//! processes of an upgrade then share one backlog: the old one stops accepting, and the new one accepts what waits there.
+//! Where upgrades must not interrupt clients, the platform holds the socket and every process inherits it. The two
+//! processes of an upgrade then share one backlog: the old one stops accepting, and the new one accepts the connections
+//! that wait there.
 
 use std::net::SocketAddr;
 use std::os::fd::{BorrowedFd, OwnedFd, RawFd};
@@ -12,7 +13,7 @@
 
 use crate::transient::retry_transient;
 
-/// Connections that may wait to be accepted.
+/// The number of connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 /// The environment variable with the inherited socket's descriptor.
 const PASSED_SOCKET: &str = "EDGE_PASSED_SOCKET";
@@ -23,14 +24,16 @@
     /// The address can't be bound.
     #[error("cannot listen on {0}: {1}")]
     Bind(SocketAddr, io::Error),
-    /// `EDGE_PASSED_SOCKET` is not the number of a descriptor.
-    #[error("EDGE_PASSED_SOCKET: {0:?} is no descriptor")]
+    /// `EDGE_PASSED_SOCKET` is not the number of a file descriptor.
+    #[error("EDGE_PASSED_SOCKET: {0:?} is not the number of a file descriptor")]
     InvalidDescriptor(String),
     /// A system call has failed on the inherited descriptor.
-    #[error("cannot take over descriptor {0}: {1}")]
+    #[error("cannot use inherited file descriptor {0}: {1}")]
     Inherit(RawFd, io::Error),
     /// The descriptor is not a listening socket at the address where clients connect.
-    #[error("descriptor {0} is no listening TCP socket where clients connect, but at {1:?}")]
+    #[error(
+        "file descriptor {0} is not a TCP socket that listens where clients connect; its address is {1:?}"
+    )]
     WrongSocket(RawFd, Option<SocketAddr>),
 }
 
@@ -39,7 +42,7 @@
     env::var_os(PASSED_SOCKET).is_some()
 }
 
-/// The listener: the inherited socket where the environment names one, else a new one at this address.
+/// Returns the listener: the inherited socket if the environment names one, or else a new one at this address.
 ///
 /// # Errors
 /// If the inherited socket can't be used, or the address can't be bound.
@@ -83,10 +86,10 @@
     TcpListener::from_std(socket.into()).map_err(failed)
 }
 
-/// A new descriptor for the same socket. The original stays open.
+/// Returns a new descriptor for the same socket. The original stays open.
 #[allow(unsafe_code)]
 fn duplicate(fd: RawFd) -> io::Result<OwnedFd> {
-    // SAFETY: the descriptor is only borrowed for this one call, which duplicates it. It was inherited, before this
-    // process opened any, so nothing here owns it or will close it; if it is not open, the call fails.
+    // SAFETY: the descriptor is borrowed only for this call, which duplicates it. It was inherited before this process
+    // opened any descriptor, so nothing here owns it or will close it. If it is not open, the call fails.
     unsafe { BorrowedFd::borrow_raw(fd) }.try_clone_to_owned()
 }
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -34,7 +34,7 @@
         Some((listing.state, listing.started_ms))
     }
 
-    /// How many servers are listed, as the node has it and as the balancer does.
+    /// The number of listed servers according to the directory, and according to the balancer.
     pub fn servers(&self) -> (usize, usize) {
         (self.driver.directory().len(), self.driver.cache_counts().listed)
     }
@@ -43,11 +43,11 @@
 /// A running hollow node. Its tasks end when it is dropped.
 struct HollowNode {
     driver: Driver,
-    /// The watcher's messages, which are forwarded to the driver here, so that it is known when a list is applied.
+    /// The watcher's messages. They are forwarded to the driver by [`run`], which thus knows when a list is applied.
     watcher_messages: UnboundedReceiver<Message>,
     /// The version of the list that was last applied.
     version: u64,
-    /// Kept open: the watcher ends without them.
+    /// These senders are kept because the watcher ends once they are dropped.
     _address: watch::Sender<SocketAddr>,
     _settings: watch::Sender<SharedSettings>,
     _tasks: [AbortOnDropHandle<()>; 3],
@@ -66,7 +66,7 @@
         let watcher =
             EndpointWatcher::new(watch_requested.clone(), known_version, settings, config.seed, to_driver);
         let store = Arc::new(OverrideStore::File(OverrideFile::of_node()));
-        store.changed(); // what is loaded below is no change
+        store.changed(); // the overrides that are loaded below are not a change
         config.source = ReloadSource::default();
         let metrics = Arc::new(Metrics::new(DroppedLines::default()));
         let stalls = StallMonitor::new();
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -1,4 +1,4 @@
-//! The cluster membership of this node: [`stonefold_membership`]'s detector on a UDP socket.
+//! The cluster membership of this node: runs the failure detector of [`stonefold_membership`] on a UDP socket.
 
 mod listing;
 mod logging;
@@ -13,22 +13,22 @@
 use crate::metrics::MembershipMetrics;
 use service::MembershipRequest;
 
-/// Requests that may wait for the service.
+/// The number of requests that may wait for the service.
 const REQUEST_QUEUE: usize = 8;
 
 /// How a node takes part in the membership.
 pub struct MembershipConfig {
-    /// This node's name, which stays over restarts.
+    /// This node's name, which stays the same after a restart.
     pub name: String,
-    /// Where datagrams are received.
+    /// The address where datagrams are received.
     pub listen: SocketAddr,
-    /// The address of that for other nodes, if it is another one.
+    /// The address to which other nodes send datagrams, if that is not `listen`.
     pub advertise: Option<SocketAddr>,
     /// Addresses of members to join through.
     pub seeds: Vec<SocketAddr>,
     /// Encodes and decodes the cluster's datagrams.
     pub codec: Codec,
-    /// Intervals and bounds.
+    /// The detector's intervals and bounds.
     pub settings: Settings,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Membership {
-    /// Starts to take part. A socket that can't be bound yet is retried until it can.
+    /// Starts to take part in the membership. Binding the socket is retried until it succeeds.
     pub(crate) fn start(config: MembershipConfig) -> Membership {
         let (requests, receiver) = mpsc::channel(REQUEST_QUEUE);
         let metrics = Arc::new(MembershipMetrics::default());
@@ -53,18 +53,18 @@
         self.metrics.clone()
     }
 
-    /// One line for each member, this node first; `None` if the membership has ended.
+    /// Lists the members, one per line and this node first; `None` if the membership has ended.
     pub(crate) async fn list(&self) -> Option<String> {
         let (sender, answer) = oneshot::channel();
         self.requests.send(MembershipRequest::List(sender)).await.ok()?;
         answer.await.ok()
     }
 
-    /// Announces to other members that this node leaves.
+    /// Announces to the other members that this node leaves, and ends the membership.
     pub(crate) async fn leave(&self) {
         let (sender, done) = oneshot::channel();
         if self.requests.send(MembershipRequest::Leave(sender)).await.is_ok() {
-            let _ = done.await; // it has ended already
+            let _ = done.await; // fails if the service has ended already
         }
     }
 }
--- a/crates/node/src/membership/listing.rs
+++ b/crates/node/src/membership/listing.rs
@@ -1,4 +1,4 @@
-//! The members as text for operators.
+//! Formats the members as text for operators.
 
 use std::iter;
 
@@ -7,7 +7,7 @@
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// One line for each member: this node first, the others by name.
+/// Formats one line for each member: this node first, the others sorted by name.
 pub(super) fn list(detector: &Detector, now: Micros) -> String {
     let mut members: Vec<&Member> = detector.members().map(|(_, member)| member).collect();
     members.sort_by(|a, b| a.profile.name.cmp(&b.profile.name));
@@ -29,7 +29,7 @@
     format!("{name} {state} incarnation={incarnation} for_s={seconds:.1} reach={reach} at={address}\n")
 }
 
-/// The word for a reachability in operators' output and logs.
+/// The text for a reachability in operators' output and in the log.
 pub(super) fn reachability_label(reachability: Reachability) -> &'static str {
     match reachability {
         Reachability::Unknown => "untried",
--- a/crates/node/src/membership/listing/tests.rs
+++ b/crates/node/src/membership/listing/tests.rs
@@ -1,9 +1,9 @@
-//! The members as operators see them.
+//! Tests of the text that operators get for the members.
 
 use super::*;
 
 #[test]
-fn a_member_is_one_line() {
+fn each_state_and_reachability_of_a_member_is_listed_as_one_line() {
     let profile = Profile { name: "n2".into(), address: "[fd00::12]:7946".parse().unwrap(), instance: 5 };
     let states = [State::Alive, State::Suspect, State::Failed, State::Left];
     let reachabilities =
--- a/crates/node/src/membership/service.rs
+++ b/crates/node/src/membership/service.rs
@@ -1,4 +1,4 @@
-//! The task that drives the detector: datagrams in and out, timers, and requests of the node.
+//! The task that runs the detector: receives and sends its datagrams, and handles its timers and the node's requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::bind::bind_with_retry;
 use crate::metrics::MembershipMetrics;
 
-/// What the rest of the node requests of the membership.
+/// A request of the rest of the node to the membership.
 pub(super) enum MembershipRequest {
-    /// The members, as text for operators.
+    /// Lists the members as text for operators.
     List(oneshot::Sender<String>),
-    /// Leave the cluster; answered once the leave is announced.
+    /// Leaves the cluster. Answered once the leave is announced.
     Leave(oneshot::Sender<()>),
 }
 
@@ -39,17 +39,17 @@
     metrics: Arc<MembershipMetrics>,
 ) {
     let mut service = Service::start(config, metrics).await;
-    // One byte more, so that a longer datagram is seen to be too long.
+    // One byte longer than allowed, so that a datagram that is too long is noticed.
     let mut buffer = [0; MAX_DATAGRAM + 1];
     loop {
         let wakeup = service.started + Duration::from_micros(service.detector.wakeup());
         tokio::select! {
             biased;
             request = requests.recv() => match request {
-                Some(MembershipRequest::List(answer)) => _ = answer.send(service.list()), // the receiver may be gone
+                Some(MembershipRequest::List(answer)) => _ = answer.send(service.list()), // the receiver may have been dropped
                 Some(MembershipRequest::Leave(done)) => {
                     service.leave();
-                    let _ = done.send(()); // the receiver may be gone
+                    let _ = done.send(()); // the receiver may have been dropped
                     return;
                 }
                 None => return,
@@ -67,7 +67,7 @@
     async fn start(config: MembershipConfig, metrics: Arc<MembershipMetrics>) -> Service {
         let at = config.listen;
         let log_failure = |error| {
-            warn!(event = "membership_bind_failed", %at, %error, "cannot receive from other nodes yet");
+            warn!(event = "membership_bind_failed", %at, %error, "cannot receive datagrams of other nodes yet");
         };
         let socket = bind_with_retry(|| UdpSocket::bind(at), log_failure).await;
         let listen = socket.local_addr().unwrap_or(at);
@@ -117,7 +117,7 @@
         self.perform_outputs();
     }
 
-    /// Sends the messages and logs the events that the detector asks for.
+    /// Sends the messages and logs the events that the detector has put out.
     fn perform_outputs(&mut self) {
         let mut changed = false;
         for output in std::mem::take(&mut self.outputs) {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The node's metrics: plain counters, each incremented at the one place where the thing happens, and read
-//! by operators without going through the driver.
+//! The node's metrics: plain counters, each incremented at the one place where its event happens. Operators read them
+//! without going through the driver.
 
 mod histogram;
 mod membership;
@@ -20,10 +20,10 @@
 use prometheus::{write_labelled, write_type, write_value};
 use summary::DurationSummary;
 
-/// How the requests of one class ended.
+/// Counts how the requests of one class ended.
 #[derive(Default, Debug)]
 pub(crate) struct OutcomeCounters {
-    /// Answered as asked.
+    /// Answered with success.
     pub(crate) succeeded: Counter,
     /// Rejected for lack of capacity.
     pub(crate) rejected: Counter,
@@ -31,12 +31,12 @@
     pub(crate) failed: Counter,
 }
 
-/// Clients' connections that ended with requests unanswered, by which side ended them.
+/// Counts the clients' connections that ended with unanswered requests, by the side that ended them.
 #[derive(Default, Debug)]
 pub(crate) struct UnansweredCloses {
-    /// The client, by a close or a reset.
+    /// Ended by the client, with a close or a reset.
     pub(crate) by_client: Counter,
-    /// The node, by a failed or stuck write or another error.
+    /// Ended by the node, after a failed or stuck write or another error.
     pub(crate) by_node: Counter,
 }
 
@@ -46,7 +46,8 @@
     classes: Mutex<BTreeMap<String, Arc<OutcomeCounters>>>,
     /// Attempts written completely to servers.
     pub(crate) attempts_written: Counter,
-    /// By how much the time that an attempt stated exceeded its client's when its last byte was written.
+    /// By how much the time left that an attempt stated to its server exceeded the time left of its client, when the
+    /// last byte of the attempt was written.
     pub(crate) deadline_excess: DurationHistogram,
     /// Idle connections to caches on which unsolicited bytes have arrived.
     pub(crate) unsolicited_replies: Counter,
@@ -55,19 +56,19 @@
     in_flight: Counter,
     /// Caches in the endpoint list.
     pub(crate) listed_servers: Counter,
-    /// Listed caches that get no requests now.
+    /// Listed caches that currently get no requests.
     pub(crate) unavailable_servers: Counter,
-    /// How long after it was seen the disconnect of a client with an open request was acted on.
+    /// The time from when the disconnect of a client with an open request was noticed until it was handled.
     disconnect_delays: DurationSummary,
-    /// Attempts begun after such a disconnect was seen.
+    /// Attempts that began after such a disconnect was noticed.
     attempts_after_disconnect: Counter,
     /// How late due timers of the event loop fire.
     pub(crate) loop_lag: DurationSummary,
     /// Stalls of the event loop.
     pub(crate) stalls: DurationSummary,
-    /// Requests read after a stall, whose time is counted from its start.
+    /// Requests that were read after a stall. Their time counts from the start of the stall.
     pub(crate) read_after_stall: Counter,
-    /// Clients' connections that ended with requests unanswered.
+    /// Clients' connections that ended with unanswered requests.
     pub(crate) unanswered_closes: UnansweredCloses,
     /// Invariants that were violated.
     pub(crate) violations: Violations,
@@ -78,18 +79,18 @@
     /// Reloads that left the configuration as it was.
     pub(crate) rejected_reloads: Counter,
     log: DroppedLines,
-    /// From the start of the process until it served.
+    /// The time from the start of the process until it served requests.
     time_to_ready: OnceLock<Duration>,
     membership: OnceLock<Arc<MembershipMetrics>>,
 }
 
 impl Metrics {
-    /// Metrics that include how many log lines were dropped.
+    /// Creates the metrics. They include the number of log lines that were dropped, which `log` counts.
     pub(crate) fn new(log: DroppedLines) -> Metrics {
         Metrics { log, ..Metrics::default() }
     }
 
-    /// The process serves from now on, so long after its start. Only the first call counts.
+    /// Records that requests are served, and how long after the start of the process. Only the first call counts.
     pub(crate) fn set_ready(&self, time_to_ready: Duration) {
         let _ = self.time_to_ready.set(time_to_ready);
     }
@@ -103,7 +104,7 @@
         self.classes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The counters of a class, which are shown from now on.
+    /// Returns the counters of a class, which are shown from now on.
     pub(crate) fn class(&self, name: &str) -> Arc<OutcomeCounters> {
         let mut classes = self.classes();
         match classes.get(name) {
@@ -112,14 +113,14 @@
         }
     }
 
-    /// Records the disconnect of a client with an open request: how long after it was seen it is acted on, and how many
-    /// of the request's attempts have begun in that time.
+    /// Records the disconnect of a client with an open request: the time from when it was noticed until it is handled,
+    /// and how many of the request's attempts began in that time.
     pub(crate) fn record_disconnect(&self, delay: Duration, attempts: usize) {
         self.disconnect_delays.record(delay);
         self.attempts_after_disconnect.add(attempts as u64);
     }
 
-    /// All metrics in the text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         self.write_outcomes(&mut text);
--- a/crates/node/src/metrics/histogram.rs
+++ b/crates/node/src/metrics/histogram.rs
@@ -6,7 +6,7 @@
 use super::prometheus::{MICROS_PER_SECOND, write_type};
 use crate::counter::Counter;
 
-/// Upper bounds of the buckets, ascending; a last bucket without a bound follows.
+/// The upper bounds of the buckets, ascending. They are followed by a last bucket without a bound.
 const BOUNDS: [Duration; 8] = [
     Duration::from_millis(1),
     Duration::from_millis(5),
--- a/crates/node/src/metrics/membership.rs
+++ b/crates/node/src/metrics/membership.rs
@@ -1,11 +1,11 @@
-//! Metrics of the membership, shown where it is enabled.
+//! Metrics of the membership, shown if it is enabled.
 
 use stonefold_membership::{CodecError, DropCounters, Member, Reachability, State};
 
 use super::prometheus::{write_labelled, write_value};
 use crate::counter::Counter;
 
-/// Values of the label `state`. The last counts live members that don't answer this node.
+/// Values of the label `state`. The last counts the live members that don't answer this node directly.
 const STATES: [&str; 5] = ["alive", "suspect", "failed", "left", "unreachable"];
 /// Values of the label `reason` of rejected datagrams.
 const REJECTION_REASONS: [&str; 8] =
@@ -27,7 +27,7 @@
 pub(crate) struct MembershipMetrics {
     /// Datagrams that could not be sent.
     pub(crate) send_errors: Counter,
-    /// Failed reads of the socket.
+    /// Failed reads from the socket.
     pub(crate) receive_errors: Counter,
     members: [Counter; STATES.len()],
     rejected: [Counter; REJECTION_REASONS.len()],
@@ -37,12 +37,12 @@
 }
 
 impl MembershipMetrics {
-    /// Counts a sent datagram of so many bytes.
+    /// Counts a sent datagram and its bytes.
     pub(crate) fn record_sent(&self, bytes: usize) {
         self.record_datagram(Direction::Sent, bytes);
     }
 
-    /// Counts a received datagram of so many bytes.
+    /// Counts a received datagram and its bytes.
     pub(crate) fn record_received(&self, bytes: usize) {
         self.record_datagram(Direction::Received, bytes);
     }
@@ -67,7 +67,7 @@
         self.rejected[reason].increment();
     }
 
-    /// Takes over what the detector has dropped so far.
+    /// Copies the counts of messages and claims that the detector has dropped so far.
     pub(crate) fn set_dropped(&self, counters: DropCounters) {
         let DropCounters { replayed, far_future, stale, members_full, .. } = counters;
         for (counter, value) in self.dropped.iter().zip([replayed, far_future, stale, members_full]) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Counts the members anew.
+    /// Replaces the counts of members by those of `members`.
     pub(crate) fn set_members<'a>(&self, members: impl Iterator<Item = &'a Member>) {
         let mut counts = [0; STATES.len()];
         for member in members {
--- a/crates/node/src/metrics/prometheus.rs
+++ b/crates/node/src/metrics/prometheus.rs
@@ -1,10 +1,10 @@
-//! The text format of Prometheus. Writing to a string can't fail, so that results of `write!` are ignored.
+//! Writes the text format of Prometheus. Writing to a string can't fail, so the results of `writeln!` are ignored.
 
 use std::fmt::Write;
 
 use crate::counter::Counter;
 
-/// Microseconds in a second, the unit of durations in the text.
+/// Microseconds in a second, which is the unit of durations in the text.
 pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Appends the line that states a metric's type.
@@ -18,7 +18,7 @@
     let _ = writeln!(text, "{name} {value}");
 }
 
-/// Appends a metric with one value for each of a label's values.
+/// Appends a metric with one value for each value of a label.
 pub(crate) fn write_labelled<'a>(
     text: &mut String,
     name: &str,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A label's value with its special characters escaped.
+/// Escapes the special characters in the value of a label.
 fn escape(value: &str) -> String {
     value.replace('\\', r"\\").replace('"', "\\\"").replace('\n', r"\n")
 }
--- a/crates/node/src/metrics/summary.rs
+++ b/crates/node/src/metrics/summary.rs
@@ -1,4 +1,4 @@
-//! A summary of durations: a quantile over all that were recorded.
+//! A summary of durations: a quantile of all that were recorded.
 
 use std::fmt::Write;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,10 +12,10 @@
 pub(super) const MAX_RECORDED: Duration = Duration::from_secs(60);
 /// Significant decimal digits of a recorded duration.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The quantile that is shown.
+/// The quantile that the metrics show.
 const QUANTILE: f64 = 0.99;
 
-/// Durations, of which a quantile is shown. It takes some 20 KB however many are recorded.
+/// Records durations and shows a quantile of them. It takes about 20 KB for any number of durations.
 #[derive(Debug)]
 pub(crate) struct DurationSummary(Mutex<Histogram<u64>>);
 
--- a/crates/node/src/metrics/tests.rs
+++ b/crates/node/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! The metrics in the text format of Prometheus.
+//! Tests of the metrics in the text format of Prometheus.
 
 use super::*;
 use crate::invariants::Invariant;
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn disconnect_delays_show_as_a_quantile_in_seconds_and_as_a_count_of_attempts() {
+fn disconnects_show_a_delay_quantile_in_seconds_and_their_late_attempts() {
     let metrics = Metrics::default();
     for ms in 1..=100 {
         metrics.record_disconnect(Duration::from_millis(ms), usize::from(ms > 98));
@@ -107,8 +107,8 @@
     }
 }
 
-/// Metrics with every row, each of another value where it can have one.
-fn filled() -> Metrics {
+/// Metrics that show every row, with distinct values where possible.
+fn metrics_with_distinct_values() -> Metrics {
     let metrics = Metrics::default();
     let class = metrics.class("read");
     (0..3).for_each(|_| class.succeeded.increment());
@@ -143,6 +143,6 @@
 }
 
 #[test]
-fn the_text_is_as_recorded() {
-    assert_eq!(filled().text(), include_str!("../../tests/fixtures/stats.txt"));
+fn the_text_of_all_metrics_equals_the_recorded_one() {
+    assert_eq!(metrics_with_distinct_values().text(), include_str!("../../tests/fixtures/stats.txt"));
 }
--- a/crates/node/src/operator.rs
+++ b/crates/node/src/operator.rs
@@ -1,7 +1,7 @@
-//! The operators' interface: one command a connection, one answer, whatever the load.
+//! The operators' interface: one command and one answer per connection, at any load.
 //!
-//! It runs on a thread of its own, so that no answer queues behind clients' requests. Of the node it uses only what can
-//! be read or requested without a long wait; see [`CommandHandler`].
+//! It runs on a thread of its own, so that no answer queues behind clients' requests. Commands use only the state of
+//! the node that can be read or requested without a long wait; see [`CommandHandler`].
 
 mod command;
 mod handler;
@@ -24,22 +24,22 @@
 pub(crate) use command::OperatorCommand;
 pub(crate) use handler::NodeHandler;
 
-/// Connections at a time. A newcomer beyond them replaces the oldest.
+/// The number of connections at a time. A new connection beyond it replaces the oldest.
 pub(crate) const MAX_CONNECTIONS: usize = 8;
-/// The longest command, in bytes, with its end of line.
+/// The maximum length of a command with its end of line, in bytes.
 const MAX_COMMAND_LEN: u64 = 256;
-/// Bytes that are read and discarded after the answer.
+/// The maximum number of bytes that are read and discarded after the answer.
 const MAX_DISCARDED_LEN: u64 = 64 << 10;
-/// A connection is closed after this time, whether its command is incomplete or its answer not read.
+/// The time after which a connection is closed, even if its command is incomplete or its answer was not read.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 /// The pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The stack of the operators' thread, in bytes.
+/// The stack size of the operators' thread, in bytes.
 const STACK_SIZE: usize = 256 << 10;
 
-/// Answers commands.
+/// Answers operators' commands.
 pub(crate) trait CommandHandler: Send + Sync + 'static {
-    /// The complete answer, without the last end of line.
+    /// Returns the complete answer, without the last end of line.
     fn answer(&self, command: OperatorCommand) -> impl Future<Output = String> + Send;
 }
 
@@ -57,7 +57,7 @@
     let log_failure = |error| {
         warn!(event = "operator_bind_failed", %at, %error, "cannot listen for operators yet");
     };
-    // A predecessor may still have the address.
+    // The previous process may still use the address.
     let listener = bind_with_retry(|| TcpListener::bind(at), log_failure).await;
     if let Ok(at) = listener.local_addr() {
         info!(event = "operator_listening", %at, "operators are served");
@@ -71,13 +71,13 @@
         let stream = match listener.accept().await {
             Ok(stream) => stream,
             Err(error) => {
-                warn!(event = "accept_failed", front = "operator", %error, "an operator can't connect");
+                warn!(event = "accept_failed", front = "operator", %error, "cannot accept an operator's connection");
                 sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
         };
         connections.retain(|connection| !connection.is_finished());
-        // Idle connections must not keep operators out.
+        // Idle connections must not prevent operators from connecting.
         while connections.len() >= MAX_CONNECTIONS {
             connections.pop_front().inspect(AbortHandle::abort);
         }
--- a/crates/node/src/operator/command.rs
+++ b/crates/node/src/operator/command.rs
@@ -7,19 +7,19 @@
 /// A command.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum OperatorCommand {
-    /// Whether the node serves requests; no longer once a shutdown has begun.
+    /// Asks whether the node serves requests. It does not once a shutdown has begun.
     Ready,
-    /// The metrics.
+    /// Shows the metrics.
     Stats,
-    /// The members of the cluster, as this node knows them.
+    /// Lists the members of the cluster as this node knows them.
     Members,
-    /// Send no new requests to this server.
+    /// Stops sending new requests to this server.
     Disable(String),
-    /// Use this server again.
+    /// Starts to use this server again.
     Enable(String),
 }
 
-/// Why a line is no command. The texts are part of the answer.
+/// Why a line is not a valid command. The texts are part of the answer.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub(super) enum OperatorCommandError {
     /// The line is blank.
--- a/crates/node/src/operator/handler.rs
+++ b/crates/node/src/operator/handler.rs
@@ -13,13 +13,12 @@
 use crate::metrics::Metrics;
 use crate::overrides::{OverrideError, OverrideStore};
 
-/// How long the driver or the membership may take to answer; an operator waits for a second.
+/// How long the driver or the membership may take to answer. An operator waits for 1 s.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Answers the commands for one node.
 pub(crate) struct NodeHandler {
-    /// Whether the node serves requests. False from the start of a shutdown, although open requests are still
-    /// answered.
+    /// Whether the node serves requests. False from the start of a shutdown, although open requests are still answered.
     pub(crate) serving: Arc<AtomicBool>,
     /// The driver's control channel.
     pub(crate) control: mpsc::Sender<Control>,
--- a/crates/node/src/overrides.rs
+++ b/crates/node/src/overrides.rs
@@ -1,4 +1,4 @@
-//! Administrative overrides: servers that operators have disabled, and where that is stored.
+//! Administrative overrides: which servers operators have disabled, and where that is stored.
 
 mod file;
 mod store;
@@ -15,17 +15,17 @@
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Override {
-    /// Whether the server is disabled, or enabled again.
+    /// True if the server is disabled, false if it was enabled again.
     #[serde(rename = "out")]
     pub disabled: bool,
-    /// Since when, in milliseconds of Unix time.
+    /// When the override was made, in milliseconds of Unix time.
     pub since_ms: u64,
 }
 
 /// The overrides in force, by the servers' ids.
 pub type Overrides = BTreeMap<String, Override>;
 
-/// Unix time in milliseconds.
+/// The current Unix time in milliseconds.
 fn now_ms() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
--- a/crates/node/src/overrides/file.rs
+++ b/crates/node/src/overrides/file.rs
@@ -13,17 +13,18 @@
 use super::{Overrides, now_ms};
 use crate::transient::TransientError;
 
-/// The version of the file's form. A file of another version is not read.
+/// The version of the file's format. A file of another version is not read.
 const VERSION: u32 = 1;
-/// An override that enables a server is removed after this time, in milliseconds: the server's slow start is over.
+/// The time in milliseconds after which an override that enables a server is removed, since the server's slow start is
+/// over by then.
 const ENABLED_RETENTION_MS: u64 = 600_000;
-/// The file's name, in `$TMPDIR`.
+/// The name of the file, which is in `$TMPDIR`.
 const FILE_NAME: &str = "stonefold-orders.json";
 
-/// The file's content.
+/// The content of the file.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Document {
+struct OverrideDocument {
     version: u32,
     #[serde(rename = "servers")]
     overrides: Overrides,
@@ -35,7 +36,7 @@
     /// There is no `$TMPDIR` to store them in.
     #[error("no TMPDIR to keep orders in")]
     NoDirectory,
-    /// A system call has failed on this file.
+    /// A system call on this file has failed.
     #[error("{path}: {1}", path = .0.display())]
     Io(PathBuf, io::Error),
     /// The file can't be parsed.
@@ -50,7 +51,7 @@
 }
 
 impl OverrideError {
-    /// Whether the stored overrides can't be read now and never will be.
+    /// Whether the stored overrides can't be read, and a retry can't succeed.
     fn is_permanent(&self) -> bool {
         matches!(self, OverrideError::Damaged(..) | OverrideError::Version(..))
     }
@@ -62,7 +63,7 @@
     }
 }
 
-/// The file's metadata, by which a change is noticed.
+/// Metadata of the file, by which a change of it is noticed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 struct Fingerprint {
     modified: SystemTime,
@@ -79,7 +80,7 @@
 }
 
 impl OverrideFile {
-    /// The file of this node: in `$TMPDIR`, which all its processes share.
+    /// The file of this node, in `$TMPDIR`, which all its processes share.
     pub(crate) fn of_node() -> OverrideFile {
         OverrideFile::in_directory(env::var_os("TMPDIR").map(PathBuf::from))
     }
@@ -92,7 +93,7 @@
         self.last_overrides.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The stored overrides; none if nothing was ever stored.
+    /// Returns the stored overrides; none if nothing was ever stored.
     ///
     /// # Errors
     /// If the file can't be read or parsed.
@@ -104,7 +105,7 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Overrides::new()),
             Err(error) => return Err(OverrideError::Io(path, error)),
         };
-        match serde_json::from_slice::<Document>(&text) {
+        match serde_json::from_slice::<OverrideDocument>(&text) {
             Ok(document) if document.version == VERSION => {
                 self.last_overrides().clone_from(&document.overrides);
                 Ok(document.overrides)
@@ -114,11 +115,11 @@
         }
     }
 
-    /// Changes the overrides durably; returns the result. An unreadable file is renamed, and replaced by the overrides
-    /// that this process has last seen.
+    /// Changes the stored overrides durably, and returns the result. A damaged file is renamed, and the overrides that
+    /// this process has last read or written take its place.
     ///
     /// # Errors
-    /// If the file can't be read or written. Nothing has changed then.
+    /// If the file can't be read or written. The stored overrides are unchanged then.
     pub(crate) fn change(&self, change: impl FnOnce(&mut Overrides)) -> Result<Overrides, OverrideError> {
         let directory = self.directory.as_deref().ok_or(OverrideError::NoDirectory)?;
         let path = directory.join(FILE_NAME);
@@ -139,7 +140,7 @@
         overrides.retain(|_, server| {
             server.disabled || now.saturating_sub(server.since_ms) < ENABLED_RETENTION_MS
         });
-        let document = Document { version: VERSION, overrides };
+        let document = OverrideDocument { version: VERSION, overrides };
         write(directory, &path, &document).map_err(io_error)?;
         self.last_overrides().clone_from(&document.overrides);
         Ok(document.overrides)
@@ -156,11 +157,11 @@
     }
 }
 
-/// Replaces the file durably: a new file is synced and renamed, and the directory synced.
-fn write(directory: &Path, path: &Path, document: &Document) -> io::Result<()> {
+/// Replaces the file durably: writes and syncs a new file, renames it, and syncs the directory.
+fn write(directory: &Path, path: &Path, document: &OverrideDocument) -> io::Result<()> {
     let new_path = path.with_extension("new");
     let text = serde_json::to_vec(document)?;
-    // A retry writes the file anew: after a failed sync the kernel may treat pages as clean that it has not written.
+    // A retry must write a new file: after a failed sync the kernel may treat pages as clean that it has not written.
     let mut file = File::create(&new_path)?;
     file.write_all(&text)?;
     file.sync_all()?;
--- a/crates/node/src/overrides/file/tests.rs
+++ b/crates/node/src/overrides/file/tests.rs
@@ -1,4 +1,4 @@
-//! The file of overrides: what one process writes, what others read, and damaged files.
+//! Tests of the overrides' file: changes that processes make and read, and damaged files.
 
 use super::*;
 use crate::overrides::Override;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn disabled_servers_stay_and_old_enabled_ones_are_removed() {
+fn overrides_that_disable_stay_and_old_ones_that_enable_are_removed() {
     let dir = tempfile::tempdir().unwrap();
     let overrides = file(&dir).change(|overrides| {
         for (server, disabled) in [("disabled", true), ("enabled", false)] {
@@ -56,11 +56,11 @@
     assert_eq!(overrides.unwrap().into_keys().collect::<Vec<_>>(), ["disabled"]);
 }
 
-/// A file that an earlier program has written.
+/// A file that an earlier version of the program has written.
 const RECORDED: &[u8] = include_bytes!("../../../tests/fixtures/stonefold-orders.json");
 
 #[test]
-fn a_recorded_file_means_the_same_and_is_written_alike() {
+fn a_recorded_file_parses_and_is_written_back_unchanged() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("stonefold-orders.json");
     fs::write(&path, RECORDED).unwrap();
--- a/crates/node/src/overrides/store.rs
+++ b/crates/node/src/overrides/store.rs
@@ -1,4 +1,4 @@
-//! Where overrides are stored: in a file of this machine, or in the store that all nodes share.
+//! Stores overrides in a file on this machine, or in the store that all nodes share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::shared::ReplicatedState;
 use crate::transient::{TransientError, retry_transient};
 
-/// How often changes by other processes and nodes are looked for.
+/// The interval at which changes by other processes and nodes are looked for.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Where overrides are stored.
 pub(crate) enum OverrideStore {
-    /// A file of this machine.
+    /// A file on this machine.
     File(OverrideFile),
     /// The store that all nodes share.
     Shared(Arc<dyn ReplicatedState>),
@@ -27,12 +27,12 @@
 /// The overrides that a process starts with.
 pub(crate) struct InitialOverrides {
     pub(crate) overrides: Overrides,
-    /// Whether the stored overrides could not be read for a reason that may pass, and still have to be.
-    pub(crate) unread: bool,
+    /// Whether the stored overrides could not be read because of a transient error, and still have to be loaded.
+    pub(crate) load_pending: bool,
 }
 
 impl OverrideStore {
-    /// The stored overrides.
+    /// Returns the stored overrides.
     ///
     /// # Errors
     /// If they can't be read.
@@ -43,13 +43,13 @@
         }
     }
 
-    /// The overrides that a process starts with; none if they can't be read.
+    /// Loads the overrides that a process starts with; none if they can't be read.
     pub(crate) async fn load_at_start(&self) -> InitialOverrides {
         match retry_transient(|| self.load()).await {
-            Ok(overrides) => InitialOverrides { overrides, unread: false },
+            Ok(overrides) => InitialOverrides { overrides, load_pending: false },
             Err(error) => {
-                error!(event = "overrides_unreadable", %error, "no overrides are in force");
-                InitialOverrides { overrides: Overrides::new(), unread: error.is_transient() }
+                error!(event = "overrides_unreadable", %error, "the stored overrides can't be read; no overrides are in force");
+                InitialOverrides { overrides: Overrides::new(), load_pending: error.is_transient() }
             }
         }
     }
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Disables or enables a server, durably; returns the overrides then in force. An override that is in force already
-    /// keeps its time.
+    /// Disables or enables a server durably, and returns the overrides then in force. If the server is already in that
+    /// state, the override in force keeps its time.
     ///
     /// # Errors
     /// If the override can't be stored.
@@ -93,17 +93,17 @@
     overrides.get(server).map_or(disabled, |current| current.disabled != disabled)
 }
 
-/// Forwards what other processes or nodes have changed to the driver, until the node ends. `unread` as in
+/// Forwards changes by other processes or nodes to the driver, until the node ends. `load_pending` is as in
 /// [`InitialOverrides`].
 pub(crate) async fn follow(
     store: Arc<OverrideStore>,
-    mut unread: bool,
+    mut load_pending: bool,
     control: mpsc::Sender<Control>,
     to: UnboundedSender<Message>,
 ) {
     loop {
         sleep(POLL_INTERVAL).await;
-        if !store.changed() && !unread {
+        if !store.changed() && !load_pending {
             continue;
         }
         if let OverrideStore::Shared(shared) = &*store
@@ -113,12 +113,12 @@
         }
         match store.load() {
             Ok(overrides) => {
-                unread = false;
+                load_pending = false;
                 let _ = control.send(Control::Overrides { overrides, applied: None }).await; // the driver may have ended
             }
             Err(error) => {
-                error!(event = "overrides_unreadable", %error, "the overrides in force stay");
-                unread = error.is_transient();
+                error!(event = "overrides_unreadable", %error, "the stored overrides can't be read; those in force stay");
+                load_pending = error.is_transient();
             }
         }
     }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads: at each SIGHUP, and at each new revision of a shared configuration, the configuration is read again and
-//! takes effect completely, or not at all.
+//! Reloads the configuration at each SIGHUP, and at each new revision of a shared configuration. It takes effect
+//! completely, or not at all.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::shared::ReplicatedState;
 use crate::transient::retry_transient;
 
-/// Requests of a class that a reload has removed are still accepted for this time, since some are in flight.
+/// How long requests of a class are still accepted after a reload has removed it, since some are in flight.
 const REMOVED_CLASS_GRACE: Duration = Duration::from_secs(1);
 
 /// Reloads the configuration.
@@ -27,15 +27,15 @@
     pub(crate) control: mpsc::Sender<Control>,
     /// Counts the reloads.
     pub(crate) metrics: Arc<Metrics>,
-    /// Takes discovery's address.
+    /// Receives discovery's address.
     pub(crate) discovery_address: watch::Sender<SocketAddr>,
-    /// Takes the settings of the parts around the driver.
+    /// Receives the settings for the parts of the node other than the driver.
     pub(crate) settings: watch::Sender<SharedSettings>,
     /// The store that all nodes share, if there is one.
     pub(crate) shared: Option<Arc<dyn ReplicatedState>>,
 }
 
-/// The settings without removed classes, and when they take effect.
+/// Settings that no longer have the removed classes, and when they take effect.
 struct PendingSettings {
     at: Instant,
     settings: SharedSettings,
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Reloads once; counts and logs a failure.
+    /// Reloads once. Counts and logs a failure.
     async fn reload(&mut self) -> Option<PendingSettings> {
         match self.try_reload().instrument(info_span!("reload")).await {
             Ok(settings) => Some(PendingSettings { at: Instant::now() + REMOVED_CLASS_GRACE, settings }),
             Err(error) => {
                 self.metrics.rejected_reloads.increment();
-                error!(event = "reload_rejected", %error, "the configuration stays as it was");
+                error!(event = "reload_rejected", %error, "the reload was rejected; the configuration is unchanged");
                 None
             }
         }
     }
 
-    /// Puts the configuration as it is now into force; returns the settings without removed classes. An
-    /// error leaves everything as it was.
+    /// Reads the configuration and puts it in force. Returns the settings without the removed classes. After an error
+    /// nothing has changed.
     async fn try_reload(&mut self) -> Result<SharedSettings, ConfigError> {
         let (config, document) = retry_transient(|| self.source.read()).await?;
         let (reply, answer) = oneshot::channel();
@@ -110,7 +110,7 @@
     }
 }
 
-/// Waits for a revision of the shared configuration later than the one seen; forever where nothing is shared.
+/// Waits for a revision of the shared configuration later than the one seen. Never returns if nothing is shared.
 async fn next_revision(shared: &Option<Arc<dyn ReplicatedState>>, seen: u64) -> u64 {
     match shared {
         Some(shared) => shared.config_after(seen).await,
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -36,7 +36,7 @@
 /// Fails if the node cannot listen on one of its addresses, or if the driver ends.
 pub async fn run(config: NodeConfig, log: DroppedLines) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
-    // SIGHUP would end a process that does not handle it.
+    // Without a handler, SIGHUP would end the process.
     let reload = signal(SignalKind::hangup())?;
     let listener = listen(config.listen).await?;
     let mut node = Node::start(config, listener, reload, Arc::new(Metrics::new(log))).await?;
@@ -55,7 +55,7 @@
     clients: ClientServer,
     membership: Option<Membership>,
     stalls: StallMonitor,
-    /// What operators are told as `READY`: true once requests are served, false from the start of a shutdown.
+    /// What operators are told for `READY`: true once requests are served, and false from the start of a shutdown.
     serving: Arc<AtomicBool>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Node {
-    /// Starts the parts of the node, the clients' side last.
+    /// Starts the parts of the node. Clients are accepted last.
     async fn start(
         mut config: NodeConfig,
         listener: Listener,
@@ -112,15 +112,18 @@
 }
 
 impl Node {
-    /// Shuts down: open requests are answered, and new connections are accepted for a moment.
+    /// Shuts down: answers the open requests, and still accepts new connections for a short time.
     async fn shut_down(self) {
         let Node { handles, clients, membership, serving, stalls, .. } = self;
-        info!(event = "stopping", "open requests are answered, and new connections accepted for a moment");
+        info!(
+            event = "stopping",
+            "shutting down: open requests are answered, and new connections accepted for a short time"
+        );
         // The signal may have arrived during a stall of the event loop.
         let stopped_at = stalls.earliest_arrival(Instant::now());
         let longest = handles.settings.borrow().max_deadline;
         let schedule = ShutdownSchedule::new(longest, handover::is_passed());
-        // Fails if the driver has ended, which then accepts nothing more.
+        // Fails only if the driver has ended, in which case it accepts no requests either.
         let _ = handles.control.send(Control::Shutdown(stopped_at + schedule.answer_by)).await;
         serving.store(false, Ordering::Relaxed);
         if let Some(membership) = membership {
@@ -130,14 +133,14 @@
     }
 }
 
-/// Opens the clients' listener, or takes over the one that the platform passed on.
+/// Opens the clients' listener, or uses the socket that the platform has passed.
 async fn listen(addr: SocketAddr) -> io::Result<Listener> {
     let listener = handover::listener(addr).await.map_err(io::Error::other)?;
     info!(event = "listening", at = %listener.local_addr()?, "clients can connect");
     Ok(Listener::new(listener))
 }
 
-/// Waits for the state that all nodes share, if there is any, and adopts its endpoint list if that is newer.
+/// Waits until the state that all nodes share is known, if there is any, and adopts its endpoint list if that is newer.
 async fn adopt_shared_list(config: &mut NodeConfig) {
     let Some(shared) = config.shared.clone() else { return };
     shared.ready().await;
@@ -147,14 +150,15 @@
 }
 
 impl Handles {
-    /// Shows all classes in the metrics from the start.
+    /// Registers all classes in the metrics, so that they are shown from the start.
     fn register_classes(&self) {
         for class in &self.settings.borrow().class_names {
             self.metrics.class(class);
         }
     }
 
-    /// The watch on discovery, which continues from the known list. An empty list has no version to continue from.
+    /// Creates the watcher of discovery, which continues from the known list. An empty list has no version to continue
+    /// from.
     fn endpoint_watcher(&self, config: &NodeConfig, watch_requested: Arc<Notify>) -> EndpointWatcher {
         let known = &config.known;
         let version = (!known.servers.is_empty()).then_some(known.version);
@@ -167,17 +171,17 @@
         )
     }
 
-    /// Loads the overrides of operators, and starts to follow changes that are made elsewhere.
+    /// Loads the overrides of operators, and starts to follow changes that other processes and nodes make.
     async fn start_override_store(&self, config: &NodeConfig) -> (Arc<OverrideStore>, Overrides) {
         let store = match config.shared.clone() {
             Some(shared) => OverrideStore::Shared(shared),
             None => OverrideStore::File(OverrideFile::of_node()),
         };
         let store = Arc::new(store);
-        store.changed(); // what is loaded below is no change
+        store.changed(); // the overrides that are loaded below are not a change
         let initial = store.load_at_start().await;
         let follow =
-            overrides::follow(store.clone(), initial.unread, self.control.clone(), self.driver.clone());
+            overrides::follow(store.clone(), initial.load_pending, self.control.clone(), self.driver.clone());
         tokio::spawn(follow);
         (store, initial.overrides)
     }
@@ -212,7 +216,7 @@
         }
     }
 
-    /// The task that reloads the configuration.
+    /// Creates the task that reloads the configuration.
     fn reloader(
         &self,
         config: &mut NodeConfig,
@@ -254,7 +258,7 @@
         operator::start(addr, handler)
     }
 
-    /// Records that requests are served now. `started` is the start of the process.
+    /// Logs and records in the metrics that requests are served now. `started` is the start of the process.
     fn log_ready(&self, started: time::Instant) {
         let took = started.elapsed();
         self.metrics.set_ready(took);
