--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -130,7 +130,7 @@
     fn schedule_fault(&mut self, scenario: Scenario) {
         match scenario {
             Scenario::Down | Scenario::WatchesSilent | Scenario::Blackholed => {
-                self.schedule(START, Event::Fault)
+                self.schedule(START, Event::Fault);
             }
             Scenario::Overloaded => {
                 for number in 0..(FAULT_DURATION as f64 * self.other_polls_per_s / 1e6) as u64 {
--- a/crates/node/src/membership/logging.rs
+++ b/crates/node/src/membership/logging.rs
@@ -16,9 +16,7 @@
             let by = name_of(detector, *by);
             info!(event = "member_suspected", member = name, by, "a node did not answer a probe");
         }
-        Event::Refuted { name } => {
-            info!(event = "member_refuted", member = name, "a suspicion has ended; the node is alive")
-        }
+        Event::Refuted { name } => info!(event = "member_refuted", member = name, "a suspicion has ended"),
         Event::Failed { name, suspected_by } => {
             let names: Vec<String> = suspected_by.iter().map(|id| name_of(detector, *id)).collect();
             let suspected_by = names.join(",");
@@ -30,7 +28,7 @@
             );
         }
         Event::Returned { name } => {
-            info!(event = "member_returned", member = name, "a node that had failed or left is back")
+            info!(event = "member_returned", member = name, "a failed or left node is back");
         }
         Event::Restarted { name } => {
             info!(event = "member_restarted", member = name, "a node runs in a new process");
