--- a/crates/node/src/config/source.rs
+++ b/crates/node/src/config/source.rs
@@ -91,7 +91,7 @@
 }
 
 impl ReloadSource {
-    /// Creates it from a source and the document that was read from that.
+    /// Creates a source for reloads from `source` and the document that was read from it.
     pub(super) fn new(source: Source, current: Value) -> ReloadSource {
         ReloadSource { source, current }
     }
--- a/crates/node/src/discovery/poll_schedule.rs
+++ b/crates/node/src/discovery/poll_schedule.rs
@@ -45,7 +45,7 @@
 const INITIAL_BACKOFF_WITH_MISSED_CHANGES: Duration = Duration::from_millis(200);
 /// The number of nodes for each step of the initial backoff's factor.
 const NODES_PER_BACKOFF_STEP: usize = 8;
-/// The maximum factor of the initial backoff. With a higher one, [`MAX_POLL_SPACING`] would be the limit.
+/// The maximum factor of the initial backoff. Above it, [`MAX_POLL_SPACING`] limits the backoff in any case.
 const MAX_BACKOFF_STEPS: usize = 8;
 /// The maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
--- a/crates/node/src/overrides/store.rs
+++ b/crates/node/src/overrides/store.rs
@@ -99,7 +99,7 @@
     store: Arc<OverrideStore>,
     mut load_pending: bool,
     control: mpsc::Sender<Control>,
-    to: UnboundedSender<Message>,
+    to_driver: UnboundedSender<Message>,
 ) {
     loop {
         sleep(POLL_INTERVAL).await;
@@ -109,7 +109,7 @@
         if let OverrideStore::Shared(shared) = &*store
             && let Some(list) = shared.newer_list()
         {
-            let _ = to.send(Message::EndpointList(list)); // the driver may have ended
+            let _ = to_driver.send(Message::EndpointList(list)); // the driver may have ended
         }
         match store.load() {
             Ok(overrides) => {
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -63,7 +63,7 @@
 #[derive(Clone)]
 struct Handles {
     /// Sends to the driver.
-    driver: UnboundedSender<Message>,
+    to_driver: UnboundedSender<Message>,
     /// Sends to the driver, ahead of all other messages.
     control: mpsc::Sender<Control>,
     metrics: Arc<Metrics>,
@@ -79,11 +79,11 @@
         metrics: Arc<Metrics>,
     ) -> io::Result<Node> {
         adopt_shared_list(&mut config).await;
-        let (driver, inbox) = mpsc::unbounded_channel();
+        let (to_driver, inbox) = mpsc::unbounded_channel();
         let (control, control_inbox) = mpsc::channel(CONTROL_CAPACITY);
         let (new_address, address) = watch::channel(config.discovery);
         let (new_settings, settings) = watch::channel(SharedSettings::from(&config.settings));
-        let handles = Handles { driver, control, metrics, settings };
+        let handles = Handles { to_driver, control, metrics, settings };
         handles.register_classes();
         let watch_requested = Arc::new(Notify::new());
         let endpoint_watcher = handles.endpoint_watcher(&config, watch_requested.clone());
@@ -167,7 +167,7 @@
             version,
             self.settings.clone(),
             config.seed,
-            self.driver.clone(),
+            self.to_driver.clone(),
         )
     }
 
@@ -180,8 +180,12 @@
         let store = Arc::new(store);
         store.changed(); // the overrides that are loaded below are not a change
         let initial = store.load_at_start().await;
-        let follow =
-            overrides::follow(store.clone(), initial.load_pending, self.control.clone(), self.driver.clone());
+        let follow = overrides::follow(
+            store.clone(),
+            initial.load_pending,
+            self.control.clone(),
+            self.to_driver.clone(),
+        );
         tokio::spawn(follow);
         (store, initial.overrides)
     }
@@ -199,7 +203,7 @@
             metrics: self.metrics.clone(),
             server_connections: Arc::default(),
             watch_requested,
-            sender: self.driver.clone(),
+            sender: self.to_driver.clone(),
             inbox,
             control,
         }
@@ -207,7 +211,7 @@
 
     fn client_context(&self, config: &NodeConfig, driver: &DriverContext) -> ClientContext {
         ClientContext {
-            driver: self.driver.clone(),
+            driver: self.to_driver.clone(),
             limits: config.client_limits(driver.server_connections.clone()),
             settings: self.settings.clone(),
             metrics: self.metrics.clone(),
