--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -9,9 +9,9 @@
     Config as FileConfig, Layers, Log, LogFormat, Membership, Role, SharedDocument, Store, load,
 };
 use stonefold_membership::{Codec, Settings};
-use stonefold_node::config::{Config, Document, DocumentError, Source};
+use stonefold_node::config::{DocumentError, DocumentSource, NodeConfig, Source};
 use stonefold_node::membership::MembershipConfig;
-use stonefold_node::shared::SharedState;
+use stonefold_node::shared::ReplicatedState;
 use stonefold_observe::{Format, LogOptions, Logging};
 use stonefold_store::wire::Keys;
 use stonefold_store::{daemon, follower};
@@ -33,7 +33,7 @@
     shared: Option<Arc<dyn SharedConfig>>,
 }
 
-impl Document for FileDocument {
+impl DocumentSource for FileDocument {
     fn read(&self) -> Result<Value, DocumentError> {
         let committed = self.shared.as_ref().and_then(|shared| shared.config());
         let shared = committed.map(|config| SharedDocument {
@@ -55,7 +55,7 @@
 }
 
 fn run_from_platform(args: &NodeArgs, started: Instant) -> Result<(), Failure> {
-    let mut config = Config::from_source(Source::Platform).map_err(Failure::unusable)?;
+    let mut config = NodeConfig::from_source(Source::Platform).map_err(Failure::unusable)?;
     config.started = started;
     serve(config, &start_logging(LogOptions::default(), args)?)
 }
@@ -66,9 +66,10 @@
     let log = start_logging(log_options(&log)?, &args)?;
     let shared = store.map(start_store).transpose()?;
     let document = FileDocument { path, flags: args.set, seed: fastrand::u64(..), shared: shared.clone() };
-    let mut config = Config::from_source(Source::Document(Box::new(document))).map_err(Failure::unusable)?;
+    let mut config =
+        NodeConfig::from_source(Source::Document(Box::new(document))).map_err(Failure::unusable)?;
     config.started = started; // before the store, which may wait for others
-    config.shared = shared.map(|shared| shared as Arc<dyn SharedState>);
+    config.shared = shared.map(|shared| shared as Arc<dyn ReplicatedState>);
     config.membership = membership.map(|membership| membership_config(node.name, membership)).transpose()?;
     serve(config, &log)
 }
@@ -123,7 +124,7 @@
     })
 }
 
-fn serve(config: Config, log: &Logging) -> Result<(), Failure> {
+fn serve(config: NodeConfig, log: &Logging) -> Result<(), Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(runtime.block_on(stonefold_node::run(config, log.dropped()))?)
 }
--- a/crates/node/src/hollow.rs
+++ b/crates/node/src/hollow.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::config::{Config, ConfigSource};
+use crate::config::{NodeConfig, ReloadSource};
 use crate::discovery::EndpointWatcher;
 use crate::driver::{CONTROL_CAPACITY, Driver, DriverContext};
 use crate::message::{Message, SharedSettings};
@@ -34,7 +34,7 @@
         Some((listing.state, listing.started_ms))
     }
 
-    /// How many servers are listed, as the node has it and as the balancer does.
+    /// The number of listed servers according to the directory, and according to the balancer.
     pub fn servers(&self) -> (usize, usize) {
         (self.driver.directory().len(), self.driver.cache_counts().listed)
     }
@@ -43,18 +43,18 @@
 /// A running hollow node. Its tasks end when it is dropped.
 struct HollowNode {
     driver: Driver,
-    /// The watcher's messages, which are forwarded to the driver here, so that it is known when a list is applied.
+    /// The watcher's messages. They are forwarded to the driver by [`run`], which thus knows when a list is applied.
     watcher_messages: UnboundedReceiver<Message>,
     /// The version of the list that was last applied.
     version: u64,
-    /// Kept open: the watcher ends without them.
+    /// These senders are kept because the watcher ends once they are dropped.
     _address: watch::Sender<SocketAddr>,
     _settings: watch::Sender<SharedSettings>,
     _tasks: [AbortOnDropHandle<()>; 3],
 }
 
 impl HollowNode {
-    fn start(mut config: Config) -> HollowNode {
+    fn start(mut config: NodeConfig) -> HollowNode {
         let (to_self, inbox) = mpsc::unbounded_channel();
         let (to_driver, watcher_messages) = mpsc::unbounded_channel();
         let (control_sender, control) = mpsc::channel(CONTROL_CAPACITY);
@@ -66,8 +66,8 @@
         let watcher =
             EndpointWatcher::new(watch_requested.clone(), known_version, settings, config.seed, to_driver);
         let store = Arc::new(OverrideStore::File(OverrideFile::of_node()));
-        store.changed(); // what is loaded below is no change
-        config.source = ConfigSource::default();
+        store.changed(); // the overrides that are loaded below are not a change
+        config.source = ReloadSource::default();
         let metrics = Arc::new(Metrics::new(DroppedLines::default()));
         let stalls = StallMonitor::new();
         let heartbeat = stalls.clone().run(metrics.clone());
@@ -107,7 +107,7 @@
 ///
 /// # Cancel safety
 /// When it is cancelled, the node and all its tasks end.
-pub async fn run(config: Config, mut on_list: impl FnMut(AppliedList<'_>)) {
+pub async fn run(config: NodeConfig, mut on_list: impl FnMut(AppliedList<'_>)) {
     let mut node = HollowNode::start(config);
     on_list(node.applied_list());
     loop {
