--- a/crates/cli/tests/membership.rs
+++ b/crates/cli/tests/membership.rs
@@ -86,8 +86,9 @@
 
     fn start_node(&self, n: usize, cluster: &str) -> Node {
         let path = |name: &str| self.dir.path().join(name).to_str().unwrap().to_owned();
-        let (listen, advertise) = (self.listen[n], self.links.front(n).unwrap());
-        let (seed, key, interval) = (self.links.front(0).unwrap(), path("key"), PROBE_INTERVAL.as_millis());
+        let (listen, advertise) = (self.listen[n], self.links.proxy_addr(n).unwrap());
+        let (seed, key, interval) =
+            (self.links.proxy_addr(0).unwrap(), path("key"), PROBE_INTERVAL.as_millis());
         let config = format!(
             r#"
 [node]
@@ -327,7 +328,7 @@
 fn on_rough_links_among_twelve_nobody_is_failed_and_a_node_that_dies_is() {
     let mut fleet = Fleet::start(MANY);
     let delay = (Duration::ZERO, DELAY);
-    fleet.links.set_all(|_, _| LinkRule { loss: LOSS, doubled: 0.05, delay, cut: false });
+    fleet.links.set_all(|_, _| LinkRule { loss: LOSS, duplicated: 0.05, delay, cut: false });
     fleet.rounds(50);
     assert_eq!(fleet.logged("member_failed"), []);
     fleet.nodes[7] = None;
--- a/crates/emulator/examples/pause.rs
+++ b/crates/emulator/examples/pause.rs
@@ -37,7 +37,7 @@
         (class.work, class.work_sigma) = (DurationMicros::new(100_000), Fraction::new(0.0));
     }
     let emulator = Emulator::start(site, Options { faults: false, ..Options::default() }).await?;
-    let cache = emulator.known(0)["servers"][0]["addr"].as_str().ok_or("no cache")?.to_owned();
+    let cache = emulator.endpoint_list(0)["servers"][0]["addr"].as_str().ok_or("no cache")?.to_owned();
     let (mut runs, mut turns) = (Vec::new(), Vec::new());
     for n in 0..CONNECTIONS {
         let (turn, due) = unbounded_channel();
--- a/crates/emulator/examples/throughput.rs
+++ b/crates/emulator/examples/throughput.rs
@@ -55,7 +55,7 @@
 
 async fn measure(program: &[String]) -> Result<(), Failure> {
     let emulator = Emulator::start(site()?, Options { faults: false, ..Options::default() }).await?;
-    let known = emulator.known(0);
+    let known = emulator.endpoint_list(0);
     let cache: SocketAddr = known["servers"][0]["addr"].as_str().ok_or("no cache")?.parse()?;
     let Some(node) = Node::start(&emulator, program).await? else {
         let rate = blast(cache).await?;
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -50,7 +50,7 @@
     }
 
     fn servers(&self, node: usize) -> Vec<Server> {
-        let known = self.known(node);
+        let known = self.endpoint_list(node);
         let entries = known["servers"].as_array().cloned().unwrap_or_default();
         let text = |entry: &serde_json::Value, key: &str| entry[key].as_str().unwrap_or_default().to_owned();
         let server = |entry: serde_json::Value| {
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -29,13 +29,13 @@
     /// The entry of a server, as a node is told it; nothing for a server that there never was.
     fn entry(&self, node: usize, listed: &Listed) -> Option<Value>;
     /// Entries of every whole list beside the servers.
-    fn standing(&self, _node: usize) -> Vec<Value> {
+    fn fixed_entries(&self, _node: usize) -> Vec<Value> {
         Vec::new()
     }
     /// A node is being told this.
-    fn telling(&self, _node: usize, _listing: &mut Listing) {}
+    fn before_reply(&self, _node: usize, _listing: &mut Listing) {}
     /// Discovery has come to know of these changes, the last of which made this version.
-    fn learned(&self, _version: u64, _changes: &[Listed]) {}
+    fn changes_learned(&self, _version: u64, _changes: &[Listed]) {}
 }
 
 /// Calls of one node, and what they took.
@@ -43,17 +43,17 @@
 struct Calls {
     /// Calls that were answered with a list, and those that were turned away.
     answered: AtomicU64,
-    refused: AtomicU64,
+    rejected: AtomicU64,
     traffic: Arc<Traffic>,
 }
 
 /// What one node's calls came to so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct CallCounts {
     /// Calls that were answered with a list.
     pub answered: u64,
     /// Calls that were turned away.
-    pub refused: u64,
+    pub rejected: u64,
     /// Connections that it made.
     pub connections: u64,
     /// Bytes that it sent, without the headers of TCP and IP.
@@ -63,7 +63,7 @@
 }
 
 /// The model of discovery, and its time.
-pub struct Service {
+pub struct DiscoveryService {
     model: Mutex<Discovery>,
     /// The version of the list that discovery knows.
     version: watch::Sender<u64>,
@@ -72,7 +72,7 @@
     calls: Vec<Calls>,
 }
 
-impl Service {
+impl DiscoveryService {
     /// A discovery that knows of these servers, for so many nodes, until `stop`.
     pub fn new(
         kind: &DiscoveryKind,
@@ -81,48 +81,48 @@
         nodes: usize,
         clock: Clock,
         stop: CancellationToken,
-    ) -> Service {
+    ) -> DiscoveryService {
         let model = Discovery::new(kind, seed, servers);
         let version = watch::channel(model.version()).0;
         let calls = (0..nodes).map(|_| Calls::default()).collect();
-        Service { model: Mutex::new(model), version, clock, stop, calls }
+        DiscoveryService { model: Mutex::new(model), version, clock, stop, calls }
     }
 
     /// It will come to know how a server stands.
-    pub fn note(&self, listed: Listed) {
+    pub fn record_change(&self, listed: Listed) {
         locked(&self.model).record_change(self.clock.now(), listed);
         self.version.send_modify(|_| {}); // wakes the one who waits for the model's next event
     }
 
     /// Answers nobody until then.
-    pub fn away(&self, until: Micros) {
+    pub fn set_unavailable_until(&self, until: Micros) {
         locked(&self.model).set_unavailable_until(until);
     }
 
     /// Learns nothing new until then.
-    pub fn stale(&self, until: Micros) {
+    pub fn freeze_until(&self, until: Micros) {
         locked(&self.model).freeze_until(until);
     }
 
     /// The whole list as it would be told now.
-    pub fn listing(&self) -> Listing {
+    pub fn full_listing(&self) -> Listing {
         locked(&self.model).listing_since(None)
     }
 
     /// Whether there is something that it will come to know.
-    pub fn is_learning(&self) -> bool {
+    pub fn has_pending_changes(&self) -> bool {
         locked(&self.model).next_event().is_some()
     }
 
     /// What the calls of a node came to so far.
-    pub fn counts(&self, node: usize) -> Counts {
-        let Some(Calls { answered, refused, traffic }) = self.calls.get(node) else {
-            return Counts::default();
+    pub fn counts(&self, node: usize) -> CallCounts {
+        let Some(Calls { answered, rejected, traffic }) = self.calls.get(node) else {
+            return CallCounts::default();
         };
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        Counts {
+        CallCounts {
             answered: of(answered),
-            refused: of(refused),
+            rejected: of(rejected),
             connections: of(&traffic.connections),
             received_bytes: of(&traffic.received),
             sent_bytes: of(&traffic.sent),
@@ -152,7 +152,7 @@
 }
 
 /// Lets discovery learn what it has to, in its time.
-async fn learn(service: Arc<Service>, registry: Arc<impl Registry>) {
+async fn learn(service: Arc<DiscoveryService>, registry: Arc<impl Registry>) {
     let mut noted = service.version.subscribe();
     loop {
         let next = locked(&service.model).next_event().map(|at| service.clock.instant(at));
@@ -168,17 +168,17 @@
     }
 }
 
-fn advance(service: &Service, registry: &impl Registry) -> Option<u64> {
+fn advance(service: &DiscoveryService, registry: &impl Registry) -> Option<u64> {
     let mut model = locked(&service.model);
     let before = model.version();
     let version = model.advance(service.clock.now())?;
     // Before any node can be told of it.
-    registry.learned(version, &model.listing_since(Some(before)).servers);
+    registry.changes_learned(version, &model.listing_since(Some(before)).servers);
     Some(version)
 }
 
 async fn call(
-    service: Arc<Service>,
+    service: Arc<DiscoveryService>,
     registry: Arc<impl Registry>,
     node: usize,
     request: Request<Incoming>,
@@ -191,7 +191,7 @@
     let (after, wait) = (number("after"), Duration::from_millis(number("wait_ms").unwrap_or(0)));
     let answered = locked(&service.model).call(service.clock.now());
     let Some(at) = answered else {
-        service.count(node, |calls| &calls.refused);
+        service.count(node, |calls| &calls.rejected);
         return Ok(http::answer(StatusCode::SERVICE_UNAVAILABLE, ""));
     };
     sleep_until(service.clock.instant(at)).await;
@@ -201,16 +201,16 @@
         let _ = timeout(wait.min(LONGEST_WAIT), version.wait_for(|version| *version > after)).await;
     }
     let mut listing = locked(&service.model).listing_since(after);
-    registry.telling(node, &mut listing);
+    registry.before_reply(node, &mut listing);
     service.count(node, |calls| &calls.answered);
-    Ok(http::json(StatusCode::OK, &document(&*registry, node, &listing)))
+    Ok(http::json(StatusCode::OK, &list_document(&*registry, node, &listing)))
 }
 
 /// A listing as a node is told it.
-pub fn document(registry: &impl Registry, node: usize, listing: &Listing) -> Value {
+pub fn list_document(registry: &impl Registry, node: usize, listing: &Listing) -> Value {
     let mut servers: Vec<Value> = listing.servers.iter().filter_map(|l| registry.entry(node, l)).collect();
     if listing.full {
-        servers.extend(registry.standing(node));
+        servers.extend(registry.fixed_entries(node));
     }
     json!({"version": listing.version, "full": listing.full, "servers": servers})
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -45,8 +45,8 @@
             world.origin.slow(factor);
             after(world, lasts, |world| world.origin.slow(1.0));
         }
-        FaultKind::DiscoveryUnavailable => world.discovery.away(until),
-        FaultKind::DiscoveryStale => world.discovery.stale(until),
+        FaultKind::DiscoveryUnavailable => world.discovery.set_unavailable_until(until),
+        FaultKind::DiscoveryStale => world.discovery.freeze_until(until),
         FaultKind::Partition => {
             let zone = world.site.network.zones.iter().position(|name| Some(name) == fault.zone.as_ref());
             zone.into_iter().for_each(|zone| world.cut(zone, until));
--- a/crates/emulator/src/links.rs
+++ b/crates/emulator/src/links.rs
@@ -30,7 +30,7 @@
     /// The part that is lost, 0 to 1.
     pub loss: f64,
     /// The part that arrives twice, 0 to 1.
-    pub doubled: f64,
+    pub duplicated: f64,
     /// The least delay, and the most; within them it is even, so that datagrams overtake each other.
     pub delay: (Duration, Duration),
     /// Whether nothing passes.
@@ -40,7 +40,7 @@
 impl LinkRule {
     /// Passes all on at once.
     pub const OPEN: LinkRule =
-        LinkRule { loss: 0.0, doubled: 0.0, delay: (Duration::ZERO, Duration::ZERO), cut: false };
+        LinkRule { loss: 0.0, duplicated: 0.0, delay: (Duration::ZERO, Duration::ZERO), cut: false };
     /// Passes nothing on.
     pub const CUT: LinkRule = LinkRule { cut: true, ..LinkRule::OPEN };
 }
@@ -48,7 +48,7 @@
 /// What has become of datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounts {
-    /// Passed on, doubled ones twice.
+    /// Passed on, duplicated ones twice.
     pub passed: u64,
     /// Lost or cut by their rule.
     pub lost: u64,
@@ -66,7 +66,7 @@
 
 struct Shared {
     processes: Vec<SocketAddr>,
-    fronts: Vec<UdpSocket>,
+    proxies: Vec<UdpSocket>,
     /// By sender, then receiver.
     rules: Mutex<Vec<Vec<LinkRule>>>,
     rng: Mutex<Rng>,
@@ -105,20 +105,20 @@
 }
 
 impl DatagramLinks {
-    /// Open links between processes that listen at these addresses. The seed decides what is lost, doubled and
+    /// Open links between processes that listen at these addresses. The seed decides what is lost, duplicated and
     /// delayed.
     ///
     /// # Errors
     /// If a front can't be bound on loopback.
     pub async fn start(processes: Vec<SocketAddr>, seed: u64) -> io::Result<DatagramLinks> {
-        let mut fronts = Vec::with_capacity(processes.len());
+        let mut proxies = Vec::with_capacity(processes.len());
         for _ in &processes {
-            fronts.push(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
+            proxies.push(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
         }
         let count = processes.len();
         let shared = Arc::new(Shared {
             processes,
-            fronts,
+            proxies,
             rules: Mutex::new(vec![vec![LinkRule::OPEN; count]; count]),
             rng: Mutex::new(Rng::with_seed(seed)),
             waiting: Mutex::default(),
@@ -135,8 +135,8 @@
     ///
     /// # Errors
     /// If the system does not tell.
-    pub fn front(&self, process: usize) -> io::Result<SocketAddr> {
-        self.shared.fronts[process].local_addr()
+    pub fn proxy_addr(&self, process: usize) -> io::Result<SocketAddr> {
+        self.shared.proxies[process].local_addr()
     }
 
     /// Gives a link another rule, from now on.
@@ -172,7 +172,7 @@
         };
         let rule = lock(&self.rules)[from][to];
         let mut rng = lock(&self.rng);
-        let copies = 1 + usize::from(rng.f64() < rule.doubled);
+        let copies = 1 + usize::from(rng.f64() < rule.duplicated);
         for _ in 0..copies {
             if rule.cut || rng.f64() < rule.loss {
                 self.count(1);
@@ -204,7 +204,7 @@
     let mut buffer = [0; LONGEST];
     loop {
         // An error is the answer to what was passed on to a process that has ended.
-        if let Ok((length, sender)) = shared.fronts[to].recv_from(&mut buffer).await {
+        if let Ok((length, sender)) = shared.proxies[to].recv_from(&mut buffer).await {
             shared.take(sender, to, &buffer[..length]);
         }
     }
@@ -214,7 +214,7 @@
     loop {
         match shared.next() {
             Ok(Waiting { from, to, bytes, .. }) => {
-                let passed = shared.fronts[from].send_to(&bytes, shared.processes[to]).await;
+                let passed = shared.proxies[from].send_to(&bytes, shared.processes[to]).await;
                 shared.count(if passed.is_ok() { 0 } else { 1 });
             }
             Err(Some(at)) => tokio::select! {
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -69,7 +69,7 @@
     }
 
     /// Idle clients occupy the nodes' descriptors from now on: a new connection may be closed unread.
-    pub fn set_crowded(&self) {
+    pub fn excuse_unread_closes(&self) {
         self.crowded.store(true, Ordering::Relaxed);
     }
 
@@ -164,7 +164,7 @@
         let figures = &mut *locked(&self.figures);
         for figures in [&mut figures.0, &mut figures.1] {
             figures.add(said.answer, took);
-            figures.again += tries - 1;
+            figures.retries += tries - 1;
         }
     }
 
--- a/crates/emulator/src/load/figures.rs
+++ b/crates/emulator/src/load/figures.rs
@@ -13,13 +13,13 @@
     /// By how they ended.
     pub served: u64,
     /// Refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed, wrong answers and broken connections among them.
     pub failed: u64,
     /// Not sent, since too many were out.
     pub not_sent: u64,
     /// Asked once more after a refusal; the request counts once, by its last answer.
-    pub again: u64,
+    pub retries: u64,
     /// Of those served: from the intended start to the last byte, in microseconds.
     pub latency: Histogram<u64>,
 }
@@ -28,7 +28,7 @@
     fn default() -> Figures {
         // These bounds are valid: 1 to a minute, three digits.
         let latency = Histogram::new_with_bounds(1, LONGEST, 3).expect("valid bounds");
-        Figures { served: 0, refused: 0, failed: 0, not_sent: 0, again: 0, latency }
+        Figures { served: 0, rejected: 0, failed: 0, not_sent: 0, retries: 0, latency }
     }
 }
 
@@ -40,13 +40,15 @@
     /// Served.
     pub served: u64,
     /// Refused.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Failed.
     pub failed: u64,
     /// Not sent, since too many were out: the load was the bottleneck.
     pub not_sent: u64,
     /// Asked once more after a refusal.
-    pub again: u64,
+    #[serde(rename = "again")]
+    pub retries: u64,
     /// Half of those served took no longer, in milliseconds.
     pub p50_ms: f64,
     /// Of a hundred of those served 99 took no longer, in milliseconds.
@@ -60,12 +62,12 @@
     pub fn summary(&self) -> Summary {
         let at = |quantile: f64| self.latency.value_at_quantile(quantile) as f64 / 1e3;
         Summary {
-            requests: self.served + self.refused + self.failed,
+            requests: self.served + self.rejected + self.failed,
             served: self.served,
-            refused: self.refused,
+            rejected: self.rejected,
             failed: self.failed,
             not_sent: self.not_sent,
-            again: self.again,
+            retries: self.retries,
             p50_ms: at(0.5),
             p99_ms: at(0.99),
             max_ms: self.latency.max() as f64 / 1e3,
@@ -79,7 +81,7 @@
                 self.served += 1;
                 self.latency.saturating_record(took.max(1));
             }
-            Answer::Rejected => self.refused += 1,
+            Answer::Rejected => self.rejected += 1,
             Answer::Failed | Answer::Wrong => self.failed += 1,
         }
     }
--- a/crates/emulator/src/origin.rs
+++ b/crates/emulator/src/origin.rs
@@ -84,7 +84,7 @@
         self.listeners.addr(node)
     }
 
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         locked(&self.inner).model.in_flight()
     }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -14,7 +14,7 @@
 
 use crate::cache::CachePort;
 use crate::clock::Clock;
-use crate::discovery::{Registry, Service, document};
+use crate::discovery::{DiscoveryService, Registry, list_document};
 use crate::error::EmulatorError;
 use crate::lock::locked;
 use crate::origin::OriginPort;
@@ -62,7 +62,7 @@
     /// Servers by their numbers; those that have gone stay in their place.
     pub servers: RwLock<Vec<Arc<Server>>>,
     pub origin: OriginPort,
-    pub discovery: Arc<Service>,
+    pub discovery: Arc<DiscoveryService>,
     pub misses: Misses,
     /// Zones cut off from the others now.
     pub cut_off: Mutex<BTreeMap<usize, Micros>>,
@@ -133,7 +133,7 @@
 
     /// Discovery will come to know how a server stands.
     pub fn note(&self, server: usize, state: State, started: Micros) {
-        self.discovery.note(Listed { server, state, started });
+        self.discovery.record_change(Listed { server, state, started });
     }
 
     /// Servers that run at the start hold what they were asked for before, the most popular longest used.
@@ -193,13 +193,13 @@
         )
     }
 
-    fn standing(&self, node: usize) -> Vec<Value> {
+    fn fixed_entries(&self, node: usize) -> Vec<Value> {
         vec![json!({"id": "origin", "addr": self.origin.addr(node), "zone": "", "kind": "origin", "cell": 0,
             "state": "SERVING", "weight": 1.0, "started_ms": 0})]
     }
 
     /// The judge takes note.
-    fn telling(&self, node: usize, listing: &mut Listing) {
+    fn before_reply(&self, node: usize, listing: &mut Listing) {
         let now = self.now();
         let mut judge = self.judge();
         let serving = |l: &&Listed| l.state == State::Serving;
@@ -244,7 +244,7 @@
         let network = &site.network;
         let clock = Clock::start();
         let known = 0..site.cache_count();
-        let service = Service::new(&site.discovery, seed, known, nodes, clock, stop.clone());
+        let service = DiscoveryService::new(&site.discovery, seed, known, nodes, clock, stop.clone());
         let distant = network.same_zone.us() > 0 || network.cross_zone[1].us() > 0;
         let world = Arc::new(World {
             ip: options.ip,
@@ -297,8 +297,8 @@
     }
 
     /// The list as a node would be told it now: what it starts with.
-    pub fn known(&self, node: usize) -> serde_json::Value {
-        document(&*self.world, node, &self.world.discovery.listing())
+    pub fn endpoint_list(&self, node: usize) -> serde_json::Value {
+        list_document(&*self.world, node, &self.world.discovery.full_listing())
     }
 
     /// The zone in which a node stands, by name.
@@ -336,8 +336,8 @@
     }
 
     /// Fetches that the origin has in hand.
-    pub fn origin_in_hand(&self) -> usize {
-        self.world.origin.in_hand()
+    pub fn origin_in_flight(&self) -> usize {
+        self.world.origin.in_flight()
     }
 
     /// Fetches sent to the origin so far.
--- a/crates/emulator/tests/emulator.rs
+++ b/crates/emulator/tests/emulator.rs
@@ -69,7 +69,7 @@
 }
 
 fn addr(emulator: &Emulator, node: usize, id: &str) -> SocketAddr {
-    let known = emulator.known(node);
+    let known = emulator.endpoint_list(node);
     let entry = known["servers"].as_array().unwrap().iter().find(|entry| entry["id"] == id).unwrap().clone();
     entry["addr"].as_str().unwrap().parse().unwrap()
 }
@@ -394,7 +394,7 @@
     let refusing = bad_node(|_| Some("-BUSY 5\r\n".into())).await;
     let load = Load::new(&emulator, vec![refusing]);
     load.clone().run(200.0, Duration::from_millis(200)).await;
-    assert!(load.figures().0.refused > 0 && emulator.verdict().rejected >= load.figures().0.refused);
+    assert!(load.figures().0.rejected > 0 && emulator.verdict().rejected >= load.figures().0.rejected);
 }
 
 #[tokio::test]
@@ -416,8 +416,8 @@
     let load = Load::new(&emulator, vec![second]);
     load.clone().run(200.0, Duration::from_millis(200)).await;
     let all = load.figures().0;
-    assert!(all.served > 10 && all.refused + all.failed == 0, "{:?}", all.summary());
-    assert_eq!(all.again, 2 * all.served);
+    assert!(all.served > 10 && all.rejected + all.failed == 0, "{:?}", all.summary());
+    assert_eq!(all.retries, 2 * all.served);
     assert!(all.latency.min() >= 10_000, "twice told to wait for 5 ms: {} us", all.latency.min());
     // Each try had a final answer of its own.
     let verdict = emulator.verdict();
--- a/crates/emulator/tests/latency.rs
+++ b/crates/emulator/tests/latency.rs
@@ -57,7 +57,7 @@
     std::fs::write(&path, SITE).unwrap();
     let site = load::<Site>(&Layers { file: Some(path), ..Layers::default() }).unwrap().tree;
     let emulator = Emulator::start(site, Options::default()).await.unwrap();
-    let cache = emulator.known(0)["servers"][0]["addr"].as_str().unwrap().parse().unwrap();
+    let cache = emulator.endpoint_list(0)["servers"][0]["addr"].as_str().unwrap().parse().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let node = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -68,7 +68,7 @@
     let load = Load::new(&emulator, vec![node]);
     load.clone().run(200.0, Duration::from_millis(500)).await;
     let all = load.figures().0;
-    assert!(all.served > 50 && all.refused + all.failed + all.not_sent == 0, "{:?}", all.summary());
+    assert!(all.served > 50 && all.rejected + all.failed + all.not_sent == 0, "{:?}", all.summary());
     // How much later they are is the machine's doing; sooner, by more than a timer's grain, would be ours.
     assert!(all.latency.min() >= 99_000, "{} us", all.latency.min());
     assert_eq!(emulator.verdict().rules_broken(), 0);
--- a/crates/emulator/tests/links.rs
+++ b/crates/emulator/tests/links.rs
@@ -30,12 +30,12 @@
 async fn a_datagram_comes_from_its_senders_front_and_its_answer_goes_back() {
     let (sockets, addresses) = sockets(2).await;
     let links = DatagramLinks::start(addresses, 1).await.unwrap();
-    sockets[0].send_to(b"question", links.front(1).unwrap()).await.unwrap();
+    sockets[0].send_to(b"question", links.proxy_addr(1).unwrap()).await.unwrap();
     let (bytes, from) = received(&sockets[1]).await;
-    assert_eq!((&bytes[..], from), (&b"question"[..], links.front(0).unwrap()));
+    assert_eq!((&bytes[..], from), (&b"question"[..], links.proxy_addr(0).unwrap()));
     sockets[1].send_to(b"answer", from).await.unwrap();
     let (bytes, from) = received(&sockets[0]).await;
-    assert_eq!((&bytes[..], from), (&b"answer"[..], links.front(1).unwrap()));
+    assert_eq!((&bytes[..], from), (&b"answer"[..], links.proxy_addr(1).unwrap()));
 }
 
 #[tokio::test]
@@ -43,14 +43,14 @@
     let (sockets, addresses) = sockets(2).await;
     let links = DatagramLinks::start(addresses, 1).await.unwrap();
     links.set(0, 1, LinkRule::CUT);
-    sockets[0].send_to(b"lost", links.front(1).unwrap()).await.unwrap();
-    sockets[1].send_to(b"back", links.front(0).unwrap()).await.unwrap();
+    sockets[0].send_to(b"lost", links.proxy_addr(1).unwrap()).await.unwrap();
+    sockets[1].send_to(b"back", links.proxy_addr(0).unwrap()).await.unwrap();
     assert_eq!(received(&sockets[0]).await.0, b"back");
     while links.counts().lost == 0 {
         tokio::task::yield_now().await;
     }
     links.set(0, 1, LinkRule::OPEN);
-    sockets[0].send_to(b"healed", links.front(1).unwrap()).await.unwrap();
+    sockets[0].send_to(b"healed", links.proxy_addr(1).unwrap()).await.unwrap();
     assert_eq!(received(&sockets[1]).await.0, b"healed");
 }
 
@@ -58,9 +58,9 @@
 async fn loss_and_doubling_are_as_stated_and_all_is_counted() {
     let (sockets, addresses) = sockets(2).await;
     let links = DatagramLinks::start(addresses, 1).await.unwrap();
-    links.set_all(|_, _| LinkRule { loss: 0.3, doubled: 0.1, ..LinkRule::OPEN });
+    links.set_all(|_, _| LinkRule { loss: 0.3, duplicated: 0.1, ..LinkRule::OPEN });
     for n in 0..DATAGRAMS {
-        sockets[0].send_to(&n.to_le_bytes(), links.front(1).unwrap()).await.unwrap();
+        sockets[0].send_to(&n.to_le_bytes(), links.proxy_addr(1).unwrap()).await.unwrap();
         // Counted before the next is sent, so that no socket's buffer overflows.
         let handled = |links: &DatagramLinks| links.counts().passed + links.counts().lost;
         while (handled(&links) as usize) <= n {
@@ -82,7 +82,7 @@
     links.set_all(|_, _| LinkRule { delay: (LEAST, 4 * LEAST), ..LinkRule::OPEN });
     let start = Instant::now();
     for n in 0..50_u8 {
-        sockets[0].send_to(&[n], links.front(1).unwrap()).await.unwrap();
+        sockets[0].send_to(&[n], links.proxy_addr(1).unwrap()).await.unwrap();
     }
     let mut order = Vec::new();
     for _ in 0..50 {
@@ -96,7 +96,7 @@
 async fn a_stranger_is_not_passed_on() {
     let (sockets, addresses) = sockets(2).await;
     let links = DatagramLinks::start(addresses[..1].to_vec(), 1).await.unwrap();
-    sockets[1].send_to(b"?", links.front(0).unwrap()).await.unwrap();
+    sockets[1].send_to(b"?", links.proxy_addr(0).unwrap()).await.unwrap();
     while links.counts().unknown == 0 {
         tokio::task::yield_now().await;
     }
--- a/crates/emulator/tests/load_ends.rs
+++ b/crates/emulator/tests/load_ends.rs
@@ -133,10 +133,10 @@
     let closing = tokio::spawn(async move {
         sleep(Duration::from_millis(300)).await;
         load.close_node(0);
-        load.figures().0.refused
+        load.figures().0.rejected
     });
     let load = stage.load.clone();
     stage.play(Duration::from_millis(900), |load| load.node_killed(0)).await;
     let before = closing.await.unwrap();
-    assert!(load.figures().0.refused > before + 20, "{before} before: {:?}", load.figures().0.summary());
+    assert!(load.figures().0.rejected > before + 20, "{before} before: {:?}", load.figures().0.summary());
 }
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -13,7 +13,7 @@
 use stonefold_config as tree;
 use stonefold_config::{Count, DurationMillis, Positive};
 use stonefold_emulator::Clock;
-use stonefold_emulator::discovery::{Counts, Registry, Service, document};
+use stonefold_emulator::discovery::{CallCounts, DiscoveryService, Registry, list_document};
 use stonefold_model::site::{DiscoveryKind, Site};
 use stonefold_model::{Listed, Listing, Micros, State};
 use stonefold_node::config::{Config, ConfigError, Document, DocumentError, Source};
@@ -106,7 +106,7 @@
         )
     }
 
-    fn telling(&self, _node: usize, listing: &mut Listing) {
+    fn before_reply(&self, _node: usize, listing: &mut Listing) {
         let mut plant = locked(&self.plant);
         match *plant {
             Some(Plant::Skip) if !listing.full && !listing.servers.is_empty() => {
@@ -118,7 +118,7 @@
         *plant = None;
     }
 
-    fn learned(&self, _version: u64, changes: &[Listed]) {
+    fn changes_learned(&self, _version: u64, changes: &[Listed]) {
         let told = |listed: &Listed| Listed { started: self.unix_ms(listed.started), ..*listed };
         let told: Vec<Listed> = changes.iter().map(told).collect();
         locked(&self.truth).learned(self.clock.now(), &told);
@@ -163,7 +163,7 @@
 pub struct Fleet {
     plan: Plan,
     hollows: Arc<Hollows>,
-    service: Arc<Service>,
+    service: Arc<DiscoveryService>,
     clock: Clock,
     /// Where discovery answers each node.
     discovery: Vec<SocketAddr>,
@@ -187,8 +187,9 @@
         let stop = CancellationToken::new();
         let clock = Clock::start();
         let nodes = plan.nodes + plan.others;
-        let service = Service::new(&plan.discovery, plan.seed, 0..plan.servers, nodes, clock, stop.clone());
-        let first = service.listing();
+        let service =
+            DiscoveryService::new(&plan.discovery, plan.seed, 0..plan.servers, nodes, clock, stop.clone());
+        let first = service.full_listing();
         let longest = Histogram::new_with_max(LONGEST, 3).expect("bounds that a histogram can hold");
         let hollows = Arc::new(Hollows {
             clock,
@@ -196,7 +197,7 @@
             took: Mutex::new(longest),
             plant: Mutex::default(),
         });
-        let known = document(&*hollows, 0, &first);
+        let known = list_document(&*hollows, 0, &first);
         let service = Arc::new(service);
         let mut listeners = Vec::with_capacity(nodes);
         for _ in 0..nodes {
@@ -273,11 +274,11 @@
         let now = self.clock.now();
         let until = now + lasts.as_micros() as Micros;
         locked(&self.hollows.truth).away(now..until);
-        self.service.away(until);
+        self.service.set_unavailable_until(until);
     }
 
     /// Discovery.
-    pub fn service(&self) -> &Service {
+    pub fn service(&self) -> &DiscoveryService {
         &self.service
     }
 
@@ -292,10 +293,10 @@
     }
 
     /// What the calls of some nodes came to, together.
-    pub fn counts(&self, nodes: std::ops::Range<usize>) -> Counts {
-        nodes.map(|node| self.service.counts(node)).fold(Counts::default(), |sum, one| Counts {
+    pub fn counts(&self, nodes: std::ops::Range<usize>) -> CallCounts {
+        nodes.map(|node| self.service.counts(node)).fold(CallCounts::default(), |sum, one| CallCounts {
             answered: sum.answered + one.answered,
-            refused: sum.refused + one.refused,
+            rejected: sum.rejected + one.rejected,
             connections: sum.connections + one.connections,
             received_bytes: sum.received_bytes + one.received_bytes,
             sent_bytes: sum.sent_bytes + one.sent_bytes,
@@ -311,7 +312,7 @@
     /// takes too long.
     pub async fn settled(&self, within: Duration) -> bool {
         let look = async {
-            while self.service.is_learning() || !self.behind().is_empty() {
+            while self.service.has_pending_changes() || !self.behind().is_empty() {
                 tokio::time::sleep(LOOK).await;
             }
         };
--- a/crates/lab/src/hollow/play.rs
+++ b/crates/lab/src/hollow/play.rs
@@ -90,7 +90,7 @@
 
 impl Deal {
     fn new(fleet: &Fleet) -> Deal {
-        let listing = fleet.service().listing();
+        let listing = fleet.service().full_listing();
         let gone = |server| Listed { server, state: State::Deleted, started: 0 };
         let mut servers: Vec<Listed> = (0..fleet.plan().servers).map(gone).collect();
         listing.servers.iter().for_each(|listed| servers[listed.server] = *listed);
@@ -109,7 +109,7 @@
         if listed.state == State::Serving && server.is_multiple_of(3) {
             listed.started = fleet.clock().now() / 1_000 * 1_000;
         }
-        fleet.service().note(*listed);
+        fleet.service().record_change(*listed);
     }
 
     fn zone(&mut self, fleet: &Fleet, state: State) {
@@ -118,7 +118,7 @@
             if state == State::Serving {
                 listed.started = fleet.clock().now();
             }
-            fleet.service().note(*listed);
+            fleet.service().record_change(*listed);
         }
     }
 }
--- a/crates/lab/src/measure/hollow.rs
+++ b/crates/lab/src/measure/hollow.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use stonefold_emulator::discovery::Counts;
+use stonefold_emulator::discovery::CallCounts;
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::task::yield_now;
 use tokio_util::sync::{CancellationToken, DropGuard};
@@ -117,8 +117,8 @@
     nodes_s: f64,
     discovery_s: f64,
     real_s: f64,
-    hollow: Counts,
-    real: Counts,
+    hollow: CallCounts,
+    real: CallCounts,
     carried: Carried,
 }
 
@@ -248,9 +248,9 @@
 }
 
 /// What one node said to discovery and heard from it, a second.
-fn said(who: &str, before: &Counts, after: &Counts, node_seconds: f64, figures: &mut Figures) {
-    let of = |of: fn(&Counts) -> u64| (of(after) - of(before)) as f64;
-    let (answered, refused) = (of(|c| c.answered), of(|c| c.refused));
+fn said(who: &str, before: &CallCounts, after: &CallCounts, node_seconds: f64, figures: &mut Figures) {
+    let of = |of: fn(&CallCounts) -> u64| (of(after) - of(before)) as f64;
+    let (answered, refused) = (of(|c| c.answered), of(|c| c.rejected));
     let (sent, received) = (of(|c| c.received_bytes), of(|c| c.sent_bytes));
     let messages = 2.0 * (answered + refused);
     let mut put = |name: &str, value: f64| figures.put(&format!("{who}_{name}"), value);
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -73,7 +73,7 @@
         let crowd = has_crowd(options.seed).then(|| Crowd::start(&addresses));
         let load = Load::new(&emulator, addresses);
         if crowd.is_some() {
-            load.set_crowded();
+            load.excuse_unread_closes();
         }
         let fleet = Fleet {
             options,
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -72,7 +72,7 @@
             if self.crowd { " and a crowd" } else { "" },
             self.summary.requests,
             self.summary.served,
-            self.summary.refused,
+            self.summary.rejected,
             self.summary.failed
         )?;
         if self.verdict.rules_broken() > 0 {
