--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -1,4 +1,4 @@
-//! A cache server behind sockets: RESP2, answers in order, the model's work between.
+//! A cache server on sockets: reads RESP2 commands, has the model do the work, and answers in the order of the commands.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -19,85 +19,88 @@
 use tracing::info;
 
 use crate::error::EmulatorError;
-use crate::lock::locked;
-use crate::port::{Listeners, reset};
+use crate::listeners::{Listeners, reset};
+use crate::lock::lock;
 use crate::request;
-use crate::world::{GRAIN, Server, World};
+use crate::world::{Server, TIMER_GRANULARITY, World};
 
-/// The longest command.
-const LARGEST: usize = (4 << 20) + (8 << 10);
-/// Requests that one connection may have open.
-const STREAMS: usize = 32;
+/// Maximum size of a command, in bytes.
+const MAX_COMMAND_BYTES: usize = (4 << 20) + (8 << 10);
+/// Maximum number of requests in progress on one connection.
+const MAX_OPEN_REQUESTS: usize = 32;
 
-/// How a server behaves beside its model.
+/// Active faults of a server's connections, which are injected outside its model.
 ///
-/// Faults of one kind may overlap: each is counted, and it is over when the last one is.
+/// Faults of one kind may overlap: each is counted, and the effect ends with the last of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Manners {
-    pub garbles: u32,
-    pub cuts: u32,
-    pub silent: u32,
-    /// Counts up with each order to reset all connections.
-    pub resets: u64,
+pub(crate) struct ConnectionFaults {
+    /// Each byte of an answer is changed.
+    pub garble_faults: u32,
+    /// The connection ends after the first half of an answer.
+    pub cut_faults: u32,
+    /// Nothing is read or answered.
+    pub silence_faults: u32,
+    /// Incremented to reset all connections.
+    pub reset_count: u64,
 }
 
-/// A cache server's sockets, its model, and who waits for it.
-pub(crate) struct CachePort {
+/// The sockets and the model of a cache server.
+pub(crate) struct CacheEndpoint {
     pub listeners: Listeners,
-    inner: Mutex<Inner>,
-    /// Told when the model's next event may be another.
-    moved: Notify,
-    manners: watch::Sender<Manners>,
+    state: Mutex<CacheState>,
+    /// Notified when the model's next event may have changed.
+    model_changed: Notify,
+    connection_faults: watch::Sender<ConnectionFaults>,
     hits: AtomicU64,
     misses: AtomicU64,
     connections: AtomicUsize,
 }
 
-struct Inner {
+struct CacheState {
     model: Cache,
     waiters: HashMap<JobId, oneshot::Sender<Outcome>>,
-    done: Vec<Completion>,
-    /// How much slower each fault makes it that is on now; 0 for one that stops it.
-    slowed: Vec<f64>,
-    /// Counts its deaths: what a fault would undo later is void once the process is another.
-    life: u64,
+    completions: Vec<Completion>,
+    /// The slowdown factors of all active faults; 0 stops the server.
+    slowdowns: Vec<f64>,
+    /// Incremented when the process ends, so that the end of a fault does not affect a later process.
+    incarnation: u64,
 }
 
-impl Inner {
-    /// All that slows it down together.
-    fn pace(&mut self, now: Micros) {
-        let factor = match self.slowed.contains(&0.0) {
+impl CacheState {
+    /// Sets the model's slowdown to the product of all factors, or to a stop if one of them is 0.
+    fn apply_slowdowns(&mut self, now: Micros) {
+        let factor = match self.slowdowns.contains(&0.0) {
             true => 0.0,
-            false => self.slowed.iter().product(),
+            false => self.slowdowns.iter().product(),
         };
-        self.model.set_slowdown(now, factor, &mut self.done);
+        self.model.set_slowdown(now, factor, &mut self.completions);
     }
 
-    /// Tells those whose jobs have ended.
-    fn tell(&mut self) {
-        for Completion { id, outcome: end } in self.done.drain(..) {
+    /// Sends each completed job's outcome to the connection that waits for it.
+    fn notify_waiters(&mut self) {
+        for Completion { id, outcome } in self.completions.drain(..) {
             if let Some(waiter) = self.waiters.remove(&id) {
-                let _ = waiter.send(end); // its connection may have gone
+                let _ = waiter.send(outcome); // fails if its connection has closed
             }
         }
     }
 }
 
-/// What becomes of a request at a server.
-enum Offered {
-    Ended(Outcome),
-    Waits(oneshot::Receiver<Outcome>, JobId),
-    Refused(Rejection),
+/// The result of offering a request to the model.
+enum OfferResult {
+    Completed(Outcome),
+    Pending(oneshot::Receiver<Outcome>, JobId),
+    Rejected(Rejection),
 }
 
-impl CachePort {
-    pub async fn open(ip: IpAddr, nodes: usize, model: Cache) -> Result<CachePort, EmulatorError> {
-        let (waiters, done, slowed) = Default::default();
-        Ok(CachePort {
+impl CacheEndpoint {
+    pub async fn open(ip: IpAddr, nodes: usize, model: Cache) -> Result<CacheEndpoint, EmulatorError> {
+        let (waiters, completions, slowdowns) = Default::default();
+        Ok(CacheEndpoint {
             listeners: Listeners::open(ip, nodes).await?,
-            inner: Mutex::new(Inner { model, waiters, done, slowed, life: 0 }),
-            moved: Notify::new(),
-            manners: watch::channel(Manners::default()).0,
+            state: Mutex::new(CacheState { model, waiters, completions, slowdowns, incarnation: 0 }),
+            model_changed: Notify::new(),
+            connection_faults: watch::channel(ConnectionFaults::default()).0,
             hits: AtomicU64::new(0),
             misses: AtomicU64::new(0),
             connections: AtomicUsize::new(0),
@@ -112,96 +115,96 @@
         (self.hits.load(Ordering::Relaxed), self.misses.load(Ordering::Relaxed))
     }
 
-    /// Does something to the model, and tells those whose jobs have ended by it.
-    pub fn with<T>(&self, of: impl FnOnce(&mut Cache, &mut Vec<Completion>) -> T) -> T {
-        let mut inner = locked(&self.inner);
-        let Inner { model, done, .. } = &mut *inner;
-        let result = of(model, done);
-        inner.tell();
-        drop(inner);
-        self.moved.notify_one();
+    /// Runs `operation` on the model, and notifies the waiters of the jobs that it completes.
+    pub fn with_model<T>(&self, operation: impl FnOnce(&mut Cache, &mut Vec<Completion>) -> T) -> T {
+        let mut state = lock(&self.state);
+        let CacheState { model, completions, .. } = &mut *state;
+        let result = operation(model, completions);
+        state.notify_waiters();
+        drop(state);
+        self.model_changed.notify_one();
         result
     }
 
-    pub fn behave(&self, change: impl FnOnce(&mut Manners)) {
-        self.manners.send_modify(change);
+    pub fn change_connection_faults(&self, change: impl FnOnce(&mut ConnectionFaults)) {
+        self.connection_faults.send_modify(change);
     }
 
-    fn offer(&self, now: Micros, job: Job) -> Offered {
-        let mut inner = locked(&self.inner);
-        let Inner { model, done, .. } = &mut *inner;
-        let offered = match model.offer(now, job, done) {
-            Err(refusal) => Offered::Refused(refusal),
-            Ok(id) => match done.iter().position(|one| one.id == id) {
-                Some(place) => Offered::Ended(done.swap_remove(place).outcome),
+    fn offer(&self, now: Micros, job: Job) -> OfferResult {
+        let mut state = lock(&self.state);
+        let CacheState { model, completions, .. } = &mut *state;
+        let result = match model.offer(now, job, completions) {
+            Err(rejection) => OfferResult::Rejected(rejection),
+            Ok(id) => match completions.iter().position(|completion| completion.id == id) {
+                Some(index) => OfferResult::Completed(completions.swap_remove(index).outcome),
                 None => {
                     let (sender, waiter) = oneshot::channel();
-                    inner.waiters.insert(id, sender);
-                    Offered::Waits(waiter, id)
+                    state.waiters.insert(id, sender);
+                    OfferResult::Pending(waiter, id)
                 }
             },
         };
-        inner.tell();
-        drop(inner);
-        if matches!(offered, Offered::Waits(..)) {
-            self.moved.notify_one();
+        state.notify_waiters();
+        drop(state);
+        if matches!(result, OfferResult::Pending(..)) {
+            self.model_changed.notify_one();
         }
-        offered
+        result
     }
 
-    /// Slows it down, beside all that does so already, until [`quicken`](Self::quicken).
-    pub fn slow(&self, now: Micros, factor: f64) {
-        self.change_pace(now, |slowed| slowed.push(factor));
+    /// Adds a slowdown to those in effect, until [`remove_slowdown`](Self::remove_slowdown).
+    pub fn add_slowdown(&self, now: Micros, factor: f64) {
+        self.change_slowdowns(now, |slowdowns| slowdowns.push(factor));
     }
 
-    /// Takes one such fault back.
-    pub fn quicken(&self, now: Micros, factor: f64) {
-        self.change_pace(now, |slowed| {
-            let place = slowed.iter().position(|&one| one == factor);
-            place.into_iter().for_each(|place| _ = slowed.swap_remove(place));
+    /// Removes one slowdown of this factor, if there is one.
+    pub fn remove_slowdown(&self, now: Micros, factor: f64) {
+        self.change_slowdowns(now, |slowdowns| {
+            let index = slowdowns.iter().position(|&other| other == factor);
+            index.into_iter().for_each(|index| _ = slowdowns.swap_remove(index));
         });
     }
 
-    fn change_pace(&self, now: Micros, change: impl FnOnce(&mut Vec<f64>)) {
-        let mut inner = locked(&self.inner);
-        change(&mut inner.slowed);
-        inner.pace(now);
-        inner.tell();
-        drop(inner);
-        self.moved.notify_one();
+    fn change_slowdowns(&self, now: Micros, change: impl FnOnce(&mut Vec<f64>)) {
+        let mut state = lock(&self.state);
+        change(&mut state.slowdowns);
+        state.apply_slowdowns(now);
+        state.notify_waiters();
+        drop(state);
+        self.model_changed.notify_one();
     }
 
-    /// Which of its lives this is.
-    pub fn life(&self) -> u64 {
-        locked(&self.inner).life
+    /// The number of processes that ended before this one.
+    pub fn incarnation(&self) -> u64 {
+        lock(&self.state).incarnation
     }
 
-    /// The process ends: what it had is lost.
-    pub fn die(&self, now: Micros) {
+    /// Ends the process: its connections are reset, and its slowdowns, jobs and contents are lost.
+    pub fn terminate(&self, now: Micros) {
         self.listeners.close();
-        let mut inner = locked(&self.inner);
-        inner.life += 1;
-        inner.slowed.clear();
-        inner.model.stop(now);
-        inner.waiters.clear();
-        inner.done.clear();
+        let mut state = lock(&self.state);
+        state.incarnation += 1;
+        state.slowdowns.clear();
+        state.model.stop(now);
+        state.waiters.clear();
+        state.completions.clear();
     }
 }
 
-/// Calls a job off when nobody waits for it any more.
-struct Waiting<'a> {
+/// Cancels a job when its connection stops waiting for it.
+struct CancelOnDrop<'a> {
     world: &'a World,
-    port: &'a CachePort,
+    endpoint: &'a CacheEndpoint,
     id: JobId,
-    ended: bool,
+    completed: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.completed {
             let now = self.world.now();
-            locked(&self.port.inner).waiters.remove(&self.id);
-            self.port.with(|model, done| model.cancel(now, self.id, done));
+            lock(&self.endpoint.state).waiters.remove(&self.id);
+            self.endpoint.with_model(|model, completions| model.cancel(now, self.id, completions));
         }
     }
 }
@@ -211,112 +214,117 @@
         stonefold_model::site::Site::id(self.number)
     }
 
-    /// Serves until the world ends, or it is closed.
+    /// Serves connections until they are closed, and advances the model, until the emulator stops.
     pub fn serve(self: Arc<Self>, world: Arc<World>) {
-        let (server, of) = (self.clone(), world.clone());
-        self.port.listeners.serve(&world.stop, move |node, stream, end| {
-            connection(of.clone(), server.clone(), node, stream, end)
+        let (server, serving_world) = (self.clone(), world.clone());
+        self.endpoint.listeners.serve(&world.stop, move |node, stream, closing| {
+            serve_connection(serving_world.clone(), server.clone(), node, stream, closing)
         });
         tokio::spawn(async move {
             while !world.stop.is_cancelled() {
-                let next = locked(&self.port.inner).model.next_event();
+                let next = lock(&self.endpoint.state).model.next_event();
                 let until = next.map(|at| world.instant(at));
                 tokio::select! {
                     () = world.stop.cancelled() => return,
-                    () = self.port.moved.notified() => {}
+                    () = self.endpoint.model_changed.notified() => {}
                     () = sleep_until(until.unwrap_or_else(tokio::time::Instant::now)), if until.is_some() => {}
                 }
-                let now = world.now() + GRAIN;
-                let mut inner = locked(&self.port.inner);
-                let Inner { model, done, .. } = &mut *inner;
-                model.advance(now, done);
-                inner.tell();
+                let now = world.now() + TIMER_GRANULARITY;
+                let mut state = lock(&self.endpoint.state);
+                let CacheState { model, completions, .. } = &mut *state;
+                model.advance(now, completions);
+                state.notify_waiters();
             }
         });
     }
 
-    /// Starts again at the same address, cold.
+    /// Starts again at the same addresses, warming up.
     pub async fn restart(self: &Arc<Self>, world: &Arc<World>) {
-        self.port.listeners.reopen(&world.stop).await;
+        self.endpoint.listeners.reopen(&world.stop).await;
         let now = world.now();
-        self.port.with(|model, _| model.start(now));
-        let (server, of) = (self.clone(), world.clone());
-        self.port.listeners.serve(&world.stop, move |node, stream, end| {
-            connection(of.clone(), server.clone(), node, stream, end)
+        self.endpoint.with_model(|model, _| model.start(now));
+        let (server, serving_world) = (self.clone(), world.clone());
+        self.endpoint.listeners.serve(&world.stop, move |node, stream, closing| {
+            serve_connection(serving_world.clone(), server.clone(), node, stream, closing)
         });
-        world.note(self.number, State::Serving, now);
+        world.record_change(self.number, State::Serving, now);
     }
 }
 
-/// One node's connection, until either side ends it.
-async fn connection(
+/// Serves a node's connection until either side closes it.
+async fn serve_connection(
     world: Arc<World>,
     server: Arc<Server>,
     node: usize,
     mut stream: TcpStream,
-    end: CancellationToken,
+    closing: CancellationToken,
 ) {
-    let port = &server.port;
+    let endpoint = &server.endpoint;
     let kind = &world.site.caches[server.group];
-    if port.connections.fetch_add(1, Ordering::Relaxed) >= kind.connections.get() {
-        port.connections.fetch_sub(1, Ordering::Relaxed);
+    if endpoint.connections.fetch_add(1, Ordering::Relaxed) >= kind.connections.get() {
+        endpoint.connections.fetch_sub(1, Ordering::Relaxed);
         return reset(stream);
     }
     world.open_connections.fetch_add(1, Ordering::Relaxed);
-    if port.with(|model, _| {
+    if endpoint.with_model(|model, _| {
         model.connected(world.now());
         model.is_down()
     }) {
-        server.fell(&world);
+        server.handle_collapse(&world);
     }
     let broken = tokio::select! {
-        () = end.cancelled() => true,
-        broken = converse(&world, &server, node, &mut stream) => broken,
+        () = closing.cancelled() => true,
+        broken = serve_commands(&world, &server, node, &mut stream) => broken,
     };
-    port.connections.fetch_sub(1, Ordering::Relaxed);
+    endpoint.connections.fetch_sub(1, Ordering::Relaxed);
     world.open_connections.fetch_sub(1, Ordering::Relaxed);
     if broken {
         reset(stream);
     }
 }
 
-/// Reads commands and writes answers; tells whether the connection is to be reset.
-async fn converse(world: &Arc<World>, server: &Arc<Server>, node: usize, stream: &mut TcpStream) -> bool {
+/// Reads commands and writes answers; returns whether the connection is to be reset.
+async fn serve_commands(
+    world: &Arc<World>,
+    server: &Arc<Server>,
+    node: usize,
+    stream: &mut TcpStream,
+) -> bool {
     let kind = &world.site.caches[server.group];
-    let idle = kind.idle.us();
-    let mut manners = server.port.manners.subscribe();
-    let resets = manners.borrow_and_update().resets;
+    let idle_timeout = kind.idle.us();
+    let mut connection_faults = server.endpoint.connection_faults.subscribe();
+    let reset_count = connection_faults.borrow_and_update().reset_count;
     let (mut buffer, mut out) = (BytesMut::new(), BytesMut::new());
-    let mut open = FuturesOrdered::new();
+    let mut in_flight = FuturesOrdered::new();
     let mut idle_since = world.now();
     let mut answered = 0;
     loop {
-        while open.len() < STREAMS {
-            match decode_frame(&mut buffer, LARGEST) {
-                Ok(Some(frame)) => open.push_back(handle(world, server, node, frame)),
+        while in_flight.len() < MAX_OPEN_REQUESTS {
+            match decode_frame(&mut buffer, MAX_COMMAND_BYTES) {
+                Ok(Some(frame)) => in_flight.push_back(handle_command(world, server, node, frame)),
                 Ok(None) => break,
                 Err(_) => return false,
             }
         }
-        let idles = open.is_empty();
+        let is_idle = in_flight.is_empty();
         tokio::select! {
             biased;
-            changed = manners.changed() => {
-                if changed.is_err() || manners.borrow_and_update().resets != resets {
+            changed = connection_faults.changed() => {
+                if changed.is_err() || connection_faults.borrow_and_update().reset_count != reset_count {
                     return true;
                 }
             }
-            Some(answer) = open.next(), if !open.is_empty() => {
+            Some(answer) = in_flight.next(), if !in_flight.is_empty() => {
                 let answer: Option<Bytes> = answer;
-                let how = *manners.borrow();
-                // Whoever was silent once stays so: nothing comes on this connection again.
-                if how.silent > 0 || world.is_cut(node, server.zone) || answer.is_none() {
-                    return silence(&mut manners, resets).await;
+                let faults = *connection_faults.borrow();
+                // Once an answer is withheld, nothing more is sent on this connection.
+                if faults.silence_faults > 0 || world.is_partitioned(node, server.zone) || answer.is_none() {
+                    return wait_for_reset(&mut connection_faults, reset_count).await;
                 }
                 let answer = answer.unwrap_or_default();
                 out.clear();
-                spoil(how, &answer, &mut out);
-                if stream.write_all(&out).await.is_err() || how.cuts > 0 {
+                append_faulty_answer(faults, &answer, &mut out);
+                if stream.write_all(&out).await.is_err() || faults.cut_faults > 0 {
                     return false;
                 }
                 answered += 1;
@@ -325,37 +333,43 @@
                     return false;
                 }
             }
-            read = stream.read_buf(&mut buffer), if open.len() < STREAMS => {
+            read = stream.read_buf(&mut buffer), if in_flight.len() < MAX_OPEN_REQUESTS => {
                 if !matches!(read, Ok(read) if read > 0) {
                     return false;
                 }
-                if manners.borrow().silent > 0 || world.is_cut(node, server.zone) {
-                    return silence(&mut manners, resets).await;
+                if connection_faults.borrow().silence_faults > 0 || world.is_partitioned(node, server.zone) {
+                    return wait_for_reset(&mut connection_faults, reset_count).await;
                 }
             }
-            () = sleep_until(world.instant(idle_since + idle)), if idles => return false,
+            () = sleep_until(world.instant(idle_since + idle_timeout)), if is_idle => return false,
         }
     }
 }
 
-/// Nothing more is read or written; a reset ends it, or the peer's patience.
-async fn silence(manners: &mut watch::Receiver<Manners>, resets: u64) -> bool {
+/// Neither reads nor writes until the connection is to be reset; returns true.
+async fn wait_for_reset(connection_faults: &mut watch::Receiver<ConnectionFaults>, reset_count: u64) -> bool {
     loop {
-        if manners.changed().await.is_err() || manners.borrow().resets != resets {
+        if connection_faults.changed().await.is_err() || connection_faults.borrow().reset_count != reset_count
+        {
             return true;
         }
     }
 }
 
-/// An answer, as a server in trouble writes it.
-fn spoil(how: Manners, answer: &[u8], out: &mut BytesMut) {
-    let end = if how.cuts > 0 { answer.len() / 2 } else { answer.len() };
-    let noise = if how.garbles > 0 { 0x5a } else { 0 };
-    out.extend(answer[..end].iter().map(|byte| byte ^ noise));
+/// Appends an answer with the active faults applied: half of it if cut, each byte changed if garbled.
+fn append_faulty_answer(faults: ConnectionFaults, answer: &[u8], out: &mut BytesMut) {
+    let length = if faults.cut_faults > 0 { answer.len() / 2 } else { answer.len() };
+    let mask = if faults.garble_faults > 0 { 0x5a } else { 0 };
+    out.extend(answer[..length].iter().map(|byte| byte ^ mask));
 }
 
-/// A command's answer; nothing where none comes.
-async fn handle(world: &Arc<World>, server: &Arc<Server>, node: usize, frame: BytesFrame) -> Option<Bytes> {
+/// Carries out a command and returns its answer; `None` if the server does not answer it.
+async fn handle_command(
+    world: &Arc<World>,
+    server: &Arc<Server>,
+    node: usize,
+    frame: BytesFrame,
+) -> Option<Bytes> {
     let error = |text: &'static str| Some(Bytes::from_static(text.as_bytes()));
     let BytesFrame::Array(parts) = frame else { return error("-ERR no command\r\n") };
     let words: Option<Vec<Bytes>> = parts
@@ -373,97 +387,98 @@
         Some(b"PING") => return error("+PONG\r\n"),
         _ => return error("-ERR unknown command\r\n"),
     };
-    let (Ok(key), Ok(facts)) = (std::str::from_utf8(&words[1]), std::str::from_utf8(&words[3])) else {
+    let (Ok(key), Ok(metadata)) = (std::str::from_utf8(&words[1]), std::str::from_utf8(&words[3])) else {
         return error("-SYNTAX\r\n");
     };
-    world.judge().request_sent(world.now(), node, server.number);
-    world.travel(node, server.zone).await;
-    let answer = work(world, server, key, &words[2], facts, write).await;
-    world.travel(node, server.zone).await;
+    world.rule_checker().request_sent(world.now(), node, server.number);
+    world.delay_one_way(node, server.zone).await;
+    let answer = run_request(world, server, key, &words[2], metadata, write).await;
+    world.delay_one_way(node, server.zone).await;
     answer
 }
 
-/// Has the model do a request's work.
-async fn work(
+/// Has the model do the work of a request, and returns the answer.
+async fn run_request(
     world: &Arc<World>,
     server: &Arc<Server>,
     key: &str,
     id: &[u8],
-    facts: &str,
+    metadata: &str,
     write: bool,
 ) -> Option<Bytes> {
-    let class = request::class(&world.site, facts);
-    let wait = metadata_value(facts, "d").and_then(|d| d.parse::<f64>().ok()).unwrap_or(0.0);
+    let class = request::request_class(&world.site, metadata);
+    let remaining_ms = metadata_value(metadata, "d").and_then(|d| d.parse::<f64>().ok()).unwrap_or(0.0);
     let now = world.now();
     let job = Job {
         work: if write { Work::Write(key.into()) } else { Work::Read(key.into()) },
-        cost: request::cost(&world.site, class, id),
-        deadline: now.saturating_add((wait.clamp(0.0, 3.6e6) * 1e3) as Micros),
+        cost: request::work_cost(&world.site, class, id),
+        deadline: now.saturating_add((remaining_ms.clamp(0.0, 3.6e6) * 1e3) as Micros),
     };
-    let end = match server.port.offer(now, job) {
-        Offered::Ended(end) => end,
-        Offered::Refused(Rejection::QueueFull) => return Some(Bytes::from_static(b"-BUSY\r\n")),
-        Offered::Refused(Rejection::Down) => {
-            server.fell(world);
+    let outcome = match server.endpoint.offer(now, job) {
+        OfferResult::Completed(outcome) => outcome,
+        OfferResult::Rejected(Rejection::QueueFull) => return Some(Bytes::from_static(b"-BUSY\r\n")),
+        OfferResult::Rejected(Rejection::Down) => {
+            server.handle_collapse(world);
             return None;
         }
-        Offered::Waits(waiter, id) => {
-            let mut waiting = Waiting { world, port: &server.port, id, ended: false };
-            let end = waiter.await;
-            waiting.ended = true;
-            end.ok()?
+        OfferResult::Pending(waiter, id) => {
+            let mut cancel_guard = CancelOnDrop { world, endpoint: &server.endpoint, id, completed: false };
+            let outcome = waiter.await;
+            cancel_guard.completed = true;
+            outcome.ok()?
         }
     };
-    let report = server.port.with(|model, _| model.report(world.now()));
-    answer(world, server, key, id, end, report)
+    let report = server.endpoint.with_model(|model, _| model.report(world.now()));
+    encode_answer(world, server, key, id, outcome, report)
 }
 
-fn answer(
+fn encode_answer(
     world: &World,
     server: &Server,
     key: &str,
     id: &[u8],
-    end: Outcome,
+    outcome: Outcome,
     report: LoadReport,
 ) -> Option<Bytes> {
     let report = format!("latency_ms={:.1},queue={},x1={}", report.latency_ms, report.queue, report.fetches);
-    let tail = |word: &str| format!("${}\r\n{word}\r\n${}\r\n{report}\r\n", word.len(), report.len());
+    let suffix = |word: &str| format!("${}\r\n{word}\r\n${}\r\n{report}\r\n", word.len(), report.len());
     let mut out = BytesMut::new();
-    match end {
+    match outcome {
         Outcome::Expired => return None,
         Outcome::Failed => out.extend_from_slice(format!("-ERR failed {report}\r\n").as_bytes()),
         Outcome::Miss | Outcome::Pending => {
-            server.port.misses.fetch_add(1, Ordering::Relaxed);
-            world.misses.note(id, server.number);
-            let word = if end == Outcome::Miss { "miss" } else { "pending" };
-            out.extend_from_slice(format!("*3\r\n$-1\r\n{}", tail(word)).as_bytes());
+            server.endpoint.misses.fetch_add(1, Ordering::Relaxed);
+            world.misses.record(id, server.number);
+            let word = if outcome == Outcome::Miss { "miss" } else { "pending" };
+            out.extend_from_slice(format!("*3\r\n$-1\r\n{}", suffix(word)).as_bytes());
         }
         Outcome::Hit(size) => {
-            server.port.hits.fetch_add(1, Ordering::Relaxed);
+            server.endpoint.hits.fetch_add(1, Ordering::Relaxed);
             out.extend_from_slice(format!("*3\r\n${}\r\n", request::value_length(id, key, size)).as_bytes());
-            request::value(&mut out, id, key, size);
-            out.extend_from_slice(format!("\r\n{}", tail("hit")).as_bytes());
+            request::write_value(&mut out, id, key, size);
+            out.extend_from_slice(format!("\r\n{}", suffix("hit")).as_bytes());
         }
     }
     Some(out.freeze())
 }
 
 impl Server {
-    /// The model has fallen over: told once, and its process is gone.
-    fn fell(self: &Arc<Self>, world: &Arc<World>) {
-        let mut inner = locked(&self.port.inner);
-        let first = inner.model.take_collapsed();
-        inner.waiters.clear();
-        drop(inner);
-        if first {
+    /// Handles a model that is down: drops the waiting requests and, if the model has just collapsed, reports that and
+    /// closes the server's sockets.
+    fn handle_collapse(self: &Arc<Self>, world: &Arc<World>) {
+        let mut state = lock(&self.endpoint.state);
+        let newly_collapsed = state.model.take_collapsed();
+        state.waiters.clear();
+        drop(state);
+        if newly_collapsed {
             info!(
                 event = "slow_start_overloaded",
                 server = self.id(),
                 "a server in slow start was overloaded and failed"
             );
-            world.judge().server_collapsed();
-            world.note(self.number, State::Deleted, 0);
-            self.port.listeners.close();
+            world.rule_checker().server_collapsed();
+            world.record_change(self.number, State::Deleted, 0);
+            self.endpoint.listeners.close();
         }
     }
 }
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,11 +1,11 @@
-//! The models' time, on the runtime's clock: it stands still with that, and goes on with that.
+//! The time of the models, derived from the runtime's clock: when a test pauses that, this stands still too.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use stonefold_model::Micros;
 use tokio::time::Instant;
 
-/// Time since the start.
+/// Measures time since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -14,7 +14,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Clock {
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), epoch }
@@ -25,12 +25,12 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// The runtime's time of a moment.
+    /// Converts a time of this clock to an instant of the runtime's.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at)
     }
 
-    /// Unix time of a moment, in ms.
+    /// Converts a time of this clock to Unix time, in milliseconds.
     pub fn unix_ms(&self, at: Micros) -> u64 {
         (self.epoch + Duration::from_micros(at)).as_millis() as u64
     }
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node of a site is told at its start, as a configuration of our own.
+//! Generates the configuration of a site's nodes.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,12 @@
 use crate::world::Emulator;
 
 impl Emulator {
-    /// The configuration of a node that listens here; `None` if the site has no node of that number.
+    /// Returns the configuration of a node that listens at `listen`; `None` if the site has no node of that number.
     pub fn config(&self, node: usize, listen: SocketAddr, operator: Option<SocketAddr>) -> Option<Config> {
         let site = self.site();
-        let cold = site.caches.iter().map(|kind| kind.warm_up.us() / 1000).max().unwrap_or(0);
-        let cold_from = site.caches.iter().map(|kind| kind.warm_up_from.get()).fold(1.0, f64::min);
-        let keepalive = site.caches.iter().map(|kind| kind.idle.us() / 1000).min().unwrap_or(15_000);
+        let slow_start_ms = site.caches.iter().map(|kind| kind.warm_up.us() / 1000).max().unwrap_or(0);
+        let initial_capacity = site.caches.iter().map(|kind| kind.warm_up_from.get()).fold(1.0, f64::min);
+        let idle_timeout_ms = site.caches.iter().map(|kind| kind.idle.us() / 1000).min().unwrap_or(15_000);
         Some(Config {
             node: Node {
                 name: format!("n{node}"),
@@ -30,13 +30,13 @@
             },
             requests: Requests { over_quota_weight: Fraction::new(0.05), ..Requests::default() },
             connections: Connections {
-                idle_timeout: DurationMillis::new(keepalive),
+                idle_timeout: DurationMillis::new(idle_timeout_ms),
                 ..Connections::default()
             },
             fleet: Fleet {
                 zones: site.network.zones.clone(),
-                slow_start_duration: DurationMillis::new(cold),
-                initial_capacity: Fraction::new(cold_from),
+                slow_start_duration: DurationMillis::new(slow_start_ms),
+                initial_capacity: Fraction::new(initial_capacity),
                 overload_factor: site.rules.overload_factor,
                 overload_window: DurationMillis::new(site.rules.overload_for.us() / 1000),
                 cross_zone_cost: Fraction::new(0.03),
@@ -50,8 +50,8 @@
     }
 
     fn servers(&self, node: usize) -> Vec<Server> {
-        let known = self.endpoint_list(node);
-        let entries = known["servers"].as_array().cloned().unwrap_or_default();
+        let list = self.endpoint_list(node);
+        let entries = list["servers"].as_array().cloned().unwrap_or_default();
         let text = |entry: &serde_json::Value, key: &str| entry[key].as_str().unwrap_or_default().to_owned();
         let server = |entry: serde_json::Value| {
             Some(Server {
@@ -68,14 +68,14 @@
 }
 
 fn classes(site: &Site) -> Vec<RequestClass> {
-    let class = |of: &stonefold_model::site::ClassKind| RequestClass {
-        name: of.name.clone(),
-        latency_objective: DurationMillis::new(of.latency_objective.us() / 1000),
-        deadline: DurationMillis::new(of.deadline.us() / 1000),
-        idempotency: of.effect,
-        deduplication_scope: of.scope,
-        deduplication_window: DurationMillis::new(if of.effect == Idempotency::Keyed {
-            of.window.us() / 1000
+    let class = |kind: &stonefold_model::site::ClassKind| RequestClass {
+        name: kind.name.clone(),
+        latency_objective: DurationMillis::new(kind.latency_objective.us() / 1000),
+        deadline: DurationMillis::new(kind.deadline.us() / 1000),
+        idempotency: kind.effect,
+        deduplication_scope: kind.scope,
+        deduplication_window: DurationMillis::new(if kind.effect == Idempotency::Keyed {
+            kind.window.us() / 1000
         } else {
             5_000
         }),
@@ -85,5 +85,5 @@
 }
 
 fn tenants(site: &Site) -> Vec<Tenant> {
-    site.tenants.iter().map(|of| Tenant { name: of.name.clone(), quota: of.share }).collect()
+    site.tenants.iter().map(|tenant| Tenant { name: tenant.name.clone(), quota: tenant.share }).collect()
 }
--- a/crates/emulator/src/control.rs
+++ b/crates/emulator/src/control.rs
@@ -1,4 +1,4 @@
-//! The control: what the judge has found, how the servers stand, and faults on demand. HTTP and JSON.
+//! The control interface, HTTP with JSON bodies: the verdict, the state of the servers, and faults on demand.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,38 +11,38 @@
 use tokio::net::TcpListener;
 
 use crate::faults;
-use crate::http::{self, Answer, Gone, always};
-use crate::port::accept;
+use crate::http::{self, ConnectionAborted, HttpResponse, infallible};
+use crate::listeners::accept;
 use crate::world::World;
 
-/// The longest fault.
-const LARGEST: usize = 16 << 10;
+/// Maximum size of a fault's description, in bytes.
+const MAX_FAULT_BYTES: usize = 16 << 10;
 
 pub(crate) fn serve(world: &Arc<World>, listener: TcpListener) {
-    let (of, stop) = (world.clone(), world.stop.clone());
-    accept(listener, stop, move |stream, end| {
-        let world = of.clone();
-        async move { http::connection(stream, end, |request| answer(world.clone(), request)).await }
+    let (serving_world, stop) = (world.clone(), world.stop.clone());
+    accept(listener, stop, move |stream, closing| {
+        let world = serving_world.clone();
+        async move { http::serve_connection(stream, closing, |request| respond(world.clone(), request)).await }
     });
 }
 
-async fn answer(world: Arc<World>, request: Request<Incoming>) -> Result<Answer, Gone> {
+async fn respond(world: Arc<World>, request: Request<Incoming>) -> Result<HttpResponse, ConnectionAborted> {
     let route = (request.method().clone(), request.uri().path().to_owned());
-    always(Ok(match (&route.0, route.1.as_str()) {
-        (&Method::GET, "/verdict") => http::json(StatusCode::OK, &verdict(&world)),
-        (&Method::GET, "/servers") => http::json(StatusCode::OK, &servers(&world)),
-        (&Method::POST, "/faults") => begin(&world, request).await,
+    infallible(Ok(match (&route.0, route.1.as_str()) {
+        (&Method::GET, "/verdict") => http::json(StatusCode::OK, &verdict_json(&world)),
+        (&Method::GET, "/servers") => http::json(StatusCode::OK, &servers_json(&world)),
+        (&Method::POST, "/faults") => inject_fault(&world, request).await,
         _ => {
-            let known =
+            let unknown_call =
                 json!({"error": "unknown call", "known": ["GET /verdict", "GET /servers", "POST /faults"]});
-            http::json(StatusCode::NOT_FOUND, &known)
+            http::json(StatusCode::NOT_FOUND, &unknown_call)
         }
     }))
 }
 
-fn verdict(world: &World) -> Value {
-    world.judge().expire_requests(world.now());
-    let verdict = world.judge().verdict();
+fn verdict_json(world: &World) -> Value {
+    world.rule_checker().expire_requests(world.now());
+    let verdict = world.rule_checker().verdict();
     let mut value = serde_json::to_value(verdict).unwrap_or_default();
     value["rules_broken"] = verdict.rules_broken().into();
     value["origin_fetches"] = world.origin.fetches().into();
@@ -50,30 +50,30 @@
     value
 }
 
-fn servers(world: &World) -> Value {
+fn servers_json(world: &World) -> Value {
     let now = world.now();
-    let each = |server: &Arc<crate::world::Server>| {
-        server.port.with(|model, _| {
+    let server_json = |server: &Arc<crate::world::Server>| {
+        server.endpoint.with_model(|model, _| {
             json!({"id": server.id(), "zone": world.site.network.zones.get(server.zone), "down": model.is_down(),
                 "cold": model.is_warming_up(now), "in_service": model.in_service(), "waiting": model.queued(),
                 "objects": model.objects(), "bytes": model.bytes()})
         })
     };
-    world.all_servers().iter().map(each).collect()
+    world.all_servers().iter().map(server_json).collect()
 }
 
-async fn begin(world: &Arc<World>, request: Request<Incoming>) -> Answer {
-    let refused = |error: String| http::json(StatusCode::BAD_REQUEST, &json!({"error": error}));
-    let body = match Limited::new(request.into_body(), LARGEST).collect().await {
+async fn inject_fault(world: &Arc<World>, request: Request<Incoming>) -> HttpResponse {
+    let rejected = |error: String| http::json(StatusCode::BAD_REQUEST, &json!({"error": error}));
+    let body = match Limited::new(request.into_body(), MAX_FAULT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
-        Err(error) => return refused(error.to_string()),
+        Err(error) => return rejected(error.to_string()),
     };
     let fault: Fault = match serde_json::from_slice(&body) {
         Ok(fault) => fault,
-        Err(error) => return refused(error.to_string()),
+        Err(error) => return rejected(error.to_string()),
     };
-    match faults::begin(world, &fault) {
+    match faults::inject(world, &fault) {
         Ok(()) => http::json(StatusCode::ACCEPTED, &json!({"begun": true})),
-        Err(error) => refused(error.to_string()),
+        Err(error) => rejected(error.to_string()),
     }
 }
--- a/crates/emulator/src/counted.rs
+++ b/crates/emulator/src/counted.rs
@@ -1,4 +1,4 @@
-//! A connection that counts what passes.
+//! A connection that counts the bytes that it transfers.
 
 use std::io;
 use std::pin::Pin;
@@ -9,51 +9,51 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What has passed over some connections.
+/// Numbers of connections and of the bytes that they transferred.
 #[derive(Debug, Default)]
-pub(crate) struct Traffic {
+pub(crate) struct TrafficCounters {
     pub connections: AtomicU64,
-    pub received: AtomicU64,
-    pub sent: AtomicU64,
+    pub received_bytes: AtomicU64,
+    pub sent_bytes: AtomicU64,
 }
 
-/// A connection, and where it counts.
-pub(crate) struct Counted {
+/// A connection and the counters that it updates.
+pub(crate) struct CountedStream {
     stream: TcpStream,
-    traffic: Arc<Traffic>,
+    traffic: Arc<TrafficCounters>,
 }
 
-impl Counted {
-    pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> Counted {
+impl CountedStream {
+    pub fn new(stream: TcpStream, traffic: Arc<TrafficCounters>) -> CountedStream {
         traffic.connections.fetch_add(1, Ordering::Relaxed);
-        Counted { stream, traffic }
+        CountedStream { stream, traffic }
     }
 }
 
-impl From<Counted> for TcpStream {
-    fn from(counted: Counted) -> TcpStream {
+impl From<CountedStream> for TcpStream {
+    fn from(counted: CountedStream) -> TcpStream {
         counted.stream
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        into: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = into.filled().len();
-        let read = Pin::new(&mut self.stream).poll_read(cx, into);
-        self.traffic.received.fetch_add((into.filled().len() - before) as u64, Ordering::Relaxed);
+        let before = buffer.filled().len();
+        let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
+        self.traffic.received_bytes.fetch_add((buffer.filled().len() - before) as u64, Ordering::Relaxed);
         read
     }
 }
 
-impl AsyncWrite for Counted {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write(cx, from);
-        if let Poll::Ready(Ok(bytes)) = &written {
-            self.traffic.sent.fetch_add(*bytes as u64, Ordering::Relaxed);
+impl AsyncWrite for CountedStream {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
+        if let Poll::Ready(Ok(written_bytes)) = &written {
+            self.traffic.sent_bytes.fetch_add(*written_bytes as u64, Ordering::Relaxed);
         }
         written
     }
--- a/crates/emulator/src/error.rs
+++ b/crates/emulator/src/error.rs
@@ -1,20 +1,20 @@
-//! Why a site can't be played.
+//! The errors of starting an emulator.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// Why a site can't be played.
+/// Why an emulator did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum EmulatorError {
-    /// An address is taken, or can't be listened at.
+    /// It can't listen at an address, for example because the address is in use.
     #[error("cannot listen at {at}: {source}")]
     Listen {
         /// The address.
         at: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// Something else than loopback.
-    #[error("{0} is no loopback address: the emulator listens on loopback alone")]
+    /// An address is not a loopback address.
+    #[error("{0} is not a loopback address: the emulator listens on loopback only")]
     NotLoopback(IpAddr),
 }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: on the site's schedule, or on demand.
+//! Injects faults on the site's schedule or on demand.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 
 use crate::world::{Server, World};
 
-/// Plays the site's faults in their time.
-pub(crate) fn play(world: &Arc<World>) {
+/// Injects each fault of the site's schedule at its time.
+pub(crate) fn schedule_site_faults(world: &Arc<World>) {
     for fault in world.site.faults.clone() {
         let world = world.clone();
         tokio::spawn(async move {
@@ -20,117 +20,132 @@
                 () = world.stop.cancelled() => return,
                 () = tokio::time::sleep_until(world.instant(fault.at.us())) => {}
             }
-            if let Err(CheckError { key, reason }) = begin(&world, &fault) {
-                tracing::error!(event = "fault_rejected", key, reason, "a fault of the site can't be played");
+            if let Err(CheckError { key, reason }) = inject(&world, &fault) {
+                tracing::error!(
+                    event = "fault_rejected",
+                    key,
+                    reason,
+                    "a fault of the site's schedule can't be injected"
+                );
             }
         });
     }
 }
 
-/// Begins a fault now; it ends by itself.
+/// Injects a fault now; it ends after its duration.
 ///
 /// # Errors
-/// The field that can't be used, and why.
-pub(crate) fn begin(world: &Arc<World>, fault: &Fault) -> Result<(), CheckError> {
+/// Names the invalid field and the reason.
+pub(crate) fn inject(world: &Arc<World>, fault: &Fault) -> Result<(), CheckError> {
     check(world, fault)?;
-    let servers = befallen(world, fault);
+    let servers = affected_servers(world, fault);
     let ids: Vec<String> = servers.iter().map(|server| server.id()).collect();
-    info!(event = "fault", kind = ?fault.kind, servers = ids.join(" "), zone = fault.zone, lasts_us = fault.lasts.us(), "a fault begins");
-    let lasts = fault.lasts.us();
-    let until = world.now() + lasts;
+    info!(event = "fault", kind = ?fault.kind, servers = ids.join(" "), zone = fault.zone, lasts_us = fault.lasts.us(), "injecting a fault");
+    let duration = fault.lasts.us();
+    let until = world.now() + duration;
     let factor = fault.factor.map_or(1.0, |factor| factor.get());
     match fault.kind {
         FaultKind::OriginStop => world.origin.stop(world.now(), until),
         FaultKind::OriginSlow => {
-            world.origin.slow(factor);
-            after(world, lasts, |world| world.origin.slow(1.0));
+            world.origin.set_slowdown(factor);
+            run_after(world, duration, |world| world.origin.set_slowdown(1.0));
         }
         FaultKind::DiscoveryUnavailable => world.discovery.set_unavailable_until(until),
         FaultKind::DiscoveryStale => world.discovery.freeze_until(until),
         FaultKind::Partition => {
             let zone = world.site.network.zones.iter().position(|name| Some(name) == fault.zone.as_ref());
-            zone.into_iter().for_each(|zone| world.cut(zone, until));
+            zone.into_iter().for_each(|zone| world.partition(zone, until));
         }
         FaultKind::Roll => {
-            let each = lasts / servers.len().max(1) as Micros;
+            let interval = duration / servers.len().max(1) as Micros;
             for (n, server) in servers.into_iter().enumerate() {
-                let drain = (each / 2).min(2_000_000);
-                spawn(world, replace(world.clone(), server, n as Micros * each, drain));
+                let drain_duration = (interval / 2).min(2_000_000);
+                spawn_until_stopped(
+                    world,
+                    replace(world.clone(), server, n as Micros * interval, drain_duration),
+                );
             }
         }
-        kind => servers.into_iter().for_each(|server| befall(world, server, kind, lasts, factor)),
+        kind => {
+            servers.into_iter().for_each(|server| inject_at_server(world, server, kind, duration, factor))
+        }
     }
     Ok(())
 }
 
-/// As the site checks it, but that servers may have been added since.
+/// Checks a fault as the site does, but accepts the ids of servers that were added since the start.
 fn check(world: &World, fault: &Fault) -> Result<(), CheckError> {
-    let added =
+    let is_known_server =
         fault.server.as_ref().is_some_and(|id| world.all_servers().iter().any(|server| server.id() == *id));
-    match added {
+    match is_known_server {
         true => world.site.check_fault(&Fault { server: Some("c-0".into()), ..fault.clone() }),
         false => world.site.check_fault(fault),
     }
 }
 
-/// The servers that a fault names: one, those of a zone, or a part of them.
-fn befallen(world: &World, fault: &Fault) -> Vec<Arc<Server>> {
+/// Returns the servers that a fault affects: the one that it names, or those that run, of its zone if it names one,
+/// reduced at random to its part.
+fn affected_servers(world: &World, fault: &Fault) -> Vec<Arc<Server>> {
     let mut servers: Vec<Arc<Server>> = world.all_servers();
     if let Some(id) = &fault.server {
         servers.retain(|server| server.id() == *id);
         return servers;
     }
-    servers.retain(|server| !server.port.with(|model, _| model.is_down()));
+    servers.retain(|server| !server.endpoint.with_model(|model, _| model.is_down()));
     if let Some(zone) = &fault.zone {
         servers.retain(|server| world.site.network.zones.get(server.zone) == Some(zone));
     }
     if let Some(part) = fault.part {
-        let wanted = (servers.len() as f64 * part.get()).round() as usize;
+        let affected_count = (servers.len() as f64 * part.get()).round() as usize;
         let mut random = Random::new(world.site.seed.get() as u64, 6 + fault.at.us());
-        while servers.len() > wanted {
+        while servers.len() > affected_count {
             servers.remove(random.below(servers.len() as u64) as usize);
         }
     }
     servers
 }
 
-fn befall(world: &Arc<World>, server: Arc<Server>, kind: FaultKind, lasts: Micros, factor: f64) {
+fn inject_at_server(world: &Arc<World>, server: Arc<Server>, kind: FaultKind, duration: Micros, factor: f64) {
     let now = world.now();
-    let port = &server.port;
+    let endpoint = &server.endpoint;
     match kind {
-        FaultKind::Kill => spawn(world, kill(world.clone(), server, lasts)),
-        FaultKind::Replace => spawn(world, replace(world.clone(), server, 0, lasts)),
+        FaultKind::Kill => spawn_until_stopped(world, kill(world.clone(), server, duration)),
+        FaultKind::Replace => spawn_until_stopped(world, replace(world.clone(), server, 0, duration)),
         FaultKind::Drain => {
-            let started = port.with(|model, _| model.started_at()).unwrap_or(0);
-            world.note(server.number, State::Draining, started);
-            let life = port.life();
-            after(world, lasts, move |world| {
-                if server.port.life() == life {
-                    world.note(server.number, State::Serving, started);
+            let started = endpoint.with_model(|model, _| model.started_at()).unwrap_or(0);
+            world.record_change(server.number, State::Draining, started);
+            let incarnation = endpoint.incarnation();
+            run_after(world, duration, move |world| {
+                if server.endpoint.incarnation() == incarnation {
+                    world.record_change(server.number, State::Serving, started);
                 }
             });
         }
         FaultKind::Stall | FaultKind::Slow => {
             let factor = if kind == FaultKind::Stall { 0.0 } else { factor };
-            port.slow(now, factor);
-            after(world, lasts, move |world| server.port.quicken(world.now(), factor));
+            endpoint.add_slowdown(now, factor);
+            run_after(world, duration, move |world| server.endpoint.remove_slowdown(world.now(), factor));
         }
         FaultKind::Garble => {
-            port.behave(|manners| manners.garbles += 1);
-            after(world, lasts, move |_| server.port.behave(|manners| manners.garbles -= 1));
+            endpoint.change_connection_faults(|faults| faults.garble_faults += 1);
+            run_after(world, duration, move |_| {
+                server.endpoint.change_connection_faults(|faults| faults.garble_faults -= 1)
+            });
         }
         FaultKind::Cut => {
-            port.behave(|manners| manners.cuts += 1);
-            after(world, lasts, move |_| server.port.behave(|manners| manners.cuts -= 1));
+            endpoint.change_connection_faults(|faults| faults.cut_faults += 1);
+            run_after(world, duration, move |_| {
+                server.endpoint.change_connection_faults(|faults| faults.cut_faults -= 1)
+            });
         }
-        FaultKind::Reset => port.behave(|manners| manners.resets += 1),
+        FaultKind::Reset => endpoint.change_connection_faults(|faults| faults.reset_count += 1),
         FaultKind::Silence => {
-            port.behave(|manners| manners.silent += 1);
-            // Back again, it knows nothing of the connections from before.
-            after(world, lasts, move |_| {
-                server.port.behave(|manners| {
-                    manners.silent -= 1;
-                    manners.resets += 1;
+            endpoint.change_connection_faults(|faults| faults.silence_faults += 1);
+            // A server that comes back has no record of its earlier connections, and resets them.
+            run_after(world, duration, move |_| {
+                server.endpoint.change_connection_faults(|faults| {
+                    faults.silence_faults -= 1;
+                    faults.reset_count += 1;
                 });
             });
         }
@@ -139,53 +154,55 @@
         | FaultKind::OriginStop
         | FaultKind::OriginSlow
         | FaultKind::DiscoveryUnavailable
-        | FaultKind::DiscoveryStale => {} // these befall no single server
+        | FaultKind::DiscoveryStale => {} // these do not affect single servers
     }
 }
 
-/// The process dies, and starts again after a while.
-async fn kill(world: Arc<World>, server: Arc<Server>, lasts: Micros) {
-    server.port.die(world.now());
-    let life = server.port.life();
-    world.note(server.number, State::Deleted, 0);
-    sleep(Duration::from_micros(lasts)).await;
-    // Killed again meanwhile, or replaced, it is not for this fault to bring it back.
-    if server.port.life() == life {
+/// Ends the server's process and starts it again after `duration`.
+async fn kill(world: Arc<World>, server: Arc<Server>, duration: Micros) {
+    server.endpoint.terminate(world.now());
+    let incarnation = server.endpoint.incarnation();
+    world.record_change(server.number, State::Deleted, 0);
+    sleep(Duration::from_micros(duration)).await;
+    // If it was killed again or replaced meanwhile, this fault must not restart it.
+    if server.endpoint.incarnation() == incarnation {
         server.restart(&world).await;
     }
 }
 
-/// Drains for a while, then another takes its place.
-async fn replace(world: Arc<World>, server: Arc<Server>, wait: Micros, drain: Micros) {
-    sleep(Duration::from_micros(wait)).await;
-    world.note(server.number, State::Draining, 0);
-    sleep(Duration::from_micros(drain)).await;
-    server.port.die(world.now());
-    world.note(server.number, State::Deleted, 0);
+/// After `start_delay`, drains a server for `drain_duration` and then replaces it.
+async fn replace(world: Arc<World>, server: Arc<Server>, start_delay: Micros, drain_duration: Micros) {
+    sleep(Duration::from_micros(start_delay)).await;
+    world.record_change(server.number, State::Draining, 0);
+    sleep(Duration::from_micros(drain_duration)).await;
+    server.endpoint.terminate(world.now());
+    world.record_change(server.number, State::Deleted, 0);
     match world.add_server(server.group, server.zone, true).await {
-        Ok(new) => {
-            let started = new.port.with(|model, _| model.started_at()).unwrap_or(0);
-            world.note(new.number, State::Serving, started);
+        Ok(replacement) => {
+            let started = replacement.endpoint.with_model(|model, _| model.started_at()).unwrap_or(0);
+            world.record_change(replacement.number, State::Serving, started);
+        }
+        Err(error) => {
+            tracing::error!(event = "no_successor", %error, "the replacement of a server did not start")
         }
-        Err(error) => tracing::error!(event = "no_successor", %error, "a server has no successor"),
     }
 }
 
-/// Does something after a while, unless the world ends before.
-fn after(world: &Arc<World>, lasts: Micros, then: impl FnOnce(&Arc<World>) + Send + 'static) {
-    let of = world.clone();
-    spawn(world, async move {
-        sleep(Duration::from_micros(lasts)).await;
-        then(&of);
+/// Runs `action` after `duration`, unless the emulator stops before.
+fn run_after(world: &Arc<World>, duration: Micros, action: impl FnOnce(&Arc<World>) + Send + 'static) {
+    let world_after = world.clone();
+    spawn_until_stopped(world, async move {
+        sleep(Duration::from_micros(duration)).await;
+        action(&world_after);
     });
 }
 
-fn spawn(world: &Arc<World>, work: impl Future<Output = ()> + Send + 'static) {
+fn spawn_until_stopped(world: &Arc<World>, task: impl Future<Output = ()> + Send + 'static) {
     let stop = world.stop.clone();
     tokio::spawn(async move {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = work => {}
+            () = task => {}
         }
     });
 }
--- a/crates/emulator/src/http.rs
+++ b/crates/emulator/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards nodes and operators.
+//! The HTTP/1.1 server side that the origin, discovery and the control interface share.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -14,49 +14,53 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-use crate::port::reset;
+use crate::listeners::reset;
 
-pub(crate) type Answer = Response<Full<Bytes>>;
+pub(crate) type HttpResponse = Response<Full<Bytes>>;
 
-/// An answer of this status.
-pub(crate) fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Full::new(body.into()));
-    *answer.status_mut() = status;
-    answer
+/// Returns a response with this status.
+pub(crate) fn response(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
+    response
 }
 
-/// A JSON answer.
-pub(crate) fn json(status: StatusCode, value: &serde_json::Value) -> Answer {
-    let mut answer = answer(status, value.to_string());
-    answer.headers_mut().insert("Content-Type", hyper::header::HeaderValue::from_static("application/json"));
-    answer
+/// Returns a JSON response.
+pub(crate) fn json(status: StatusCode, value: &serde_json::Value) -> HttpResponse {
+    let mut response = response(status, value.to_string());
+    response
+        .headers_mut()
+        .insert("Content-Type", hyper::header::HeaderValue::from_static("application/json"));
+    response
 }
 
-/// No answer: the connection breaks.
+/// The request gets no response; its connection is closed.
 #[derive(Debug, thiserror::Error)]
-#[error("the server is gone")]
-pub(crate) struct Gone;
+#[error("the connection is closed without a response")]
+pub(crate) struct ConnectionAborted;
 
-/// Serves one connection until either side ends it, or it is told to.
-pub(crate) async fn connection<S, F, Fut>(stream: S, end: CancellationToken, serve: F)
+/// Serves one connection until either side closes it, or resets it when `closing` is cancelled.
+pub(crate) async fn serve_connection<S, F, Fut>(stream: S, closing: CancellationToken, serve: F)
 where
     S: AsyncRead + AsyncWrite + Unpin + Into<TcpStream>,
     F: Fn(Request<Incoming>) -> Fut,
-    Fut: Future<Output = Result<Answer, Gone>>,
+    Fut: Future<Output = Result<HttpResponse, ConnectionAborted>>,
 {
-    let mut serving = http1::Builder::new()
+    let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service_fn(serve));
     tokio::select! {
-        _ = &mut serving => {} // however it ended, it is over
-        () = end.cancelled() => reset(serving.into_parts().io.into_inner().into()),
+        _ = &mut connection => {} // an error ends the connection too
+        () = closing.cancelled() => reset(connection.into_parts().io.into_inner().into()),
     }
 }
 
-/// Never fails.
-pub(crate) fn always(answer: Result<Answer, Infallible>) -> Result<Answer, Gone> {
-    match answer {
-        Ok(answer) => Ok(answer),
+/// Converts the error type of a handler that never fails.
+pub(crate) fn infallible(
+    response: Result<HttpResponse, Infallible>,
+) -> Result<HttpResponse, ConnectionAborted> {
+    match response {
+        Ok(response) => Ok(response),
         Err(never) => match never {},
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! A whole site in one process: the model's servers behind real sockets on loopback, faults on a schedule and on
-//! demand, a load, and a judge of what the nodes do.
+//! Emulates a whole site in one process: the model's servers on real loopback sockets, faults on a schedule and on
+//! demand, a load generator, and checks of the rules that nodes must keep.
 //!
-//! Each node reaches every server at an address of its own, so that the emulator knows who asks, how far away it
-//! stands, and what it was told. See `docs/design/emulator.md`.
+//! Each node reaches every server at an address of its own, so that the emulator knows which node sends a request, the
+//! network delay to it, and what discovery has notified it of. See `docs/design/emulator.md`.
 #![allow(unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
 
 mod cache;
@@ -15,10 +15,10 @@
 mod faults;
 mod http;
 mod links;
+mod listeners;
 mod load;
 mod lock;
 mod origin;
-mod port;
 mod request;
 mod world;
 
--- a/crates/emulator/src/links.rs
+++ b/crates/emulator/src/links.rs
@@ -1,10 +1,10 @@
-//! Directed links between processes, for datagrams: each loses, delays, doubles and cuts by its own rule, which may
-//! change while they run.
+//! Directed links between processes, for datagrams: each link loses, delays, duplicates or cuts them by a rule of its
+//! own, which may change at any time.
 //!
-//! Each process listens at an address of its own and advertises the address of its *front* here. What reaches a front
-//! is known by the sender's own address, follows the rule of the link from sender to receiver, and is passed on from
-//! the sender's front, so that an answer goes the same way back. No other addresses are needed, and none of the
-//! processes need to know of the links.
+//! Each process listens at an address of its own and advertises the address of its proxy socket here. The sender of a
+//! datagram that reaches a proxy is identified by its own address. The datagram follows the rule of the link from sender
+//! to receiver and is forwarded from the sender's proxy, so that an answer takes the same way back. The processes need
+//! no other addresses and need not know of the links.
 
 use std::collections::BinaryHeap;
 use std::io;
@@ -19,82 +19,82 @@
 use tokio::time::{Instant, sleep_until};
 use tokio_util::task::AbortOnDropHandle;
 
-/// The longest datagram that is passed on, in bytes.
-const LONGEST: usize = 2_048;
-/// Datagrams that wait for their time on all links together; others are dropped and counted.
-const WAITING: usize = 16_384;
+/// Maximum size of a forwarded datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Maximum number of datagrams queued on all links together; further ones are dropped and counted.
+const MAX_QUEUED: usize = 16_384;
 
 /// What a link does with a datagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkRule {
-    /// The part that is lost, 0 to 1.
+    /// Fraction of the datagrams that are lost, 0 to 1.
     pub loss: f64,
-    /// The part that arrives twice, 0 to 1.
+    /// Fraction of the datagrams that arrive twice, 0 to 1.
     pub duplicated: f64,
-    /// The least delay, and the most; within them it is even, so that datagrams overtake each other.
+    /// Minimum and maximum delay; it is uniformly distributed between them, so that datagrams overtake each other.
     pub delay: (Duration, Duration),
-    /// Whether nothing passes.
+    /// Whether all datagrams are lost.
     pub cut: bool,
 }
 
 impl LinkRule {
-    /// Passes all on at once.
+    /// Forwards every datagram at once.
     pub const OPEN: LinkRule =
         LinkRule { loss: 0.0, duplicated: 0.0, delay: (Duration::ZERO, Duration::ZERO), cut: false };
-    /// Passes nothing on.
+    /// Forwards nothing.
     pub const CUT: LinkRule = LinkRule { cut: true, ..LinkRule::OPEN };
 }
 
-/// What has become of datagrams.
+/// Numbers of datagrams by what became of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounts {
-    /// Passed on, duplicated ones twice.
+    /// Forwarded; duplicates count too.
     pub passed: u64,
-    /// Lost or cut by their rule.
+    /// Lost or cut by the rule of their link, or not forwarded because of an error.
     pub lost: u64,
-    /// Dropped, since too many waited.
+    /// Dropped, since too many were queued.
     pub dropped: u64,
-    /// From an address that is no process's.
+    /// From an address that belongs to no process.
     pub unknown: u64,
 }
 
-/// Links between all pairs of some processes. They end when this is dropped.
+/// The links between all pairs of a set of processes. They end when this is dropped.
 pub struct DatagramLinks {
-    shared: Arc<Shared>,
+    state: Arc<LinkState>,
     _tasks: Vec<AbortOnDropHandle<()>>,
 }
 
-struct Shared {
+struct LinkState {
     processes: Vec<SocketAddr>,
     proxies: Vec<UdpSocket>,
-    /// By sender, then receiver.
+    /// Rules by sender, then receiver.
     rules: Mutex<Vec<Vec<LinkRule>>>,
     rng: Mutex<Rng>,
-    waiting: Mutex<BinaryHeap<Waiting>>,
-    sooner: Notify,
+    queue: Mutex<BinaryHeap<QueuedDatagram>>,
+    queue_changed: Notify,
     counts: [AtomicU64; 4],
 }
 
-/// A datagram that waits for its time; the earliest is the greatest.
-struct Waiting {
+/// A datagram that is queued until `at`. The earliest compares as the greatest, as `BinaryHeap` pops the greatest.
+struct QueuedDatagram {
     at: Instant,
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
-impl PartialEq for Waiting {
+impl PartialEq for QueuedDatagram {
     fn eq(&self, other: &Self) -> bool {
         self.at == other.at
     }
 }
-impl Eq for Waiting {}
-impl PartialOrd for Waiting {
+impl Eq for QueuedDatagram {}
+impl PartialOrd for QueuedDatagram {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Waiting {
+impl Ord for QueuedDatagram {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         other.at.cmp(&self.at)
     }
@@ -105,68 +105,68 @@
 }
 
 impl DatagramLinks {
-    /// Open links between processes that listen at these addresses. The seed decides what is lost, duplicated and
-    /// delayed.
+    /// Starts links between processes that listen at these addresses, all with the rule [`LinkRule::OPEN`]. The seed
+    /// determines what is lost, duplicated and delayed.
     ///
     /// # Errors
-    /// If a front can't be bound on loopback.
+    /// If a proxy can't be bound on loopback.
     pub async fn start(processes: Vec<SocketAddr>, seed: u64) -> io::Result<DatagramLinks> {
         let mut proxies = Vec::with_capacity(processes.len());
         for _ in &processes {
             proxies.push(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
         }
         let count = processes.len();
-        let shared = Arc::new(Shared {
+        let state = Arc::new(LinkState {
             processes,
             proxies,
             rules: Mutex::new(vec![vec![LinkRule::OPEN; count]; count]),
             rng: Mutex::new(Rng::with_seed(seed)),
-            waiting: Mutex::default(),
-            sooner: Notify::new(),
+            queue: Mutex::default(),
+            queue_changed: Notify::new(),
             counts: Default::default(),
         });
-        let receive = |to| AbortOnDropHandle::new(tokio::spawn(receive(shared.clone(), to)));
+        let receive = |to| AbortOnDropHandle::new(tokio::spawn(receive_datagrams(state.clone(), to)));
         let mut tasks: Vec<_> = (0..count).map(receive).collect();
-        tasks.push(AbortOnDropHandle::new(tokio::spawn(pass_on(shared.clone()))));
-        Ok(DatagramLinks { shared, _tasks: tasks })
+        tasks.push(AbortOnDropHandle::new(tokio::spawn(forward(state.clone()))));
+        Ok(DatagramLinks { state, _tasks: tasks })
     }
 
-    /// The address that a process advertises, by its place in the list.
+    /// Returns the address that a process advertises, by its index in the list.
     ///
     /// # Errors
-    /// If the system does not tell.
+    /// If the system does not return the address of the proxy's socket.
     pub fn proxy_addr(&self, process: usize) -> io::Result<SocketAddr> {
-        self.shared.proxies[process].local_addr()
+        self.state.proxies[process].local_addr()
     }
 
-    /// Gives a link another rule, from now on.
+    /// Replaces the rule of one link.
     pub fn set(&self, from: usize, to: usize, rule: LinkRule) {
-        lock(&self.shared.rules)[from][to] = rule;
+        lock(&self.state.rules)[from][to] = rule;
     }
 
-    /// Gives each link the rule that it should have, from now on.
+    /// Replaces the rules of all links; `rule` is called with sender and receiver.
     pub fn set_all(&self, rule: impl Fn(usize, usize) -> LinkRule) {
-        let mut rules = lock(&self.shared.rules);
+        let mut rules = lock(&self.state.rules);
         for (from, row) in rules.iter_mut().enumerate() {
             row.iter_mut().enumerate().for_each(|(to, link)| *link = rule(from, to));
         }
     }
 
-    /// What has become of datagrams so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> LinkCounts {
         let [passed, lost, dropped, unknown] =
-            [0, 1, 2, 3].map(|n: usize| self.shared.counts[n].load(Ordering::Relaxed));
+            [0, 1, 2, 3].map(|n: usize| self.state.counts[n].load(Ordering::Relaxed));
         LinkCounts { passed, lost, dropped, unknown }
     }
 }
 
-impl Shared {
+impl LinkState {
     fn count(&self, n: usize) {
         self.counts[n].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes a datagram to a front.
-    fn take(&self, sender: SocketAddr, to: usize, bytes: &[u8]) {
+    /// Applies the rule of its link to a datagram that reached a proxy, and queues the copies that are not lost.
+    fn enqueue(&self, sender: SocketAddr, to: usize, bytes: &[u8]) {
         let Some(from) = self.processes.iter().position(|address| *address == sender) else {
             return self.count(3);
         };
@@ -180,48 +180,48 @@
             }
             let (least, most) = rule.delay;
             let at = Instant::now() + least + most.saturating_sub(least).mul_f64(rng.f64());
-            let mut waiting = lock(&self.waiting);
-            if waiting.len() >= WAITING {
+            let mut queue = lock(&self.queue);
+            if queue.len() >= MAX_QUEUED {
                 self.count(2);
                 continue;
             }
-            waiting.push(Waiting { at, from, to, bytes: bytes.to_vec() });
+            queue.push(QueuedDatagram { at, from, to, bytes: bytes.to_vec() });
         }
-        self.sooner.notify_one();
+        self.queue_changed.notify_one();
     }
 
-    /// The next datagram whose time has come, or when that is.
-    fn next(&self) -> Result<Waiting, Option<Instant>> {
-        let mut waiting = lock(&self.waiting);
-        match waiting.peek().map(|next| next.at) {
-            Some(at) if at <= Instant::now() => waiting.pop().ok_or(None),
+    /// Removes and returns the next datagram if it is due; otherwise returns when it will be, if there is one.
+    fn next_due(&self) -> Result<QueuedDatagram, Option<Instant>> {
+        let mut queue = lock(&self.queue);
+        match queue.peek().map(|next| next.at) {
+            Some(at) if at <= Instant::now() => queue.pop().ok_or(None),
             at => Err(at),
         }
     }
 }
 
-async fn receive(shared: Arc<Shared>, to: usize) {
-    let mut buffer = [0; LONGEST];
+async fn receive_datagrams(state: Arc<LinkState>, to: usize) {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error is the answer to what was passed on to a process that has ended.
-        if let Ok((length, sender)) = shared.proxies[to].recv_from(&mut buffer).await {
-            shared.take(sender, to, &buffer[..length]);
+        // An error means that an earlier datagram was forwarded to a process that has ended.
+        if let Ok((length, sender)) = state.proxies[to].recv_from(&mut buffer).await {
+            state.enqueue(sender, to, &buffer[..length]);
         }
     }
 }
 
-async fn pass_on(shared: Arc<Shared>) {
+async fn forward(state: Arc<LinkState>) {
     loop {
-        match shared.next() {
-            Ok(Waiting { from, to, bytes, .. }) => {
-                let passed = shared.proxies[from].send_to(&bytes, shared.processes[to]).await;
-                shared.count(if passed.is_ok() { 0 } else { 1 });
+        match state.next_due() {
+            Ok(QueuedDatagram { from, to, bytes, .. }) => {
+                let sent = state.proxies[from].send_to(&bytes, state.processes[to]).await;
+                state.count(if sent.is_ok() { 0 } else { 1 });
             }
             Err(Some(at)) => tokio::select! {
                 () = sleep_until(at) => {}
-                () = shared.sooner.notified() => {}
+                () = state.queue_changed.notified() => {}
             },
-            Err(None) => shared.sooner.notified().await,
+            Err(None) => state.queue_changed.notified().await,
         }
     }
 }
--- a/crates/emulator/src/load/figures.rs
+++ b/crates/emulator/src/load/figures.rs
@@ -1,66 +1,67 @@
-//! What came of the requests of a load.
+//! The results of a load's requests.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use stonefold_model::{Answer, Micros};
 
-/// Latencies are kept up to a minute, to three digits.
-const LONGEST: u64 = 60_000_000;
+/// Longest latency that is recorded as it was, in microseconds: one minute. Longer ones count as this.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// What came of the requests of a stretch of time.
+/// The results of the requests in a period of time.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    /// By how they ended.
+    /// Answered with their value.
     pub served: u64,
-    /// Refused.
+    /// Rejected.
     pub rejected: u64,
-    /// Failed, wrong answers and broken connections among them.
+    /// Failed, including wrong answers and broken connections.
     pub failed: u64,
-    /// Not sent, since too many were out.
+    /// Not sent, since too many requests were in flight.
     pub not_sent: u64,
-    /// Asked once more after a refusal; the request counts once, by its last answer.
+    /// Retries after a rejection; the request itself counts once, by its last answer.
     pub retries: u64,
-    /// Of those served: from the intended start to the last byte, in microseconds.
+    /// Latencies of the served requests from the intended start to the last byte, in microseconds, with a precision of
+    /// three digits.
     pub latency: Histogram<u64>,
 }
 
 impl Default for Figures {
     fn default() -> Figures {
-        // These bounds are valid: 1 to a minute, three digits.
-        let latency = Histogram::new_with_bounds(1, LONGEST, 3).expect("valid bounds");
+        // The bounds, 1 us to one minute with three digits, are valid.
+        let latency = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
         Figures { served: 0, rejected: 0, failed: 0, not_sent: 0, retries: 0, latency }
     }
 }
 
-/// Figures as numbers.
+/// The numbers and latency quantiles of [`Figures`].
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Summary {
-    /// Requests that ended.
+    /// Requests that got a final result: served, rejected or failed.
     pub requests: u64,
-    /// Served.
+    /// Requests answered with their value.
     pub served: u64,
-    /// Refused.
+    /// Requests rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Not sent, since too many were out: the load was the bottleneck.
+    /// Requests not sent, since too many were in flight: the load was the bottleneck.
     pub not_sent: u64,
-    /// Asked once more after a refusal.
+    /// Retries after a rejection.
     #[serde(rename = "again")]
     pub retries: u64,
-    /// Half of those served took no longer, in milliseconds.
+    /// Median latency of the served requests, in milliseconds.
     pub p50_ms: f64,
-    /// Of a hundred of those served 99 took no longer, in milliseconds.
+    /// 99th percentile of the latency of the served requests, in milliseconds.
     pub p99_ms: f64,
-    /// The slowest of those served, in milliseconds.
+    /// Maximum latency of the served requests, in milliseconds.
     pub max_ms: f64,
 }
 
 impl Figures {
-    /// As numbers.
+    /// Returns the numbers and latency quantiles.
     pub fn summary(&self) -> Summary {
-        let at = |quantile: f64| self.latency.value_at_quantile(quantile) as f64 / 1e3;
+        let quantile_ms = |quantile: f64| self.latency.value_at_quantile(quantile) as f64 / 1e3;
         Summary {
             requests: self.served + self.rejected + self.failed,
             served: self.served,
@@ -68,18 +69,18 @@
             failed: self.failed,
             not_sent: self.not_sent,
             retries: self.retries,
-            p50_ms: at(0.5),
-            p99_ms: at(0.99),
+            p50_ms: quantile_ms(0.5),
+            p99_ms: quantile_ms(0.99),
             max_ms: self.latency.max() as f64 / 1e3,
         }
     }
 
-    /// Counts a request that ended after this time, in microseconds.
-    pub(super) fn add(&mut self, answer: Answer, took: Micros) {
+    /// Counts a request that ended after `latency` microseconds.
+    pub(super) fn record(&mut self, answer: Answer, latency: Micros) {
         match answer {
             Answer::Served => {
                 self.served += 1;
-                self.latency.saturating_record(took.max(1));
+                self.latency.saturating_record(latency.max(1));
             }
             Answer::Rejected => self.rejected += 1,
             Answer::Failed | Answer::Wrong => self.failed += 1,
--- a/crates/emulator/src/load/process.rs
+++ b/crates/emulator/src/load/process.rs
@@ -1,54 +1,55 @@
-//! How a node's process stands, as its clients and the load balancer in front of it know it.
+//! The state of a node's process, as the clients and the load balancer in front of it know it.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use stonefold_model::Micros;
 
-/// After a termination signal, in microseconds: a request that a node accepts later has to be answered before the node
-/// is killed.
-const ACCEPTED_LATE: Micros = 700_000;
-/// A time that does not come, in microseconds.
+/// Time after a termination signal, in microseconds: requests that the node accepted later must be answered before the
+/// node is killed; earlier ones may be lost with it.
+const TERMINATION_EXCUSE_TIME: Micros = 700_000;
+/// A time that is never reached, in microseconds.
 const NEVER: Micros = Micros::MAX;
 
-/// A node's process. Times are those of the emulated site.
-pub(super) struct Process {
-    /// Whether the load balancer opens no connections to it: it was sent a termination signal, or is not there.
+/// A node's process. Times are those of the emulator's clock.
+pub(super) struct NodeProcess {
+    /// Whether the load balancer opens no connections to it, because it is terminating or does not run.
     closed: AtomicBool,
     /// When it was sent a termination signal; [`NEVER`] if it was not.
     terminated_at: AtomicU64,
-    /// Requests accepted before this time were lost with a killed process, as they may be.
+    /// Requests accepted before this time may have been lost with a killed process.
     excused_before: AtomicU64,
 }
 
-impl Process {
-    /// A process that serves.
-    pub(super) fn new() -> Process {
-        Process {
+impl NodeProcess {
+    /// Creates a process that serves.
+    pub(super) fn new() -> NodeProcess {
+        NodeProcess {
             closed: AtomicBool::new(false),
             terminated_at: AtomicU64::new(NEVER),
             excused_before: AtomicU64::new(0),
         }
     }
 
-    /// It gets no new connections from now on.
+    /// Stops new connections to it.
     pub(super) fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
     }
 
-    /// It was sent a termination signal at this time.
+    /// Records that it was sent a termination signal.
     pub(super) fn terminate(&self, now: Micros) {
         self.terminated_at.store(now, Ordering::Relaxed);
     }
 
-    /// It is about to be killed.
+    /// Records that it is about to be killed.
     pub(super) fn kill(&self) {
         self.close();
         let terminated_at = self.terminated_at.load(Ordering::Relaxed);
-        let excused_before = if terminated_at == NEVER { NEVER } else { terminated_at + ACCEPTED_LATE };
+        let excused_before =
+            if terminated_at == NEVER { NEVER } else { terminated_at + TERMINATION_EXCUSE_TIME };
         self.excused_before.store(excused_before, Ordering::Relaxed);
     }
 
-    /// Its successor serves from this time on.
+    /// Records that another process serves in its place from now on.
     pub(super) fn replace(&self, now: Micros) {
         self.terminated_at.store(NEVER, Ordering::Relaxed);
         self.excused_before.fetch_min(now, Ordering::Relaxed);
@@ -60,7 +61,7 @@
         !self.closed.load(Ordering::Relaxed)
     }
 
-    /// Whether a request accepted at this time was lost with a killed process, as it may be.
+    /// Whether a request accepted at this time may have been lost with a killed process.
     pub(super) fn excuses(&self, accepted_at: Micros) -> bool {
         accepted_at < self.excused_before.load(Ordering::Relaxed)
     }
--- a/crates/emulator/src/lock.rs
+++ b/crates/emulator/src/lock.rs
@@ -1,8 +1,8 @@
-//! Locks that are not poisoned for good.
+//! Locking that ignores poisoning.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Guards a lock's data even after a panic elsewhere: what is in it is still true.
-pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+/// Locks a mutex even if a thread panicked while it held the lock; the data is still valid then.
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/emulator/src/origin.rs
+++ b/crates/emulator/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin behind sockets: HTTP/1.1, the model's work between.
+//! The origin on sockets: takes HTTP/1.1 requests and has the model do the work.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -19,32 +19,32 @@
 use tracing::info;
 
 use crate::error::EmulatorError;
-use crate::http::{self, Answer, Gone};
-use crate::lock::locked;
-use crate::port::Listeners;
+use crate::http::{self, ConnectionAborted, HttpResponse};
+use crate::listeners::Listeners;
+use crate::lock::lock;
 use crate::request;
-use crate::world::{GRAIN, World};
+use crate::world::{TIMER_GRANULARITY, World};
 
-/// The origin's sockets, its model, and who waits for it.
-pub(crate) struct OriginPort {
+/// The sockets and the model of the origin.
+pub(crate) struct OriginEndpoint {
     listeners: Listeners,
-    inner: Mutex<Inner>,
-    moved: Notify,
+    state: Mutex<OriginState>,
+    model_changed: Notify,
     fetches: AtomicU64,
 }
 
-struct Inner {
+struct OriginState {
     model: Origin,
     waiters: HashMap<u64, oneshot::Sender<()>>,
-    done: Vec<FetchCompletion>,
+    completions: Vec<FetchCompletion>,
     lost: Vec<u64>,
 }
 
-impl Inner {
-    fn tell(&mut self) {
-        for FetchCompletion { id } in self.done.drain(..) {
+impl OriginState {
+    fn notify_waiters(&mut self) {
+        for FetchCompletion { id } in self.completions.drain(..) {
             if let Some(waiter) = self.waiters.remove(&id) {
-                let _ = waiter.send(()); // its connection may have gone
+                let _ = waiter.send(()); // fails if its connection has closed
             }
         }
         for id in self.lost.drain(..) {
@@ -53,29 +53,29 @@
     }
 }
 
-/// A fetch that is called off if nobody waits for it any more.
-struct Waiting<'a> {
-    port: &'a OriginPort,
+/// Cancels a fetch when its connection stops waiting for it.
+struct CancelOnDrop<'a> {
+    endpoint: &'a OriginEndpoint,
     id: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        let mut inner = locked(&self.port.inner);
-        if inner.waiters.remove(&self.id).is_some() {
-            inner.model.cancel(self.id);
+        let mut state = lock(&self.endpoint.state);
+        if state.waiters.remove(&self.id).is_some() {
+            state.model.cancel(self.id);
         }
     }
 }
 
-impl OriginPort {
-    pub async fn open(ip: IpAddr, nodes: usize, site: &Site) -> Result<OriginPort, EmulatorError> {
+impl OriginEndpoint {
+    pub async fn open(ip: IpAddr, nodes: usize, site: &Site) -> Result<OriginEndpoint, EmulatorError> {
         let model = Origin::new(&site.origin, site.seed.get() as u64);
-        let (waiters, done, lost) = Default::default();
-        Ok(OriginPort {
+        let (waiters, completions, lost) = Default::default();
+        Ok(OriginEndpoint {
             listeners: Listeners::open(ip, nodes).await?,
-            inner: Mutex::new(Inner { model, waiters, done, lost }),
-            moved: Notify::new(),
+            state: Mutex::new(OriginState { model, waiters, completions, lost }),
+            model_changed: Notify::new(),
             fetches: AtomicU64::new(0),
         })
     }
@@ -85,131 +85,152 @@
     }
 
     pub fn in_flight(&self) -> usize {
-        locked(&self.inner).model.in_flight()
+        lock(&self.state).model.in_flight()
     }
 
     pub fn fetches(&self) -> u64 {
         self.fetches.load(Ordering::Relaxed)
     }
 
-    pub fn slow(&self, factor: f64) {
-        locked(&self.inner).model.set_slowdown(factor);
+    pub fn set_slowdown(&self, factor: f64) {
+        lock(&self.state).model.set_slowdown(factor);
     }
 
     pub fn stop(&self, now: Micros, until: Micros) {
-        let mut inner = locked(&self.inner);
-        let mut lost = inner.model.stop(now, until);
-        inner.lost.append(&mut lost);
-        inner.tell();
+        let mut state = lock(&self.state);
+        let mut lost = state.model.stop(now, until);
+        state.lost.append(&mut lost);
+        state.notify_waiters();
     }
 
     pub fn serve(&self, world: &Arc<World>) {
-        let of = world.clone();
-        self.listeners.serve(&world.stop, move |node, stream, end| {
-            let world = of.clone();
-            async move { http::connection(stream, end, |request| serve(world.clone(), node, request)).await }
+        let serving_world = world.clone();
+        self.listeners.serve(&world.stop, move |node, stream, closing| {
+            let world = serving_world.clone();
+            async move {
+                http::serve_connection(stream, closing, |request| {
+                    handle_request(world.clone(), node, request)
+                })
+                .await
+            }
         });
         let world = world.clone();
         tokio::spawn(async move {
-            let port = &world.origin;
+            let endpoint = &world.origin;
             while !world.stop.is_cancelled() {
-                let next = locked(&port.inner).model.next_event().map(|at| world.instant(at));
+                let next = lock(&endpoint.state).model.next_event().map(|at| world.instant(at));
                 tokio::select! {
                     () = world.stop.cancelled() => return,
-                    () = port.moved.notified() => {}
+                    () = endpoint.model_changed.notified() => {}
                     () = sleep_until(next.unwrap_or_else(tokio::time::Instant::now)), if next.is_some() => {}
                 }
-                let now = world.now() + GRAIN;
-                let mut inner = locked(&port.inner);
-                let Inner { model, done, .. } = &mut *inner;
-                model.advance(now, done);
-                inner.tell();
+                let now = world.now() + TIMER_GRANULARITY;
+                let mut state = lock(&endpoint.state);
+                let OriginState { model, completions, .. } = &mut *state;
+                model.advance(now, completions);
+                state.notify_waiters();
             }
         });
     }
 
-    /// Offers a fetch; who waits for it, unless it is turned away. Tells the cold share if the origin stops by it.
+    /// Offers a fetch to the model. Returns its waiter and id unless it was rejected, and, if it overloaded the origin so
+    /// that it stopped, the share of the load that came from misses at servers that were warming up.
     fn offer(&self, now: Micros, fetch: Fetch) -> (Option<(oneshot::Receiver<()>, u64)>, Option<f64>) {
-        let mut inner = locked(&self.inner);
-        let spells = inner.model.overload_outages().len();
+        let mut state = lock(&self.state);
+        let outage_count = state.model.overload_outages().len();
         let (sender, waiter) = oneshot::channel();
-        let Inner { model, done, lost, .. } = &mut *inner;
-        let id = model.offer(now, fetch, done, lost);
-        let spell = inner.model.overload_outages().get(spells).map(|spell| spell.warm_up_share);
+        let OriginState { model, completions, lost, .. } = &mut *state;
+        let id = model.offer(now, fetch, completions, lost);
+        let outage = state.model.overload_outages().get(outage_count).map(|outage| outage.warm_up_share);
         if let Some(id) = id {
-            inner.waiters.insert(id, sender);
+            state.waiters.insert(id, sender);
         }
-        inner.tell();
-        drop(inner);
-        self.moved.notify_one();
-        (id.map(|id| (waiter, id)), spell)
+        state.notify_waiters();
+        drop(state);
+        self.model_changed.notify_one();
+        (id.map(|id| (waiter, id)), outage)
     }
 }
 
-async fn serve(world: Arc<World>, node: usize, request: Request<Incoming>) -> Result<Answer, Gone> {
+async fn handle_request(
+    world: Arc<World>,
+    node: usize,
+    request: Request<Incoming>,
+) -> Result<HttpResponse, ConnectionAborted> {
     let write = match *request.method() {
         Method::GET => false,
         Method::PUT => true,
-        _ => return Ok(http::answer(StatusCode::METHOD_NOT_ALLOWED, "")),
+        _ => return Ok(http::response(StatusCode::METHOD_NOT_ALLOWED, "")),
     };
     let header =
         |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
-    let (Some(id), Some(facts)) = (header("X-Correlation-Id"), header("X-Facts")) else {
-        return Ok(http::answer(StatusCode::BAD_REQUEST, "X-Correlation-Id and X-Facts are wanted"));
+    let (Some(id), Some(metadata)) = (header("X-Correlation-Id"), header("X-Facts")) else {
+        return Ok(http::response(StatusCode::BAD_REQUEST, "X-Correlation-Id and X-Facts are wanted"));
     };
     let path = request.uri().path().strip_prefix('/').unwrap_or_default();
     let key = percent_decode_str(path).decode_utf8_lossy().into_owned();
-    let _whole = request.into_body().collect().await.map_err(|_| Gone)?; // what is written is not kept
+    // The written value is read and not stored.
+    let _written = request.into_body().collect().await.map_err(|_| ConnectionAborted)?;
+    // The origin is in the last zone.
     let zone = world.site.network.zones.len().saturating_sub(1);
-    world.travel(node, zone).await;
-    let answer = fetch(&world, &key, &id, &facts, write).await;
-    world.travel(node, zone).await;
-    answer
+    world.delay_one_way(node, zone).await;
+    let response = fetch(&world, &key, &id, &metadata, write).await;
+    world.delay_one_way(node, zone).await;
+    response
 }
 
-async fn fetch(world: &Arc<World>, key: &str, id: &str, facts: &str, write: bool) -> Result<Answer, Gone> {
-    let port = &world.origin;
-    port.fetches.fetch_add(1, Ordering::Relaxed);
+async fn fetch(
+    world: &Arc<World>,
+    key: &str,
+    id: &str,
+    metadata: &str,
+    write: bool,
+) -> Result<HttpResponse, ConnectionAborted> {
+    let endpoint = &world.origin;
+    endpoint.fetches.fetch_add(1, Ordering::Relaxed);
     let now = world.now();
-    let missed = world.misses.of(id.as_bytes());
-    let is_cold = |number: &usize| {
-        world.server(*number).is_some_and(|s| s.port.with(|model, _| model.is_warming_up(now)))
+    let missed = world.misses.servers(id.as_bytes());
+    let is_warming_up = |number: &usize| {
+        world.server(*number).is_some_and(|s| s.endpoint.with_model(|model, _| model.is_warming_up(now)))
     };
-    let cold = missed.iter().any(is_cold);
-    let (taken, spell) = port.offer(now, Fetch { write, warming_up: cold });
-    if let Some(cold_share) = spell {
-        info!(event = "origin_stopped", cold_share, "the origin stopped for too much load");
-        world.judge().origin_stopped(cold_share);
+    let warming_up = missed.iter().any(is_warming_up);
+    let (accepted, outage) = endpoint.offer(now, Fetch { write, warming_up });
+    if let Some(cold_share) = outage {
+        info!(event = "origin_stopped", cold_share, "the origin stopped because of overload");
+        world.rule_checker().origin_stopped(cold_share);
     }
-    let Some((waiter, number)) = taken else {
-        let mut answer = http::answer(StatusCode::SERVICE_UNAVAILABLE, "");
-        answer.headers_mut().insert("X-Unprocessed", hyper::header::HeaderValue::from_static("1"));
-        return Ok(answer);
+    let Some((waiter, number)) = accepted else {
+        let mut response = http::response(StatusCode::SERVICE_UNAVAILABLE, "");
+        response.headers_mut().insert("X-Unprocessed", hyper::header::HeaderValue::from_static("1"));
+        return Ok(response);
     };
-    let waiting = Waiting { port, id: number };
-    waiter.await.map_err(|_| Gone)?;
-    drop(waiting);
-    Ok(http::answer(StatusCode::OK, ended(world, key, id, facts, write)))
+    let cancel_guard = CancelOnDrop { endpoint, id: number };
+    waiter.await.map_err(|_| ConnectionAborted)?;
+    drop(cancel_guard);
+    Ok(http::response(StatusCode::OK, complete_fetch(world, key, id, metadata, write)))
 }
 
-/// What follows once the origin has done its work: the answer's body.
-fn ended(world: &World, key: &str, id: &str, facts: &str, write: bool) -> BytesMut {
-    let (now, size) = (world.now(), request::size(&world.site, key));
+/// Applies the effects of a completed fetch, and returns the response's body.
+fn complete_fetch(world: &World, key: &str, id: &str, metadata: &str, write: bool) -> BytesMut {
+    let (now, size) = (world.now(), request::value_size(&world.site, key));
     let mut body = BytesMut::new();
     if write {
-        let class = request::class(&world.site, facts);
-        let identity = metadata_value(facts, "k").unwrap_or(id);
+        let class = request::request_class(&world.site, metadata);
+        let identity = metadata_value(metadata, "k").unwrap_or(id);
         let window = if class.effect == Idempotency::Keyed { class.window.us() } else { 0 };
         if class.effect != Idempotency::Idempotent {
-            world.judge().request_run(now, identity, window);
+            world.rule_checker().request_run(now, identity, window);
         }
-        world.all_servers().iter().for_each(|server| server.port.with(|model, _| model.invalidate(key)));
-        request::value(&mut body, id.as_bytes(), key, 0);
+        world
+            .all_servers()
+            .iter()
+            .for_each(|server| server.endpoint.with_model(|model, _| model.invalidate(key)));
+        request::write_value(&mut body, id.as_bytes(), key, 0);
     } else {
         for server in world.misses.take(id.as_bytes()).into_iter().filter_map(|number| world.server(number)) {
-            server.port.with(|model, _| model.insert(now, key, size));
+            server.endpoint.with_model(|model, _| model.insert(now, key, size));
         }
-        request::value(&mut body, id.as_bytes(), key, size);
+        request::write_value(&mut body, id.as_bytes(), key, size);
     }
     body
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,4 +1,4 @@
-//! What all parts of the emulator share, and how it starts.
+//! The state that all parts of the emulator share, and its start.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -12,27 +12,28 @@
 use stonefold_model::{Cache, Judge, LateSend, Listed, Listing, Micros, Network, State, Verdict};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::cache::CachePort;
+use crate::cache::CacheEndpoint;
 use crate::clock::Clock;
 use crate::discovery::{DiscoveryService, Registry, list_document};
 use crate::error::EmulatorError;
-use crate::lock::locked;
-use crate::origin::OriginPort;
-use crate::port::{addr_of, listen};
-use crate::request::{self, Misses};
+use crate::listeners::{listen, local_addr};
+use crate::lock::lock;
+use crate::origin::OriginEndpoint;
+use crate::request::{self, RequestMisses};
 use crate::{control, faults};
 
-/// Timers wake up to a millisecond late: what is due within it is done now, so that times are right on the whole.
-pub(crate) const GRAIN: Micros = 1_000;
+/// The runtime's timers fire up to a millisecond late. Events that are due within this time are processed now, so that
+/// times are right on average.
+pub(crate) const TIMER_GRANULARITY: Micros = 1_000;
 
-/// How a site is played.
+/// Options of an emulator.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where everything listens: a loopback address.
+    /// The loopback address at which everything but the control interface listens.
     pub ip: IpAddr,
-    /// Where the control answers; port 0 for any.
+    /// Address of the control interface; port 0 for any free port.
     pub control: SocketAddr,
-    /// Whether the site's faults are played.
+    /// Whether the faults of the site's schedule are injected.
     pub faults: bool,
 }
 
@@ -43,34 +44,34 @@
     }
 }
 
-/// One cache server, under its id for good: a successor is another.
+/// A cache server. Its id is never reused: a replacement is another server.
 pub(crate) struct Server {
     pub number: usize,
-    /// Its zone, by number, and which group of the site it is of.
+    /// Indexes of its zone and of its group of caches in the site.
     pub zone: usize,
     pub group: usize,
-    pub port: CachePort,
+    pub endpoint: CacheEndpoint,
 }
 
-/// All that the parts share.
+/// The state of an emulated site.
 pub(crate) struct World {
     pub site: Site,
     pub ip: IpAddr,
     pub clock: Clock,
-    pub judge: Mutex<Judge>,
+    pub rule_checker: Mutex<Judge>,
     pub network: Mutex<Network>,
-    /// Servers by their numbers; those that have gone stay in their place.
+    /// Servers by their numbers; those that were replaced stay in the list.
     pub servers: RwLock<Vec<Arc<Server>>>,
-    pub origin: OriginPort,
+    pub origin: OriginEndpoint,
     pub discovery: Arc<DiscoveryService>,
-    pub misses: Misses,
-    /// Zones cut off from the others now.
-    pub cut_off: Mutex<BTreeMap<usize, Micros>>,
+    pub misses: RequestMisses,
+    /// When the partition of each zone from the others ends, or ended.
+    pub partitions: Mutex<BTreeMap<usize, Micros>>,
     pub stop: CancellationToken,
-    /// Whether latencies between zones are played.
-    distant: bool,
+    /// Whether messages between nodes and servers take time.
+    has_network_delay: bool,
     pub open_connections: AtomicUsize,
-    any_cut: AtomicBool,
+    has_partitions: AtomicBool,
 }
 
 impl World {
@@ -82,13 +83,13 @@
         self.clock.instant(at)
     }
 
-    /// Unix time of a moment, in ms.
+    /// Converts a time of the emulator to Unix time, in milliseconds.
     pub fn unix_ms(&self, at: Micros) -> u64 {
         self.clock.unix_ms(at)
     }
 
-    pub fn judge(&self) -> MutexGuard<'_, Judge> {
-        locked(&self.judge)
+    pub fn rule_checker(&self) -> MutexGuard<'_, Judge> {
+        lock(&self.rule_checker)
     }
 
     pub fn server(&self, number: usize) -> Option<Arc<Server>> {
@@ -99,63 +100,64 @@
         self.servers.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The zone in which a node stands.
+    /// The index of a node's zone.
     pub fn node_zone(&self, node: usize) -> usize {
         node % self.site.network.zones.len().max(1)
     }
 
-    /// Waits as long as a message from a node to a zone is on its way.
-    pub async fn travel(&self, node: usize, zone: usize) {
-        if self.distant {
-            let way = locked(&self.network).one_way(self.node_zone(node), zone);
-            tokio::time::sleep(Duration::from_micros(way)).await;
+    /// Waits for the one-way network delay between a node and a zone.
+    pub async fn delay_one_way(&self, node: usize, zone: usize) {
+        if self.has_network_delay {
+            let delay = lock(&self.network).one_way(self.node_zone(node), zone);
+            tokio::time::sleep(Duration::from_micros(delay)).await;
         }
     }
 
-    /// Whether nothing passes between a node and a zone now.
-    pub fn is_cut(&self, node: usize, zone: usize) -> bool {
-        if !self.any_cut.load(Ordering::Relaxed) {
+    /// Whether a partition separates a node and a zone now.
+    pub fn is_partitioned(&self, node: usize, zone: usize) -> bool {
+        if !self.has_partitions.load(Ordering::Relaxed) {
             return false;
         }
         let (from, now) = (self.node_zone(node), self.now());
-        let cut = locked(&self.cut_off);
-        let cut = |zone: usize| cut.get(&zone).is_some_and(|&until| now < until);
-        from != zone && (cut(from) || cut(zone))
+        let partitions = lock(&self.partitions);
+        let is_isolated = |zone: usize| partitions.get(&zone).is_some_and(|&until| now < until);
+        from != zone && (is_isolated(from) || is_isolated(zone))
     }
 
-    pub fn cut(&self, zone: usize, until: Micros) {
-        let mut cut = locked(&self.cut_off);
-        let of = cut.entry(zone).or_default();
-        *of = until.max(*of);
-        drop(cut);
-        self.any_cut.store(true, Ordering::Relaxed);
+    pub fn partition(&self, zone: usize, until: Micros) {
+        let mut partitions = lock(&self.partitions);
+        let partitioned_until = partitions.entry(zone).or_default();
+        *partitioned_until = until.max(*partitioned_until);
+        drop(partitions);
+        self.has_partitions.store(true, Ordering::Relaxed);
     }
 
-    /// Discovery will come to know how a server stands.
-    pub fn note(&self, server: usize, state: State, started: Micros) {
+    /// Reports a server's state to discovery, which learns it after a delay.
+    pub fn record_change(&self, server: usize, state: State, started: Micros) {
         self.discovery.record_change(Listed { server, state, started });
     }
 
-    /// Servers that run at the start hold what they were asked for before, the most popular longest used.
-    fn hold_popular(&self) {
+    /// Fills the initial servers with the most popular keys, the most popular one last, so that it is the most recently
+    /// used.
+    fn prewarm_caches(&self) {
         let keys = &self.site.keys;
-        let held = (keys.count.get() as f64 * keys.prewarmed.get()) as u64;
+        let prewarmed_keys = (keys.count.get() as f64 * keys.prewarmed.get()) as u64;
         let now = self.now();
-        for rank in (1..=held).rev() {
-            let key = request::key(rank % keys.count.get() as u64);
-            let size = request::size(&self.site, &key);
+        for rank in (1..=prewarmed_keys).rev() {
+            let key = request::key_name(rank % keys.count.get() as u64);
+            let size = request::value_size(&self.site, &key);
             self.all_servers()
                 .iter()
-                .for_each(|server| server.port.with(|model, _| model.prewarm(now, &key, size)));
+                .for_each(|server| server.endpoint.with_model(|model, _| model.prewarm(now, &key, size)));
         }
     }
 
-    /// Starts a server that nobody has known before; `cold` if it is a successor.
+    /// Starts a new server; a replacement of another one warms up first.
     pub async fn add_server(
         self: &Arc<Self>,
         group: usize,
         zone: usize,
-        cold: bool,
+        warming_up: bool,
     ) -> Result<Arc<Server>, EmulatorError> {
         let number = self.all_servers().len();
         let now = self.now();
@@ -166,11 +168,11 @@
             number as u64,
             now,
         );
-        if cold {
+        if warming_up {
             model.start(now);
         }
-        let port = CachePort::open(self.ip, self.site.nodes.get(), model).await?;
-        let server = Arc::new(Server { number, zone, group, port });
+        let endpoint = CacheEndpoint::open(self.ip, self.site.nodes.get(), model).await?;
+        let server = Arc::new(Server { number, zone, group, endpoint });
         self.servers.write().unwrap_or_else(PoisonError::into_inner).push(server.clone());
         server.clone().serve(self.clone());
         Ok(server)
@@ -187,7 +189,7 @@
         };
         let started = if listed.started == 0 { 0 } else { self.unix_ms(listed.started) };
         Some(
-            json!({"id": server.id(), "addr": server.port.addr(node)?, "zone": self.site.network.zones.get(server.zone)?,
+            json!({"id": server.id(), "addr": server.endpoint.addr(node)?, "zone": self.site.network.zones.get(server.zone)?,
             "kind": self.site.caches[server.group].kind, "cell": server.number / 4, "state": state, "weight": 1.0,
             "started_ms": started}),
         )
@@ -198,24 +200,24 @@
             "state": "SERVING", "weight": 1.0, "started_ms": 0})]
     }
 
-    /// The judge takes note.
+    /// Records for the rule checks what the node is notified of, as grace periods start then.
     fn before_reply(&self, node: usize, listing: &mut Listing) {
         let now = self.now();
-        let mut judge = self.judge();
+        let mut checker = self.rule_checker();
         let serving = |l: &&Listed| l.state == State::Serving;
         if listing.full {
             let up: Vec<usize> = listing.servers.iter().filter(serving).map(|l| l.server).collect();
-            judge.server_list_notified(now, node, &up, self.all_servers().len());
+            checker.server_list_notified(now, node, &up, self.all_servers().len());
         } else {
             listing
                 .servers
                 .iter()
-                .for_each(|l| judge.server_notified(now, node, l.server, l.state == State::Serving));
+                .for_each(|l| checker.server_notified(now, node, l.server, l.state == State::Serving));
         }
     }
 }
 
-/// A site at play. Dropped, it ends, and nothing of it is left.
+/// A running site. Dropping it stops all its servers and closes their sockets.
 pub struct Emulator {
     pub(crate) world: Arc<World>,
     control: SocketAddr,
@@ -227,7 +229,7 @@
     /// Starts all servers of a site.
     ///
     /// # Errors
-    /// If an address can't be listened at; nothing is left of what had started.
+    /// If it can't listen at an address, or an address is not on loopback; everything that was started is stopped.
     pub async fn start(site: Site, options: Options) -> Result<Emulator, EmulatorError> {
         if let Some(ip) = [options.ip, options.control.ip()].into_iter().find(|ip| !ip.is_loopback()) {
             return Err(EmulatorError::NotLoopback(ip));
@@ -236,30 +238,30 @@
         let guard = stop.clone().drop_guard();
         let (seed, nodes) = (site.seed.get() as u64, site.nodes.get());
         let control = listen(options.control).await?;
-        let origin = OriginPort::open(options.ip, nodes, &site).await?;
+        let origin = OriginEndpoint::open(options.ip, nodes, &site).await?;
         let mut discoveries = Vec::with_capacity(nodes);
         for _ in 0..nodes {
             discoveries.push(listen(SocketAddr::new(options.ip, 0)).await?);
         }
         let network = &site.network;
         let clock = Clock::start();
-        let known = 0..site.cache_count();
-        let service = DiscoveryService::new(&site.discovery, seed, known, nodes, clock, stop.clone());
-        let distant = network.same_zone.us() > 0 || network.cross_zone[1].us() > 0;
+        let servers = 0..site.cache_count();
+        let service = DiscoveryService::new(&site.discovery, seed, servers, nodes, clock, stop.clone());
+        let has_network_delay = network.same_zone.us() > 0 || network.cross_zone[1].us() > 0;
         let world = Arc::new(World {
             ip: options.ip,
             clock,
-            judge: Mutex::new(Judge::new(&site.rules)),
+            rule_checker: Mutex::new(Judge::new(&site.rules)),
             network: Mutex::new(Network::new(&site.network, seed)),
             servers: RwLock::default(),
             origin,
             discovery: Arc::new(service),
-            misses: Misses::default(),
-            cut_off: Mutex::default(),
+            misses: RequestMisses::default(),
+            partitions: Mutex::default(),
             stop,
-            distant,
+            has_network_delay,
             open_connections: AtomicUsize::new(0),
-            any_cut: AtomicBool::new(false),
+            has_partitions: AtomicBool::new(false),
             site,
         });
         let mut number = 0;
@@ -269,65 +271,65 @@
                 number += 1;
             }
         }
-        world.hold_popular();
+        world.prewarm_caches();
         world.origin.serve(&world);
-        let discovery = discoveries.iter().map(addr_of).collect();
+        let discovery = discoveries.iter().map(local_addr).collect();
         world.discovery.serve(discoveries, world.clone());
-        let control_addr = addr_of(&control);
+        let control_addr = local_addr(&control);
         control::serve(&world, control);
         if options.faults {
-            faults::play(&world);
+            faults::schedule_site_faults(&world);
         }
         Ok(Emulator { world, control: control_addr, discovery, _stop: guard })
     }
 
-    /// Where the control answers.
+    /// The address of the control interface.
     pub fn control(&self) -> SocketAddr {
         self.control
     }
 
-    /// Where discovery answers a node.
+    /// The address at which discovery answers a node.
     pub fn discovery(&self, node: usize) -> Option<SocketAddr> {
         self.discovery.get(node).copied()
     }
 
-    /// The site that is played.
+    /// The emulated site.
     pub fn site(&self) -> &Site {
         &self.world.site
     }
 
-    /// The list as a node would be told it now: what it starts with.
+    /// The endpoint list that discovery would send to a node now; a node starts with it.
     pub fn endpoint_list(&self, node: usize) -> serde_json::Value {
         list_document(&*self.world, node, &self.world.discovery.full_listing())
     }
 
-    /// The zone in which a node stands, by name.
+    /// The name of a node's zone.
     pub fn zone_of(&self, node: usize) -> &str {
         let zone = self.world.node_zone(node);
         self.world.site.network.zones.get(zone).map_or("", |name| name)
     }
 
-    /// A node has started anew, and knows nothing of what it was told before.
+    /// Records that a node was restarted and has lost what it was notified of before.
     pub fn node_restarted(&self, node: usize) {
-        self.world.judge().node_restarted(node);
+        self.world.rule_checker().node_restarted(node);
     }
 
-    /// Makes something go wrong now.
+    /// Injects a fault now.
     ///
     /// # Errors
-    /// The field that can't be used, and why.
+    /// Names the invalid field and the reason.
     pub fn fault(&self, fault: &Fault) -> Result<(), CheckError> {
-        faults::begin(&self.world, fault)
+        faults::inject(&self.world, fault)
     }
 
-    /// What the judge has found so far.
+    /// Answers and rule violations counted so far.
     pub fn verdict(&self) -> Verdict {
-        self.world.judge().verdict()
+        self.world.rule_checker().verdict()
     }
 
-    /// The first requests that nodes sent to a server after its grace period.
+    /// The first requests that nodes sent to a server after its grace period had ended.
     pub fn late_sends(&self) -> Vec<LateSend> {
-        self.world.judge().late_sends().to_vec()
+        self.world.rule_checker().late_sends().to_vec()
     }
 
     /// Microseconds since the start.
@@ -335,7 +337,7 @@
         self.world.now()
     }
 
-    /// Fetches that the origin has in hand.
+    /// Fetches in progress at the origin.
     pub fn origin_in_flight(&self) -> usize {
         self.world.origin.in_flight()
     }
@@ -345,10 +347,10 @@
         self.world.origin.fetches()
     }
 
-    /// Reads that caches answered so far: with the value, and that they lack it.
+    /// Reads that caches answered so far: hits, and misses.
     pub fn hits_and_misses(&self) -> (u64, u64) {
         self.world.all_servers().iter().fold((0, 0), |(hits, misses), server| {
-            let (h, m) = server.port.hits_and_misses();
+            let (h, m) = server.endpoint.hits_and_misses();
             (hits + h, misses + m)
         })
     }
