--- a/crates/emulator/examples/pause.rs
+++ b/crates/emulator/examples/pause.rs
@@ -1,9 +1,9 @@
-//! Whether an injected service time is seen as it was injected: 100 ms of work, 2,000 requests a second, open loop.
+//! Measures whether clients see the service time of the model: 100 ms of work, 2,000 requests a second, open loop.
 //!
 //!     cargo run --release -p stonefold-emulator --example pause
 //!
-//! One thread paces all requests: it sleeps to some 60 us, where the runtime's timer would be up to 1 ms late and be
-//! seen as the emulator's time.
+//! One thread paces all requests: it wakes within about 60 us of the due time, whereas the runtime's timer would be up to
+//! 1 ms late and add that to the measured latency.
 
 use std::time::{Duration, Instant};
 
@@ -16,10 +16,11 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
 const SITE: &str = include_str!("../../../deploy/sites/twelve.toml");
-/// Requests a second, and connections that take them in turn: each is free again before its next.
+/// Requests a second.
 const RATE: u64 = 2_000;
+/// Connections that take the requests in turn: each has its answer before its next request is due.
 const CONNECTIONS: u64 = 400;
-const LASTS: Duration = Duration::from_secs(10);
+const DURATION: Duration = Duration::from_secs(10);
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -38,18 +39,18 @@
     }
     let emulator = Emulator::start(site, Options { faults: false, ..Options::default() }).await?;
     let cache = emulator.endpoint_list(0)["servers"][0]["addr"].as_str().ok_or("no cache")?.to_owned();
-    let (mut runs, mut turns) = (Vec::new(), Vec::new());
+    let (mut runs, mut senders) = (Vec::new(), Vec::new());
     for n in 0..CONNECTIONS {
-        let (turn, due) = unbounded_channel();
-        turns.push(turn);
+        let (sender, due) = unbounded_channel();
+        senders.push(sender);
         runs.push(tokio::spawn(connection(TcpStream::connect(&cache).await?, n, due)));
     }
     let pacer = std::thread::spawn(move || {
         let start = Instant::now() + Duration::from_millis(500);
-        for n in 0..RATE * LASTS.as_secs() {
+        for n in 0..RATE * DURATION.as_secs() {
             let at = start + Duration::from_micros(n * 1_000_000 / RATE);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
-            let _ = turns[(n % CONNECTIONS) as usize].send(at); // its connection has failed, and says so
+            let _ = senders[(n % CONNECTIONS) as usize].send(at); // fails if the connection has failed, which its own task reports
         }
     });
     let mut all = Histogram::<u64>::new(3)?;
@@ -68,30 +69,30 @@
     Ok(())
 }
 
-/// Asks when it is told, and counts from when it was meant to.
+/// Sends a request at each due time, and returns the latencies measured from the due times.
 async fn connection(
     mut stream: TcpStream,
     number: u64,
     mut due: UnboundedReceiver<Instant>,
 ) -> Result<Histogram<u64>, Failure> {
     stream.set_nodelay(true)?;
-    let mut seen = Histogram::<u64>::new(3)?;
+    let mut latencies = Histogram::<u64>::new(3)?;
     let mut buffer = vec![0; 64 << 10];
-    let mut turn = 0;
+    let mut request_count = 0;
     while let Some(at) = due.recv().await {
-        turn += 1;
-        let id = format!("{number:08x}{turn:08x}");
+        request_count += 1;
+        let id = format!("{number:08x}{request_count:08x}");
         let words = ["CACHE.GET", "record:1", &id, "c=record-lookup,d=5000"];
         let bulk: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
         stream.write_all(format!("*4\r\n{bulk}").as_bytes()).await?;
-        let mut whole = Vec::new();
-        while !(whole.ends_with(b"\r\n") && String::from_utf8_lossy(&whole).contains("x1=")) {
+        let mut answer = Vec::new();
+        while !(answer.ends_with(b"\r\n") && String::from_utf8_lossy(&answer).contains("x1=")) {
             match stream.read(&mut buffer).await? {
                 0 => return Err("the connection ended".into()),
-                n => whole.extend_from_slice(&buffer[..n]),
+                n => answer.extend_from_slice(&buffer[..n]),
             }
         }
-        seen.record(at.elapsed().as_micros() as u64)?;
+        latencies.record(at.elapsed().as_micros() as u64)?;
     }
-    Ok(seen)
+    Ok(latencies)
 }
--- a/crates/emulator/examples/throughput.rs
+++ b/crates/emulator/examples/throughput.rs
@@ -1,10 +1,10 @@
-//! What the emulator sustains with servers that take no time, and what a node adds.
+//! Measures the throughput of the emulator with servers that take no time, and the cost of a node in front of it.
 //!
 //!     cargo run --release -p stonefold-emulator --example throughput
 //!     cargo run --release -p stonefold-emulator --example throughput -- target/release/stonefold node
 //!
-//! With a program, it is started as a node and asked instead of a cache. Prints requests a second; of a node also
-//! its memory while idle and its CPU for a request.
+//! With a program, that is started as a node and gets the requests instead of a cache. Prints requests a second; for a
+//! node also its memory while idle and its CPU time per request.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -21,14 +21,14 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const SITE: &str = include_str!("../../../deploy/sites/twelve.toml");
-/// Connections, and requests out on each.
 const CONNECTIONS: usize = 16;
-const DEPTH: usize = 16;
-const LASTS: Duration = Duration::from_secs(5);
-/// Requests are about so many keys, all of them held by every cache.
-const KEYS: usize = 1000;
-/// Ticks of the kernel's clock in a second, in which it tells a process's CPU time.
-const TICKS: f64 = 100.0;
+/// Requests in flight on each connection.
+const PIPELINE_DEPTH: usize = 16;
+const DURATION: Duration = Duration::from_secs(5);
+/// Number of keys that are requested, all of which every cache holds.
+const KEY_COUNT: usize = 1000;
+/// Ticks per second of the clock in which `/proc` reports CPU time.
+const TICKS_PER_SECOND: f64 = 100.0;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -38,7 +38,7 @@
     runtime.block_on(measure(&program))
 }
 
-/// The site, with servers that take no time and zones that are not apart.
+/// Returns the site with servers that take no time and without network delays.
 fn site() -> Result<Site, Failure> {
     let mut site: Site = toml::from_str(SITE)?;
     site.nodes = Count::new(1);
@@ -55,18 +55,18 @@
 
 async fn measure(program: &[String]) -> Result<(), Failure> {
     let emulator = Emulator::start(site()?, Options { faults: false, ..Options::default() }).await?;
-    let known = emulator.endpoint_list(0);
-    let cache: SocketAddr = known["servers"][0]["addr"].as_str().ok_or("no cache")?.parse()?;
+    let endpoints = emulator.endpoint_list(0);
+    let cache: SocketAddr = endpoints["servers"][0]["addr"].as_str().ok_or("no cache")?.parse()?;
     let Some(node) = Node::start(&emulator, program).await? else {
-        let rate = blast(cache).await?;
+        let rate = measure_rate(cache).await?;
         println!("emulator alone: {rate:.0} requests/s");
         return Ok(());
     };
     println!("idle memory: {} KiB", node.memory()?);
-    blast(node.addr).await?; // warms it up
+    measure_rate(node.addr).await?; // warms it up
     let before = node.cpu()?;
-    let rate = blast(node.addr).await?;
-    let cpu = (node.cpu()? - before) / (rate * LASTS.as_secs_f64());
+    let rate = measure_rate(node.addr).await?;
+    let cpu = (node.cpu()? - before) / (rate * DURATION.as_secs_f64());
     println!(
         "through the node: {rate:.0} requests/s, {:.1} us of CPU each, {} KiB",
         cpu * 1e6,
@@ -75,10 +75,10 @@
     Ok(())
 }
 
-/// Asks as fast as answers come; tells the answers a second.
-async fn blast(at: SocketAddr) -> Result<f64, Failure> {
+/// Sends requests as fast as answers come; returns the answers per second.
+async fn measure_rate(at: SocketAddr) -> Result<f64, Failure> {
     let start = Instant::now();
-    let runs: Vec<_> = (0..CONNECTIONS).map(|n| tokio::spawn(connection(at, n, start + LASTS))).collect();
+    let runs: Vec<_> = (0..CONNECTIONS).map(|n| tokio::spawn(connection(at, n, start + DURATION))).collect();
     let mut answers = 0;
     for run in runs {
         answers += run.await??;
@@ -92,8 +92,8 @@
     let (mut buffer, mut out, mut sent, mut answers) = (BytesMut::new(), BytesMut::new(), 0u64, 0u64);
     while Instant::now() < end {
         out.clear();
-        while sent < answers + DEPTH as u64 {
-            let key = format!("record:{}", (number * 7919 + sent as usize * 31) % KEYS);
+        while sent < answers + PIPELINE_DEPTH as u64 {
+            let key = format!("record:{}", (number * 7919 + sent as usize * 31) % KEY_COUNT);
             let words = ["CACHE.GET", &key, &format!("{number:04x}{sent:012x}"), "c=record-lookup,d=1000"];
             append_command(&mut out, &words.map(str::as_bytes));
             sent += 1;
@@ -114,7 +114,7 @@
     Ok(answers)
 }
 
-/// A node under measurement, ended when it is dropped.
+/// A measured node, which is killed when dropped.
 struct Node {
     child: Child,
     addr: SocketAddr,
@@ -134,7 +134,7 @@
         while TcpStream::connect(addr).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        tokio::time::sleep(Duration::from_secs(1)).await; // its start is not what is measured
+        tokio::time::sleep(Duration::from_secs(1)).await; // excludes the node's start from the measurement
         Ok(Some(node))
     }
 
@@ -151,7 +151,7 @@
         let fields = stat.rsplit_once(") ").ok_or("no stat")?.1;
         let ticks: Vec<f64> =
             fields.split(' ').skip(11).take(2).filter_map(|field| field.parse().ok()).collect();
-        Ok(ticks.iter().sum::<f64>() / TICKS)
+        Ok(ticks.iter().sum::<f64>() / TICKS_PER_SECOND)
     }
 }
 
--- a/crates/emulator/tests/latency.rs
+++ b/crates/emulator/tests/latency.rs
@@ -1,4 +1,4 @@
-//! An injected service time is seen as it was injected: the model's times are those on the sockets.
+//! The service time of the model is the latency that a client measures on the sockets.
 
 use std::time::Duration;
 
@@ -29,21 +29,21 @@
 effect = "safe"
 "#;
 
-/// Passes bytes on between a client and the cache, but the tail of each answer that no client is owed.
+/// Relays commands to the cache and answers to the client, without the part of each answer that is meant for nodes.
 async fn relay(mut client: TcpStream, cache: std::net::SocketAddr) {
     let mut server = TcpStream::connect(cache).await.unwrap();
-    let (mut asked, mut answered) = (vec![0; 4096], vec![0; 4096]);
-    while let Ok(n) = client.read(&mut asked).await {
+    let (mut commands, mut answers) = (vec![0; 4096], vec![0; 4096]);
+    while let Ok(n) = client.read(&mut commands).await {
         if n == 0 {
             return;
         }
-        server.write_all(&asked[..n]).await.unwrap();
-        let mut whole = Vec::new();
-        while !whole.ends_with(b"\r\n") || !String::from_utf8_lossy(&whole).contains("x1=") {
-            let n = server.read(&mut answered).await.unwrap();
-            whole.extend_from_slice(&answered[..n]);
+        server.write_all(&commands[..n]).await.unwrap();
+        let mut answer = Vec::new();
+        while !answer.ends_with(b"\r\n") || !String::from_utf8_lossy(&answer).contains("x1=") {
+            let n = server.read(&mut answers).await.unwrap();
+            answer.extend_from_slice(&answers[..n]);
         }
-        let text = String::from_utf8(whole).unwrap();
+        let text = String::from_utf8(answer).unwrap();
         let value =
             text.strip_prefix("*3\r\n").and_then(|rest| rest.split("$3\r\nhit").next()).unwrap().to_owned();
         client.write_all(value.as_bytes()).await.unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_answer_is_sooner_than_its_work_takes_and_all_are_served() {
+async fn every_request_is_served_and_none_before_its_work_is_done() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("site.toml");
     std::fs::write(&path, SITE).unwrap();
@@ -69,7 +69,7 @@
     load.clone().run(200.0, Duration::from_millis(500)).await;
     let all = load.figures().0;
     assert!(all.served > 50 && all.rejected + all.failed + all.not_sent == 0, "{:?}", all.summary());
-    // How much later they are is the machine's doing; sooner, by more than a timer's grain, would be ours.
+    // Answers may be later than 100 ms on a busy machine, but sooner only by the timers' granularity of 1 ms.
     assert!(all.latency.min() >= 99_000, "{} us", all.latency.min());
     assert_eq!(emulator.verdict().rules_broken(), 0);
 }
--- a/crates/emulator/tests/load_ends.rs
+++ b/crates/emulator/tests/load_ends.rs
@@ -1,4 +1,4 @@
-//! What the load takes for lost where a node's process ends, or its connections do.
+//! Which requests the load counts as lost when a node's process ends or its connections are closed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,15 +34,15 @@
 /// Requests a second.
 const RATE: f64 = 100.0;
 
-/// An emulator, and a load on one node that does what it is given to do with each connection.
-struct Stage {
+/// An emulator and a load on one node, which handles each connection with the given function.
+struct TestSite {
     emulator: Emulator,
     load: Arc<Load>,
     node: JoinSet<()>,
 }
 
-impl Stage {
-    async fn start<F>(serve: fn(TcpStream) -> F) -> Stage
+impl TestSite {
+    async fn start<F>(serve: fn(TcpStream) -> F) -> TestSite
     where
         F: Future<Output = ()> + Send + 'static,
     {
@@ -61,28 +61,28 @@
                 connections.spawn(serve(stream));
             }
         });
-        Stage { load: Load::new(&emulator, vec![addr]), emulator, node }
+        TestSite { load: Load::new(&emulator, vec![addr]), emulator, node }
     }
 
-    /// Plays requests for so long; the process ends in the way given, with all its connections.
-    async fn play(mut self, lasts: Duration, end: impl FnOnce(&Load)) -> Verdict {
-        let playing = tokio::spawn(self.load.clone().run(RATE, lasts));
-        sleep(lasts).await;
+    /// Sends requests for `duration`, calls `end`, and then ends the node with all its connections.
+    async fn run_load(mut self, duration: Duration, end: impl FnOnce(&Load)) -> Verdict {
+        let running = tokio::spawn(self.load.clone().run(RATE, duration));
+        sleep(duration).await;
         end(&self.load);
         self.node.shutdown().await;
-        playing.await.unwrap();
+        running.await.unwrap();
         self.emulator.verdict()
     }
 }
 
-/// A node that never answers.
-async fn silent(mut stream: TcpStream) {
+/// A node's connection that is never answered.
+async fn never_answer(mut stream: TcpStream) {
     let mut buffer = [0; 4096];
     while stream.read(&mut buffer).await.is_ok_and(|read| read > 0) {}
 }
 
-/// A node that answers the first request of a connection, and closes at the second after some time.
-async fn close_second(mut stream: TcpStream, after: Duration) {
+/// A node's connection whose first request is answered, and which is closed some time `after` the second.
+async fn close_after_second_request(mut stream: TcpStream, after: Duration) {
     let mut buffer = [0; 4096];
     let _ = stream.read(&mut buffer).await;
     let _ = stream.write_all(b"-BUSY 60000\r\n").await;
@@ -90,53 +90,55 @@
     sleep(after).await;
 }
 
-/// Guards against a kill being blamed on the node where the platform allows it, and not where it does not.
+/// Guards against requests being counted as lost where the platform's kill excuses the node, and against their being
+/// excused where it does not: the node had enough time after its termination signal, or exited by itself.
 #[tokio::test]
-async fn what_a_killed_node_has_accepted_is_lost_only_well_after_its_termination() {
-    const LASTS: Duration = Duration::from_millis(1_500);
-    let killed = Stage::start(silent).await.play(LASTS, |load| load.node_killed(0)).await;
+async fn a_killed_nodes_requests_are_lost_only_if_accepted_well_after_termination() {
+    const DURATION: Duration = Duration::from_millis(1_500);
+    let killed = TestSite::start(never_answer).await.run_load(DURATION, |load| load.node_killed(0)).await;
     assert!(killed.requests > 50 && killed.lost == 0, "{killed:?}");
-    let stage = Stage::start(silent).await;
-    stage.load.node_terminated(0);
-    let terminated = stage.play(LASTS, |load| load.node_killed(0)).await;
-    // About those of the time after the first 0.7 s.
+    let site = TestSite::start(never_answer).await;
+    site.load.node_terminated(0);
+    let terminated = site.run_load(DURATION, |load| load.node_killed(0)).await;
+    // About the requests that were accepted later than 0.7 s after the signal.
     assert!(terminated.lost > 20 && terminated.lost < terminated.requests - 20, "{terminated:?}");
-    let exited = Stage::start(silent).await.play(LASTS, |load| load.close_node(0)).await;
+    let exited = TestSite::start(never_answer).await.run_load(DURATION, |load| load.close_node(0)).await;
     assert_eq!(exited.lost, exited.requests, "{exited:?}");
 }
 
-/// Guards against a close that crosses a request being taken for a lost one, and a late one for a crossing.
+/// Guards against a request that crosses a close being counted as lost, and against a late close being taken for a
+/// crossing one.
 #[tokio::test]
-async fn a_kept_connection_that_is_closed_well_after_a_request_has_lost_it() {
-    /// Longer than the answer slack.
-    const LATE: Duration = Duration::from_millis(1_300);
-    const LASTS: Duration = Duration::from_millis(500);
-    let at_once = Stage::start(|stream| close_second(stream, Duration::ZERO)).await;
-    let crossing = at_once.play(LASTS, |_| {}).await;
+async fn a_late_close_of_an_idle_connection_loses_the_request_sent_on_it() {
+    /// Longer than the site's `answer_slack`.
+    const LATE_CLOSE_DELAY: Duration = Duration::from_millis(1_300);
+    const DURATION: Duration = Duration::from_millis(500);
+    let at_once = TestSite::start(|stream| close_after_second_request(stream, Duration::ZERO)).await;
+    let crossing = at_once.run_load(DURATION, |_| {}).await;
     assert!(crossing.requests > 20 && crossing.lost == 0, "{crossing:?}");
-    let late = Stage::start(|stream| close_second(stream, LATE)).await;
-    let lost = late.play(2 * LATE, |load| load.node_killed(0)).await;
+    let late = TestSite::start(|stream| close_after_second_request(stream, LATE_CLOSE_DELAY)).await;
+    let lost = late.run_load(2 * LATE_CLOSE_DELAY, |load| load.node_killed(0)).await;
     assert!(lost.lost > 5, "{lost:?}");
 }
 
-/// Guards against a terminated node being spared by its clients: they use the connections that they have.
+/// Guards against clients avoiding a terminated node: they keep using the connections that they have.
 #[tokio::test]
 async fn clients_keep_using_the_open_connections_of_a_node_that_gets_no_new_ones() {
-    let stage = Stage::start(|mut stream| async move {
+    let site = TestSite::start(|mut stream| async move {
         let mut buffer = [0; 4096];
         while stream.read(&mut buffer).await.is_ok_and(|read| read > 0) {
             let _ = stream.write_all(b"-BUSY 60000\r\n").await;
         }
     });
-    let stage = stage.await;
-    let load = stage.load.clone();
+    let site = site.await;
+    let load = site.load.clone();
     let closing = tokio::spawn(async move {
         sleep(Duration::from_millis(300)).await;
         load.close_node(0);
         load.figures().0.rejected
     });
-    let load = stage.load.clone();
-    stage.play(Duration::from_millis(900), |load| load.node_killed(0)).await;
+    let load = site.load.clone();
+    site.run_load(Duration::from_millis(900), |load| load.node_killed(0)).await;
     let before = closing.await.unwrap();
     assert!(load.figures().0.rejected > before + 20, "{before} before: {:?}", load.figures().0.summary());
 }
