--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -14,10 +14,10 @@
 use tokio::sync::Mutex;
 
 use crate::admin::fetch_metrics;
-use crate::crowd::{Crowd, DESCRIPTORS};
+use crate::idle_clients::{DESCRIPTOR_LIMIT, IdleClients};
 use crate::ports::PortAllocator;
 use crate::process::{CONFIG_FILE, NodeSetup, Process};
-use crate::schedule::has_crowd;
+use crate::schedule::has_idle_clients;
 use crate::site::build_site;
 use crate::violations::{ViolationCounts, add_violations};
 use crate::{Options, ProcessFault, SoakError};
@@ -44,10 +44,10 @@
     pub(crate) load: Arc<Load>,
     pub(crate) nodes: Vec<Node>,
     process_faults: Mutex<Vec<ProcessFault>>,
-    /// Violations counted by processes, read before each is made to exit.
+    /// Violations counted by processes, read from each before it is made to exit.
     violations: Mutex<ViolationCounts>,
-    /// Idle clients, if the run has them.
-    _crowd: Option<Crowd>,
+    /// The idle clients, if the run has them.
+    _idle_clients: Option<IdleClients>,
     /// Holds the nodes' directories; removed on drop.
     _directory: TempDir,
 }
@@ -70,9 +70,9 @@
             addresses.push(listen);
             nodes.push(Node { number, setup, process: Mutex::default() });
         }
-        let crowd = has_crowd(options.seed).then(|| Crowd::start(&addresses));
+        let idle_clients = has_idle_clients(options.seed).then(|| IdleClients::start(&addresses));
         let load = Load::new(&emulator, addresses);
-        if crowd.is_some() {
+        if idle_clients.is_some() {
             load.excuse_unread_closes();
         }
         let fleet = Fleet {
@@ -82,7 +82,7 @@
             nodes,
             process_faults: Mutex::default(),
             violations: Mutex::default(),
-            _crowd: crowd,
+            _idle_clients: idle_clients,
             _directory: directory,
         };
         for node in &fleet.nodes {
@@ -91,8 +91,8 @@
         Ok(fleet)
     }
 
-    /// Starts a process for `node` and waits until it is ready. A process that does not become ready is recorded, and
-    /// takes part like any other.
+    /// Starts a process for `node` and waits until it is ready. A process that does not become ready is recorded as a
+    /// process fault, and gets load and faults like any other.
     ///
     /// # Errors
     /// If the process can't be created.
@@ -172,8 +172,8 @@
     let directory = parent.join(format!("node-{number}"));
     let config = emulator.config(number, listen, Some(admin));
     let mut config = config.ok_or_else(|| SoakError::Configuration(format!("no node {number}")))?;
-    if has_crowd(options.seed) {
-        config.limits.sockets = Count::new(DESCRIPTORS);
+    if has_idle_clients(options.seed) {
+        config.limits.sockets = Count::new(DESCRIPTOR_LIMIT);
     }
     if options.logs.is_some() {
         config.log.level = TRACE_LEVEL.into();
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -10,11 +10,11 @@
 
 use crate::fleet::{Fleet, Node, TERMINATION_GRACE};
 use crate::process::{Process, SignalHandle};
-use crate::schedule::{Action, Event, Order, TimedSignal};
+use crate::schedule::{Action, Event, NodeSignal, TimedSignal};
 
 /// Time after SIGTERM for which the load balancer in front of the nodes still opens connections to a node.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
-/// Pause between the kill of a process and the start of the next.
+/// Delay between the kill of a process and the start of the next.
 const RESTART_DELAY: Duration = Duration::from_millis(200);
 /// Time limit for a killed process to exit.
 const KILL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -27,12 +27,12 @@
         for event in events {
             sleep_until(start + event.at).await;
             let fleet = self.clone();
-            running.spawn(async move { fleet.act(&fleet.nodes[event.node], event.action).await });
+            running.spawn(async move { fleet.inject_event(&fleet.nodes[event.node], event.action).await });
         }
         while running.join_next().await.is_some() {}
     }
 
-    async fn act(&self, node: &Node, action: Action) {
+    async fn inject_event(&self, node: &Node, action: Action) {
         match action {
             Action::Stall(lasts) => stall(node, lasts).await,
             Action::Signals(series) => self.send_signals(node, series).await,
@@ -44,9 +44,9 @@
         }
     }
 
-    /// Sends a series of signals, with which a node may end.
+    /// Sends a series of signals; the node is restarted if one of them is SIGTERM.
     async fn send_signals(&self, node: &Node, series: Vec<TimedSignal>) {
-        match series.iter().find(|signal| signal.order == Order::Terminate) {
+        match series.iter().find(|signal| signal.order == NodeSignal::Terminate) {
             Some(termination) => self.terminate(node, &series, termination.after).await,
             None => {
                 let Some(signals) = node.process.lock().await.as_ref().map(Process::signals) else { return };
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Restarts a node as the platform does: new connections stop a moment after SIGTERM, the first of which comes
-    /// `after` the beginning of the series, and SIGKILL follows only after the grace period.
+    /// Restarts a node as the platform does. The first SIGTERM comes `after` the start of the series; new connections stop
+    /// a moment later, and SIGKILL follows only after the grace period.
     async fn terminate(&self, node: &Node, series: &[TimedSignal], after: Duration) {
         let mut process = node.process.lock().await;
         let Some(mut exiting) = process.take() else { return };
@@ -69,7 +69,7 @@
             self.load.close_node(node.number);
             exiting.wait_exit(TERMINATION_GRACE - DEREGISTRATION_DELAY).await
         };
-        // Signals that come after the exit reach nobody.
+        // Signals after the exit have no effect.
         let (status, ()) = tokio::join!(exit, send_series(&signals, series));
         match status {
             Some(status) if status.success() => {}
@@ -101,8 +101,8 @@
     for TimedSignal { after, order } in series {
         sleep_until(start + *after).await;
         signals.send(match order {
-            Order::Reload => Signal::HUP,
-            Order::Terminate => Signal::TERM,
+            NodeSignal::Reload => Signal::HUP,
+            NodeSignal::Terminate => Signal::TERM,
         });
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,14 +1,14 @@
 //! Randomized faults on many real node processes in front of an emulated site, checked against the protocol's rules.
 //!
-//! A seed determines a [schedule] of faults that overlap in time: processes that are paused, killed, and terminated
-//! and reloaded by signals in series, whose system calls fail and whose wall clock jumps; servers, origin and discovery that fail. The [`Report`]
-//! of a seed combines three sources: the emulator's verdict, which sees each request from outside, the
-//! [invariant violations](violations) that the nodes count themselves, and how the processes exited.
+//! A seed determines a [schedule] of faults that overlap in time. Node processes are paused, killed, and terminated and
+//! reloaded by series of signals; their system calls fail and their wall clock jumps. Cache servers, the origin and
+//! discovery fail too. The [`Report`] of a seed combines three sources: the emulator's verdict, which observes each request
+//! from outside, the [invariant violations](violations) that the nodes count themselves, and how the processes exited.
 
 mod admin;
-mod crowd;
 mod error;
 mod fleet;
+mod idle_clients;
 mod injection;
 mod log_tail;
 mod options;
--- a/crates/soak/src/log_tail.rs
+++ b/crates/soak/src/log_tail.rs
@@ -27,7 +27,7 @@
         let (ready_sender, ready) = watch::channel(false);
         let lines: Arc<Mutex<VecDeque<String>>> = Arc::default();
         let retained = lines.clone();
-        // Without its file a log is retained in part.
+        // If the file can't be opened, only the last lines of the log are retained.
         let mut file = file.and_then(|path| File::options().create(true).append(true).open(path).ok());
         tokio::spawn(async move {
             let Some(stderr) = stderr else { return };
@@ -37,7 +37,7 @@
                     let _ = ready_sender.send(true); // fails only once the receiver is dropped
                 }
                 if let Some(file) = &mut file {
-                    let _ = writeln!(file, "{line}"); // the run does not depend on it
+                    let _ = writeln!(file, "{line}"); // the run goes on without a complete log file
                 }
                 let mut retained = retained.lock().unwrap_or_else(PoisonError::into_inner);
                 if retained.len() == RETAINED_LINES {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! `stonefold-soak`: runs seeds one after the other and prints a line for each, up to the last seed or, without `--all`,
-//! the first that breaks a rule.
+//! `stonefold-soak`: runs seeds in order and prints a line for each, up to the last seed or, without `--all`, the first
+//! that breaks a rule.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,38 +12,38 @@
 /// Exit code if a seed could not be run; a seed that broke a rule gives the ordinary failure code.
 const EXIT_NOT_RUN: u8 = 2;
 
-/// Randomized faults on many real nodes, judged by the rules that every request keeps.
+/// Runs many real nodes under randomized faults and checks the rules that every request must keep.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
     /// The program that runs a node.
     #[arg(long, default_value = "target/release/stonefold")]
     program: PathBuf,
-    /// The library that makes its system calls fail.
+    /// The preloaded library that makes the node's system calls fail.
     #[arg(long, default_value = "target/release/libstonefold_faults_preload.so")]
     library: PathBuf,
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds.
+    /// The number of seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How many nodes.
+    /// The number of nodes.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u32).range(1..=40))]
     nodes: u32,
-    /// How long a seed is played, in seconds.
+    /// The duration of a seed's run, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Requests a second of all clients.
+    /// The requests per second of all clients together.
     #[arg(long, default_value_t = 600.0)]
     rate: f64,
-    /// How many seeds are played at a time.
+    /// The number of seeds that run at the same time.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
     /// Writes the nodes' logs to this directory, at level trace.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// Goes on after a seed that broke a rule.
+    /// Continues after a seed that broke a rule.
     #[arg(long)]
     all: bool,
 }
@@ -70,14 +70,14 @@
     let mut runs = JoinSet::new();
     let mut failed_seeds = 0;
     loop {
-        let goes_on = arguments.all || failed_seeds == 0;
-        while goes_on
+        let continues = arguments.all || failed_seeds == 0;
+        while continues
             && runs.len() < arguments.jobs
             && let Some(seed) = seeds.next()
         {
             runs.spawn(run(arguments.options(seed)));
         }
-        // A panic of a run ends the program too.
+        // A panic of a run also ends the program.
         match runs.join_next().await.map(|joined| joined.expect("a run has panicked")) {
             Some(Ok(report)) => {
                 println!("{report}");
--- a/crates/soak/src/ports.rs
+++ b/crates/soak/src/ports.rs
@@ -10,7 +10,7 @@
 /// Number of ports tried.
 const PORT_COUNT: u16 = 4_000;
 
-/// Ports between the first ones that two runs with consecutive process ids try: more than one run needs.
+/// Distance between the first ports that two processes with consecutive ids try: more than one run needs.
 const PORTS_PER_RUN: u32 = 131;
 
 /// Hands out loopback addresses whose port is free. The runs of a process share one.
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -7,9 +7,9 @@
 
 use crate::violations::ViolationCounts;
 
-/// An invariant that is left to the emulator's verdict. An answer may be late when its deadline passed while the
-/// process was paused: the verdict allows for that, the node's own counter does not.
-const JUDGED_BY_EMULATOR: &str = "answer_in_time";
+/// The invariant that only the emulator's verdict checks. An answer may be late if its deadline passed while the process
+/// was paused: the verdict allows for that, the node's own counter does not.
+const CHECKED_BY_EMULATOR: &str = "answer_in_time";
 
 /// A process that did not behave as expected.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -37,11 +37,11 @@
     pub seed: u64,
     /// Number of faults injected.
     pub events: usize,
-    /// Whether a crowd of idle clients occupied the nodes' descriptors.
-    pub crowd: bool,
-    /// Rules broken as seen by the emulator's clients, servers and origin.
+    /// Whether idle clients occupied the nodes' file descriptors.
+    pub idle_clients: bool,
+    /// Rule violations observed by the emulator's clients, servers and origin.
     pub verdict: Verdict,
-    /// The first requests that were sent after a grace period.
+    /// The first requests that nodes sent to a server after its grace period had ended.
     pub late_sends: Vec<LateSend>,
     /// Outcomes of the clients' requests.
     pub summary: Summary,
@@ -54,7 +54,7 @@
 impl Report {
     /// Whether no rule was broken and every process behaved as expected.
     pub fn is_clean(&self) -> bool {
-        let violations = self.violations.iter().filter(|(name, _)| *name != JUDGED_BY_EMULATOR);
+        let violations = self.violations.iter().filter(|(name, _)| *name != CHECKED_BY_EMULATOR);
         self.verdict.rules_broken() == 0
             && self.processes.is_empty()
             && violations.map(|(_, count)| count).sum::<u64>() == 0
@@ -69,7 +69,7 @@
             "seed {}: {verdict}; {} faults{}, {} requests, {} served, {} refused, {} failed",
             self.seed,
             self.events,
-            if self.crowd { " and a crowd" } else { "" },
+            if self.idle_clients { " and a crowd" } else { "" },
             self.summary.requests,
             self.summary.served,
             self.summary.rejected,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::fleet::Fleet;
-use crate::schedule::{has_crowd, schedule};
+use crate::schedule::{has_idle_clients, schedule};
 use crate::{Options, Report, SoakError};
 
 /// The part of the load's duration in which faults begin; the rest is left for recovery.
@@ -27,7 +27,7 @@
     Ok(Report {
         seed,
         events: event_count,
-        crowd: has_crowd(seed),
+        idle_clients: has_idle_clients(seed),
         summary: fleet.load.figures().0.summary(),
         verdict: fleet.emulator.verdict(),
         late_sends: fleet.emulator.late_sends(),
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Draws the fault schedule of a seed; does no I/O.
+//! Draws the fault schedule of a seed, without I/O.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -10,23 +10,24 @@
 
 /// The longest pause of a process; deadlines are checked with this much slack.
 pub const LONGEST_STALL: Duration = Duration::from_millis(150);
-/// Mean time between the beginnings of two faults; the times are exponentially distributed.
+/// Mean time between the starts of two faults; the times are exponentially distributed.
 const MEAN_INTERVAL: Duration = Duration::from_millis(120);
 /// Duration of system call faults and site faults, in milliseconds.
 const FAULT_DURATION_MS: Range<u64> = 500..4_000;
-/// Signals of a series at most.
-const LONGEST_SERIES: usize = 4;
+/// Maximum number of signals in a series.
+const MAX_SERIES_LENGTH: usize = 4;
 /// Time between two signals that are close together, in milliseconds.
 const CLOSE_GAP_MS: Range<u64> = 0..30;
-/// Time between two signals of which the second comes while the work of the first is under way, in milliseconds.
+/// Time between two signals of which the second comes while the node still handles the first, in milliseconds.
 const WIDE_GAP_MS: Range<u64> = 30..2_000;
-/// One run of so many has a crowd of idle clients.
-const RUNS_FOR_A_CROWD: u64 = 3;
+/// One run in this many has idle clients.
+const RUNS_PER_IDLE_CLIENTS_RUN: u64 = 3;
 /// Fractions of the system calls that fail.
 const CALL_FAULT_RATES: [f64; 3] = [0.01, 0.05, 0.2];
 /// Steps of the wall clock, in milliseconds.
 const CLOCK_STEPS_MS: [i64; 4] = [-3_600_000, -5_000, 5_000, 3_600_000];
-/// System call faults. A broken connection is left out: it ends client connections without fault of the node.
+/// System call faults that are injected. Broken connections are excluded: they end client connections through no fault of
+/// the node.
 const CALL_FAULTS: [CallFault; 8] = [
     CallFault::ShortRead,
     CallFault::ShortWrite,
@@ -37,7 +38,7 @@
     CallFault::Socket,
     CallFault::Connect,
 ];
-/// Faults of the site. Partitions are left to the emulator's own tests.
+/// Faults of the site that are injected. Partitions are covered by the emulator's own tests.
 const SITE_FAULTS: [FaultKind; 11] = [
     FaultKind::Kill,
     FaultKind::Replace,
@@ -57,8 +58,8 @@
 pub enum Action {
     /// Pauses the process (SIGSTOP, then SIGCONT) for this time.
     Stall(Duration),
-    /// Sends signals in a series. After a first SIGTERM follow SIGKILL, once the grace period of the platform is over,
-    /// and a restart of the node.
+    /// Sends a series of signals. After its first SIGTERM, SIGKILL follows once the platform's grace period has ended, and
+    /// the node is restarted.
     Signals(Vec<TimedSignal>),
     /// Sends SIGKILL and restarts the node.
     Kill,
@@ -73,13 +74,13 @@
     },
     /// Sets the offset of the wall clock, in milliseconds, for the rest of the run.
     ClockStep(i64),
-    /// A fault of the site; the node of the event has no part in it.
+    /// A fault of the site; it does not concern the node of the event.
     Site(Box<SiteFault>),
 }
 
-/// What a signal of a series orders.
+/// The kind of a signal in a series.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum NodeSignal {
     /// SIGHUP; the configuration is unchanged.
     Reload,
     /// SIGTERM.
@@ -89,10 +90,10 @@
 /// A signal of a series.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimedSignal {
-    /// Time since the beginning of the series.
+    /// Time since the start of the series.
     pub after: Duration,
-    /// The signal.
-    pub order: Order,
+    /// The kind of the signal.
+    pub order: NodeSignal,
 }
 
 /// A fault at a point in time.
@@ -106,7 +107,7 @@
     pub action: Action,
 }
 
-/// Returns the events of a seed, before `until` and ordered by time.
+/// Returns the events of a seed that start before `until`, ordered by time.
 pub fn schedule(seed: u64, nodes: usize, until: Duration) -> Vec<Event> {
     let mut rng = Rng::with_seed(seed);
     let mut events = Vec::new();
@@ -139,12 +140,12 @@
     }
 }
 
-/// Draws a series of signals: reloads and terminations close together, or while one is under way.
+/// Draws a series of reloads and terminations, each close to the one before or while that is still being handled.
 fn draw_signals(rng: &mut Rng) -> Vec<TimedSignal> {
     let mut after = Duration::ZERO;
     let mut signals = Vec::new();
-    for _ in 0..rng.usize(1..=LONGEST_SERIES) {
-        let order = if rng.bool() { Order::Reload } else { Order::Terminate };
+    for _ in 0..rng.usize(1..=MAX_SERIES_LENGTH) {
+        let order = if rng.bool() { NodeSignal::Reload } else { NodeSignal::Terminate };
         signals.push(TimedSignal { after, order });
         let gap = if rng.bool() { CLOSE_GAP_MS } else { WIDE_GAP_MS };
         after += Duration::from_millis(rng.u64(gap));
@@ -152,9 +153,9 @@
     signals
 }
 
-/// Whether a run has a crowd of idle clients at the nodes' limit of descriptors.
-pub fn has_crowd(seed: u64) -> bool {
-    seed.is_multiple_of(RUNS_FOR_A_CROWD)
+/// Whether a run has idle clients that take the nodes to their limit of file descriptors.
+pub fn has_idle_clients(seed: u64) -> bool {
+    seed.is_multiple_of(RUNS_PER_IDLE_CLIENTS_RUN)
 }
 
 fn draw_site_fault(rng: &mut Rng, lasts: Duration) -> SiteFault {
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -14,7 +14,7 @@
 const ANSWER_SLACK: Duration = Duration::from_millis(70);
 /// Deadline of reads: short enough that many requests reach it.
 const READ_DEADLINE: Duration = Duration::from_millis(300);
-/// The bits of the seed that a site's configuration can hold.
+/// The part of the seed that a site's configuration can hold: its lower 32 bits.
 const SITE_SEED_MASK: u64 = 0xffff_ffff;
 
 /// Returns the built-in site, adapted to the run's seed, number of nodes and rate.
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use stonefold_soak::schedule::{Action, LONGEST_STALL, Order, TimedSignal, has_crowd, schedule};
+use stonefold_soak::schedule::{Action, LONGEST_STALL, NodeSignal, TimedSignal, has_idle_clients, schedule};
 
 const UNTIL: Duration = Duration::from_secs(60);
 
 #[test]
-fn a_seed_gives_the_same_events_which_overlap_and_stay_within_the_rules() {
+fn a_seed_determines_events_that_overlap_and_stay_within_bounds() {
     let events = schedule(7, 12, UNTIL);
     assert_eq!(events, schedule(7, 12, UNTIL));
     assert_ne!(events, schedule(8, 12, UNTIL));
@@ -24,12 +24,13 @@
         _ => None,
     });
     let calls: Vec<_> = calls.collect();
-    assert!(calls.windows(2).any(|pair| pair[1].0 < pair[0].1), "none overlap");
+    assert!(calls.windows(2).any(|pair| pair[1].0 < pair[0].1), "no system call faults overlap");
 }
 
-/// Guards against signals that come one at a time: shutdown and reload have to meet each other, and themselves.
+/// Guards against signals that only come one at a time: a shutdown or reload must also be interrupted by the other, and by
+/// another of its kind.
 #[test]
-fn signals_come_in_series_close_together_and_while_one_is_under_way() {
+fn each_pair_of_signals_comes_both_close_together_and_apart() {
     let events = schedule(7, 12, UNTIL);
     let pairs: Vec<[TimedSignal; 2]> = events
         .iter()
@@ -41,10 +42,10 @@
         .collect();
     let close = Duration::from_millis(30);
     for orders in [
-        [Order::Reload, Order::Terminate],
-        [Order::Terminate, Order::Reload],
-        [Order::Terminate, Order::Terminate],
-        [Order::Reload, Order::Reload],
+        [NodeSignal::Reload, NodeSignal::Terminate],
+        [NodeSignal::Terminate, NodeSignal::Reload],
+        [NodeSignal::Terminate, NodeSignal::Terminate],
+        [NodeSignal::Reload, NodeSignal::Reload],
     ] {
         let of_orders = pairs.iter().filter(|pair| pair.map(|signal| signal.order) == orders);
         let gaps: Vec<Duration> = of_orders.map(|[first, second]| second.after - first.after).collect();
@@ -53,9 +54,9 @@
     }
 }
 
-/// Guards against runs that all have a crowd, or none.
+/// Guards against all runs having idle clients, or none.
 #[test]
-fn some_runs_have_a_crowd_and_some_have_none() {
-    let crowds = (0..50).filter(|seed| has_crowd(*seed)).count();
-    assert!((10..40).contains(&crowds), "{crowds} of 50");
+fn some_runs_have_idle_clients_and_some_have_none() {
+    let count = (0..50).filter(|seed| has_idle_clients(*seed)).count();
+    assert!((10..40).contains(&count), "{count} of 50");
 }
