--- a/crates/cli/src/commands/demo/mod.rs
+++ b/crates/cli/src/commands/demo/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stonefold_config::{Count, DurationMicros, Fraction, Positive};
-use stonefold_emulator::{Emulator, Load, Options};
+use stonefold_emulator::{Emulator, EmulatorOptions, Load};
 use stonefold_model::site::{Fault, FaultKind, Site};
 use tokio::time::{Instant, interval_at, sleep};
 
@@ -35,7 +35,7 @@
 async fn demo(args: DemoArgs) -> Result<(), Failure> {
     let site = site(&args)?;
     let rate = site.rate.get();
-    let emulator = Emulator::start(site, Options::default()).await.map_err(Failure::failed)?;
+    let emulator = Emulator::start(site, EmulatorOptions::default()).await.map_err(Failure::failed)?;
     let folder = tempfile::tempdir()?;
     let mut nodes = Vec::new();
     for number in 0..usize::from(args.nodes) {
--- a/crates/cli/src/commands/demo/report.rs
+++ b/crates/cli/src/commands/demo/report.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use stonefold_emulator::{Emulator, Load, Summary};
+use stonefold_emulator::{Emulator, Load, LoadSummary};
 use stonefold_model::Verdict;
 
 use super::node_process::NodeProcess;
@@ -88,7 +88,7 @@
     Ok(out.flush()?)
 }
 
-fn summary_as_json(summary: &Summary, fetch_rate: f64, verdict: Verdict) -> serde_json::Value {
+fn summary_as_json(summary: &LoadSummary, fetch_rate: f64, verdict: Verdict) -> serde_json::Value {
     json!({
         "requests": summary.requests,
         "served": summary.served,
--- a/crates/cli/src/commands/emulate.rs
+++ b/crates/cli/src/commands/emulate.rs
@@ -8,7 +8,7 @@
 
 use serde_json::json;
 use stonefold_config::{Layers, load};
-use stonefold_emulator::{Emulator, EmulatorError, Options};
+use stonefold_emulator::{Emulator, EmulatorError, EmulatorOptions};
 use stonefold_model::Verdict;
 use stonefold_model::site::Site;
 use stonefold_observe::Logging;
@@ -36,7 +36,8 @@
 }
 
 async fn emulate(site: Site, args: &EmulateArgs) -> Result<(), Failure> {
-    let options = Options { control: args.control, faults: !args.no_faults, ..Options::default() };
+    let options =
+        EmulatorOptions { control: args.control, faults: !args.no_faults, ..EmulatorOptions::default() };
     let emulator = Emulator::start(site, options).await.map_err(|error| match error {
         EmulatorError::NotLoopback(_) => Failure::unusable(error),
         EmulatorError::Listen { .. } => Failure::failed(error),
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stonefold_faults::library_beside;
-use stonefold_soak::{Options, run};
+use stonefold_soak::{SoakOptions, run};
 
 const SEEDS: [u64; 4] = [11, 12, 13, 15];
 
@@ -14,7 +14,7 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).expect("built with this test");
     for seed in SEEDS {
-        let options = Options {
+        let options = SoakOptions {
             program: Path::new(env!("CARGO_BIN_EXE_stonefold")).to_owned(),
             library: library.clone(),
             seed,
--- a/crates/emulator/examples/pause.rs
+++ b/crates/emulator/examples/pause.rs
@@ -9,7 +9,7 @@
 
 use hdrhistogram::Histogram;
 use stonefold_config::{Count, DurationMicros, Fraction, Positive};
-use stonefold_emulator::{Emulator, Options};
+use stonefold_emulator::{Emulator, EmulatorOptions};
 use stonefold_model::site::Site;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -37,7 +37,8 @@
     for class in &mut site.classes {
         (class.work, class.work_sigma) = (DurationMicros::new(100_000), Fraction::new(0.0));
     }
-    let emulator = Emulator::start(site, Options { faults: false, ..Options::default() }).await?;
+    let emulator =
+        Emulator::start(site, EmulatorOptions { faults: false, ..EmulatorOptions::default() }).await?;
     let cache = emulator.endpoint_list(0)["servers"][0]["addr"].as_str().ok_or("no cache")?.to_owned();
     let (mut runs, mut senders) = (Vec::new(), Vec::new());
     for n in 0..CONNECTIONS {
--- a/crates/emulator/examples/throughput.rs
+++ b/crates/emulator/examples/throughput.rs
@@ -14,7 +14,7 @@
 use bytes::BytesMut;
 use redis_protocol::resp2::types::BytesFrame;
 use stonefold_config::{Count, DurationMicros};
-use stonefold_emulator::{Emulator, Options};
+use stonefold_emulator::{Emulator, EmulatorOptions};
 use stonefold_model::site::Site;
 use stonefold_proto::resp::{append_command, decode_frame};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -54,7 +54,8 @@
 }
 
 async fn measure(program: &[String]) -> Result<(), Failure> {
-    let emulator = Emulator::start(site()?, Options { faults: false, ..Options::default() }).await?;
+    let emulator =
+        Emulator::start(site()?, EmulatorOptions { faults: false, ..EmulatorOptions::default() }).await?;
     let endpoints = emulator.endpoint_list(0);
     let cache: SocketAddr = endpoints["servers"][0]["addr"].as_str().ok_or("no cache")?.parse()?;
     let Some(node) = Node::start(&emulator, program).await? else {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -25,5 +25,5 @@
 pub use clock::Clock;
 pub use error::EmulatorError;
 pub use links::{DatagramLinks, LinkCounts, LinkRule};
-pub use load::{Figures, Load, Summary};
-pub use world::{Emulator, Options};
+pub use load::{Load, LoadFigures, LoadSummary};
+pub use world::{Emulator, EmulatorOptions};
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep_until, timeout};
 use tokio_util::task::TaskTracker;
 
-pub use figures::{Figures, Summary};
+pub use figures::{LoadFigures, LoadSummary};
 use process::NodeProcess;
 
 use crate::lock::lock;
@@ -45,7 +45,7 @@
     /// Idle connections to each node, the most recently used last.
     idle_connections: Vec<Mutex<VecDeque<TcpStream>>>,
     /// Figures since the start, and since the last call of [`figures`](Self::figures).
-    figures: Mutex<(Figures, Figures)>,
+    figures: Mutex<(LoadFigures, LoadFigures)>,
     retries: Mutex<Retries>,
     in_flight: Semaphore,
     /// Whether idle clients occupy the nodes' file descriptors, so that a node may close a new connection without reading
@@ -114,7 +114,7 @@
     }
 
     /// Returns the figures since the start, and those since the last call.
-    pub fn figures(&self) -> (Figures, Figures) {
+    pub fn figures(&self) -> (LoadFigures, LoadFigures) {
         let mut figures = lock(&self.figures);
         let latest = std::mem::take(&mut figures.1);
         (figures.0.clone(), latest)
--- a/crates/emulator/src/load/figures.rs
+++ b/crates/emulator/src/load/figures.rs
@@ -9,7 +9,7 @@
 
 /// The results of the requests in a period of time.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct LoadFigures {
     /// Answered with their value.
     pub served: u64,
     /// Rejected.
@@ -25,17 +25,17 @@
     pub latency: Histogram<u64>,
 }
 
-impl Default for Figures {
-    fn default() -> Figures {
+impl Default for LoadFigures {
+    fn default() -> LoadFigures {
         // The bounds, 1 us to one minute with three digits, are valid.
         let latency = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
-        Figures { served: 0, rejected: 0, failed: 0, not_sent: 0, retries: 0, latency }
+        LoadFigures { served: 0, rejected: 0, failed: 0, not_sent: 0, retries: 0, latency }
     }
 }
 
-/// The numbers and latency quantiles of [`Figures`].
+/// The numbers and latency quantiles of [`LoadFigures`].
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Summary {
+pub struct LoadSummary {
     /// Requests that got a final result: served, rejected or failed.
     pub requests: u64,
     /// Requests answered with their value.
@@ -58,11 +58,11 @@
     pub max_ms: f64,
 }
 
-impl Figures {
+impl LoadFigures {
     /// Returns the numbers and latency quantiles.
-    pub fn summary(&self) -> Summary {
+    pub fn summary(&self) -> LoadSummary {
         let quantile_ms = |quantile: f64| self.latency.value_at_quantile(quantile) as f64 / 1e3;
-        Summary {
+        LoadSummary {
             requests: self.served + self.rejected + self.failed,
             served: self.served,
             rejected: self.rejected,
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -28,7 +28,7 @@
 
 /// Options of an emulator.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct EmulatorOptions {
     /// The loopback address at which everything but the control interface listens.
     pub ip: IpAddr,
     /// Address of the control interface; port 0 for any free port.
@@ -37,10 +37,10 @@
     pub faults: bool,
 }
 
-impl Default for Options {
-    fn default() -> Options {
+impl Default for EmulatorOptions {
+    fn default() -> EmulatorOptions {
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
-        Options { ip, control: SocketAddr::new(ip, 0), faults: true }
+        EmulatorOptions { ip, control: SocketAddr::new(ip, 0), faults: true }
     }
 }
 
@@ -230,7 +230,7 @@
     ///
     /// # Errors
     /// If it can't listen at an address, or an address is not on loopback; everything that was started is stopped.
-    pub async fn start(site: Site, options: Options) -> Result<Emulator, EmulatorError> {
+    pub async fn start(site: Site, options: EmulatorOptions) -> Result<Emulator, EmulatorError> {
         if let Some(ip) = [options.ip, options.control.ip()].into_iter().find(|ip| !ip.is_loopback()) {
             return Err(EmulatorError::NotLoopback(ip));
         }
--- a/crates/emulator/tests/emulator.rs
+++ b/crates/emulator/tests/emulator.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 use stonefold_config::{Layers, load};
-use stonefold_emulator::{Emulator, EmulatorError, Load, Options};
+use stonefold_emulator::{Emulator, EmulatorError, EmulatorOptions, Load};
 use stonefold_model::site::{Fault, Site};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -60,7 +60,7 @@
 }
 
 async fn emulator(changes: &[(&str, &str)]) -> Emulator {
-    Emulator::start(site(changes), Options::default()).await.unwrap()
+    Emulator::start(site(changes), EmulatorOptions::default()).await.unwrap()
 }
 
 fn inject(emulator: &Emulator, json: &str) {
@@ -458,9 +458,10 @@
 async fn an_unusable_address_fails_the_start_and_a_drop_frees_the_ports() {
     let occupied = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let control = occupied.local_addr().unwrap();
-    let result = Emulator::start(site(&[]), Options { control, ..Options::default() }).await;
+    let result = Emulator::start(site(&[]), EmulatorOptions { control, ..EmulatorOptions::default() }).await;
     assert!(matches!(result, Err(EmulatorError::Listen { at, .. }) if at == control));
-    let not_loopback = Options { control: "0.0.0.0:0".parse().unwrap(), ..Options::default() };
+    let not_loopback =
+        EmulatorOptions { control: "0.0.0.0:0".parse().unwrap(), ..EmulatorOptions::default() };
     assert!(matches!(Emulator::start(site(&[]), not_loopback).await, Err(EmulatorError::NotLoopback(_))));
     // Dropping an emulator frees its ports.
     let emulator = emulator(&[]).await;
--- a/crates/emulator/tests/latency.rs
+++ b/crates/emulator/tests/latency.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stonefold_config::{Layers, load};
-use stonefold_emulator::{Emulator, Load, Options};
+use stonefold_emulator::{Emulator, EmulatorOptions, Load};
 use stonefold_model::site::Site;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -56,7 +56,7 @@
     let path = dir.path().join("site.toml");
     std::fs::write(&path, SITE).unwrap();
     let site = load::<Site>(&Layers { file: Some(path), ..Layers::default() }).unwrap().tree;
-    let emulator = Emulator::start(site, Options::default()).await.unwrap();
+    let emulator = Emulator::start(site, EmulatorOptions::default()).await.unwrap();
     let cache = emulator.endpoint_list(0)["servers"][0]["addr"].as_str().unwrap().parse().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let node = listener.local_addr().unwrap();
--- a/crates/emulator/tests/load_ends.rs
+++ b/crates/emulator/tests/load_ends.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stonefold_config::{Layers, load};
-use stonefold_emulator::{Emulator, Load, Options};
+use stonefold_emulator::{Emulator, EmulatorOptions, Load};
 use stonefold_model::Verdict;
 use stonefold_model::site::Site;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -51,7 +51,7 @@
         std::fs::write(&path, SITE).unwrap();
         let site = load::<Site>(&Layers { file: Some(path), ..Layers::default() });
         let site = site.unwrap_or_else(|e| panic!("{e}")).tree;
-        let emulator = Emulator::start(site, Options::default()).await.unwrap();
+        let emulator = Emulator::start(site, EmulatorOptions::default()).await.unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr: SocketAddr = listener.local_addr().unwrap();
         let mut node = JoinSet::new();
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -8,7 +8,7 @@
 
 use rustix::process::Signal;
 use stonefold_config::Count;
-use stonefold_emulator::{Emulator, Load, Options as EmulatorOptions};
+use stonefold_emulator::{Emulator, EmulatorOptions, Load};
 use stonefold_faults::FaultPlan;
 use tempfile::TempDir;
 use tokio::sync::Mutex;
@@ -20,7 +20,7 @@
 use crate::schedule::has_idle_clients;
 use crate::site::build_site;
 use crate::violations::{ViolationCounts, add_violations};
-use crate::{Options, ProcessFault, SoakError};
+use crate::{ProcessFault, SoakError, SoakOptions};
 
 /// Time within which a process must be ready after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -39,7 +39,7 @@
 
 /// All nodes, the emulated site and the load on them.
 pub(crate) struct Fleet {
-    options: Options,
+    options: SoakOptions,
     pub(crate) emulator: Emulator,
     pub(crate) load: Arc<Load>,
     pub(crate) nodes: Vec<Node>,
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// If the site, a node's files or a node's process can't be created.
-    pub(crate) async fn start(options: Options) -> Result<Fleet, SoakError> {
+    pub(crate) async fn start(options: SoakOptions) -> Result<Fleet, SoakError> {
         let emulator = Emulator::start(build_site(&options)?, EmulatorOptions::default()).await?;
         let directory = tempfile::tempdir().map_err(SoakError::io("create a directory"))?;
         let ports = PortAllocator::shared();
@@ -163,7 +163,7 @@
 /// Writes a node's configuration and fault plan.
 fn prepare_node(
     emulator: &Emulator,
-    options: &Options,
+    options: &SoakOptions,
     number: usize,
     listen: SocketAddr,
     admin: SocketAddr,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -21,6 +21,6 @@
 pub mod violations;
 
 pub use error::SoakError;
-pub use options::Options;
+pub use options::SoakOptions;
 pub use report::{ProcessFault, Report};
 pub use run::run;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::Parser;
-use stonefold_soak::{Options, run};
+use stonefold_soak::{SoakOptions, run};
 use tokio::task::JoinSet;
 
 /// Exit code if a seed could not be run; a seed that broke a rule gives the ordinary failure code.
@@ -50,8 +50,8 @@
 
 impl Arguments {
     /// The parameters of one seed's run.
-    fn options(&self, seed: u64) -> Options {
-        Options {
+    fn options(&self, seed: u64) -> SoakOptions {
+        SoakOptions {
             program: self.program.clone(),
             library: self.library.clone(),
             seed,
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -5,7 +5,7 @@
 
 /// Parameters of one run.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct SoakOptions {
     /// The program that runs a node.
     pub program: PathBuf,
     /// The preloaded library that injects faults into the program's system calls.
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use stonefold_emulator::Summary;
+use stonefold_emulator::LoadSummary;
 use stonefold_model::{LateSend, Verdict};
 
 use crate::violations::ViolationCounts;
@@ -44,7 +44,7 @@
     /// The first requests that nodes sent to a server after its grace period had ended.
     pub late_sends: Vec<LateSend>,
     /// Outcomes of the clients' requests.
-    pub summary: Summary,
+    pub summary: LoadSummary,
     /// Invariant violations counted by the nodes, over all processes that answered before they exited.
     pub violations: ViolationCounts,
     /// Processes that crashed or did not become ready.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::Fleet;
 use crate::schedule::{has_idle_clients, schedule};
-use crate::{Options, Report, SoakError};
+use crate::{Report, SoakError, SoakOptions};
 
 /// The part of the load's duration in which faults begin; the rest is left for recovery.
 const FAULT_WINDOW: f64 = 0.75;
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 /// If the site or a node can't be set up or started; broken rules are in the report instead.
-pub async fn run(options: Options) -> Result<Report, SoakError> {
+pub async fn run(options: SoakOptions) -> Result<Report, SoakError> {
     let seed = options.seed;
     let duration = options.duration;
     let events = schedule(seed, options.nodes as usize, duration.mul_f64(FAULT_WINDOW));
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -6,7 +6,7 @@
 use stonefold_model::site::Site;
 
 use crate::schedule::LONGEST_STALL;
-use crate::{Options, SoakError};
+use crate::{SoakError, SoakOptions};
 
 /// The built-in site, in TOML.
 const SITE_TOML: &str = include_str!("../../../deploy/sites/twelve.toml");
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// If the built-in site does not parse.
-pub(crate) fn build_site(options: &Options) -> Result<Site, SoakError> {
+pub(crate) fn build_site(options: &SoakOptions) -> Result<Site, SoakError> {
     let mut site: Site = toml::from_str(SITE_TOML).map_err(SoakError::configuration)?;
     site.seed = Count::new((options.seed & SITE_SEED_MASK) as _);
     site.nodes = Count::new(options.nodes as _);
