--- a/crates/emulator/examples/pause.rs
+++ b/crates/emulator/examples/pause.rs
@@ -2,8 +2,8 @@
 //!
 //!     cargo run --release -p stonefold-emulator --example pause
 //!
-//! One thread paces all requests: it wakes within about 60 us of the due time, whereas the runtime's timer would be up to
-//! 1 ms late and add that to the measured latency.
+//! One thread paces all requests: it wakes within about 60 us of the due time, whereas the runtime's timer would be up
+//! to 1 ms late and add that to the measured latency.
 
 use std::time::{Duration, Instant};
 
@@ -51,7 +51,8 @@
         for n in 0..RATE * DURATION.as_secs() {
             let at = start + Duration::from_micros(n * 1_000_000 / RATE);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
-            let _ = senders[(n % CONNECTIONS) as usize].send(at); // fails if the connection has failed, which its own task reports
+            // Fails if the connection has failed, which its own task reports.
+            let _ = senders[(n % CONNECTIONS) as usize].send(at);
         }
     });
     let mut all = Histogram::<u64>::new(3)?;
--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -1,4 +1,5 @@
-//! A cache server on sockets: reads RESP2 commands, has the model do the work, and answers in the order of the commands.
+//! A cache server on sockets: reads RESP2 commands, has the model do the work, and answers in the order of the
+//! commands.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -22,7 +23,7 @@
 use crate::listeners::{Listeners, reset};
 use crate::lock::lock;
 use crate::request;
-use crate::world::{Server, TIMER_GRANULARITY, World};
+use crate::world::{CacheServer, TIMER_GRANULARITY, World};
 
 /// Maximum size of a command, in bytes.
 const MAX_COMMAND_BYTES: usize = (4 << 20) + (8 << 10);
@@ -209,7 +210,7 @@
     }
 }
 
-impl Server {
+impl CacheServer {
     pub fn id(&self) -> String {
         stonefold_model::site::Site::id(self.number)
     }
@@ -254,7 +255,7 @@
 /// Serves a node's connection until either side closes it.
 async fn serve_connection(
     world: Arc<World>,
-    server: Arc<Server>,
+    server: Arc<CacheServer>,
     node: usize,
     mut stream: TcpStream,
     closing: CancellationToken,
@@ -286,7 +287,7 @@
 /// Reads commands and writes answers; returns whether the connection is to be reset.
 async fn serve_commands(
     world: &Arc<World>,
-    server: &Arc<Server>,
+    server: &Arc<CacheServer>,
     node: usize,
     stream: &mut TcpStream,
 ) -> bool {
@@ -366,7 +367,7 @@
 /// Carries out a command and returns its answer; `None` if the server does not answer it.
 async fn handle_command(
     world: &Arc<World>,
-    server: &Arc<Server>,
+    server: &Arc<CacheServer>,
     node: usize,
     frame: BytesFrame,
 ) -> Option<Bytes> {
@@ -400,7 +401,7 @@
 /// Has the model do the work of a request, and returns the answer.
 async fn run_request(
     world: &Arc<World>,
-    server: &Arc<Server>,
+    server: &Arc<CacheServer>,
     key: &str,
     id: &[u8],
     metadata: &str,
@@ -434,7 +435,7 @@
 
 fn encode_answer(
     world: &World,
-    server: &Server,
+    server: &CacheServer,
     key: &str,
     id: &[u8],
     outcome: Outcome,
@@ -462,7 +463,7 @@
     Some(out.freeze())
 }
 
-impl Server {
+impl CacheServer {
     /// Handles a model that is down: drops the waiting requests and, if the model has just collapsed, reports that and
     /// closes the server's sockets.
     fn handle_collapse(self: &Arc<Self>, world: &Arc<World>) {
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time of the models, derived from the runtime's clock: when a test pauses that, this stands still too.
+//! The time of the models, derived from the runtime's clock: it pauses and resumes together with that.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/emulator/src/control.rs
+++ b/crates/emulator/src/control.rs
@@ -52,7 +52,7 @@
 
 fn servers_json(world: &World) -> Value {
     let now = world.now();
-    let server_json = |server: &Arc<crate::world::Server>| {
+    let server_json = |server: &Arc<crate::world::CacheServer>| {
         server.endpoint.with_model(|model, _| {
             json!({"id": server.id(), "zone": world.site.network.zones.get(server.zone), "down": model.is_down(),
                 "cold": model.is_warming_up(now), "in_service": model.in_service(), "waiting": model.queued(),
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::world::{Server, World};
+use crate::world::{CacheServer, World};
 
 /// Injects each fault of the site's schedule at its time.
 pub(crate) fn schedule_site_faults(world: &Arc<World>) {
@@ -85,8 +85,8 @@
 
 /// Returns the servers that a fault affects: the one that it names, or those that run, of its zone if it names one,
 /// reduced at random to its part.
-fn affected_servers(world: &World, fault: &Fault) -> Vec<Arc<Server>> {
-    let mut servers: Vec<Arc<Server>> = world.all_servers();
+fn affected_servers(world: &World, fault: &Fault) -> Vec<Arc<CacheServer>> {
+    let mut servers: Vec<Arc<CacheServer>> = world.all_servers();
     if let Some(id) = &fault.server {
         servers.retain(|server| server.id() == *id);
         return servers;
@@ -105,7 +105,13 @@
     servers
 }
 
-fn inject_at_server(world: &Arc<World>, server: Arc<Server>, kind: FaultKind, duration: Micros, factor: f64) {
+fn inject_at_server(
+    world: &Arc<World>,
+    server: Arc<CacheServer>,
+    kind: FaultKind,
+    duration: Micros,
+    factor: f64,
+) {
     let now = world.now();
     let endpoint = &server.endpoint;
     match kind {
@@ -159,7 +165,7 @@
 }
 
 /// Ends the server's process and starts it again after `duration`.
-async fn kill(world: Arc<World>, server: Arc<Server>, duration: Micros) {
+async fn kill(world: Arc<World>, server: Arc<CacheServer>, duration: Micros) {
     server.endpoint.terminate(world.now());
     let incarnation = server.endpoint.incarnation();
     world.record_change(server.number, State::Deleted, 0);
@@ -171,7 +177,7 @@
 }
 
 /// After `start_delay`, drains a server for `drain_duration` and then replaces it.
-async fn replace(world: Arc<World>, server: Arc<Server>, start_delay: Micros, drain_duration: Micros) {
+async fn replace(world: Arc<World>, server: Arc<CacheServer>, start_delay: Micros, drain_duration: Micros) {
     sleep(Duration::from_micros(start_delay)).await;
     world.record_change(server.number, State::Draining, 0);
     sleep(Duration::from_micros(drain_duration)).await;
--- a/crates/emulator/src/links.rs
+++ b/crates/emulator/src/links.rs
@@ -2,9 +2,9 @@
 //! own, which may change at any time.
 //!
 //! Each process listens at an address of its own and advertises the address of its proxy socket here. The sender of a
-//! datagram that reaches a proxy is identified by its own address. The datagram follows the rule of the link from sender
-//! to receiver and is forwarded from the sender's proxy, so that an answer takes the same way back. The processes need
-//! no other addresses and need not know of the links.
+//! datagram that reaches a proxy is identified by its own address. The datagram follows the rule of the link from
+//! sender to receiver and is forwarded from the sender's proxy, so that an answer takes the same way back. The
+//! processes need no other addresses and need not know of the links.
 
 use std::collections::BinaryHeap;
 use std::io;
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -1,5 +1,5 @@
-//! Generates load: sends the requests of the model's clients over real connections, in an open loop. Latency is measured
-//! from a request's intended start.
+//! Generates load: sends the requests of the model's clients over real connections, in an open loop. Latency is
+//! measured from a request's intended start.
 
 mod figures;
 mod process;
@@ -26,7 +26,7 @@
 use process::NodeProcess;
 
 use crate::lock::lock;
-use crate::request::{self, is_value_for};
+use crate::request::{is_value_for, key_name};
 use crate::world::{Emulator, World};
 
 /// Maximum number of requests in flight. Further ones are counted as not sent: the load was the bottleneck.
@@ -48,8 +48,8 @@
     figures: Mutex<(LoadFigures, LoadFigures)>,
     retries: Mutex<Retries>,
     in_flight: Semaphore,
-    /// Whether idle clients occupy the nodes' file descriptors, so that a node may close a new connection without reading
-    /// its request.
+    /// Whether idle clients occupy the nodes' file descriptors, so that a node may close a new connection without
+    /// reading its request.
     unread_closes_excused: AtomicBool,
 }
 
@@ -81,8 +81,8 @@
         self.processes[node].close();
     }
 
-    /// From now on a node may close a new connection without reading its request, as idle clients occupy the nodes' file
-    /// descriptors.
+    /// From now on a node may close a new connection without reading its request, as idle clients occupy the nodes'
+    /// file descriptors.
     pub fn excuse_unread_closes(&self) {
         self.unread_closes_excused.store(true, Ordering::Relaxed);
     }
@@ -193,8 +193,9 @@
         lock(&self.retries).next_attempt(self.world.now(), attempts, retry_after, deadline_at)
     }
 
-    /// Sends one request, and records it for the rule checks once it has been sent completely. If the node closes an idle
-    /// connection just as a request is sent on it, the node has not read the request: it is sent again on a new connection.
+    /// Sends one request, and records it for the rule checks once it has been sent completely. If the node closes an
+    /// idle connection just as a request is sent on it, the node has not read the request: it is sent again on a new
+    /// connection.
     async fn exchange(
         &self,
         request: &ClientRequest,
@@ -212,8 +213,8 @@
         })
     }
 
-    /// Sends one request as [`exchange`](Self::exchange) does; fails if the connection was closed or the time ran out before
-    /// a complete answer.
+    /// Sends one request as [`exchange`](Self::exchange) does; fails if the connection was closed or the time ran out
+    /// before a complete answer.
     async fn try_exchange(
         &self,
         request: &ClientRequest,
@@ -222,7 +223,7 @@
         deadline_at: Micros,
     ) -> Result<NodeAnswer, Unanswered> {
         let id = format!("{number:016x}");
-        let key = request::key_name(request.key);
+        let key = key_name(request.key);
         let command = self.command(request, &id, &key, deadline_at);
         if let Some(mut idle_connection) = self.take_idle_connection(node)
             && idle_connection.write_all(&command).await.is_ok()
--- a/crates/emulator/src/origin.rs
+++ b/crates/emulator/src/origin.rs
@@ -133,8 +133,8 @@
         });
     }
 
-    /// Offers a fetch to the model. Returns its waiter and id unless it was rejected, and, if it overloaded the origin so
-    /// that it stopped, the share of the load that came from misses at servers that were warming up.
+    /// Offers a fetch to the model. Returns its waiter and id unless it was rejected, and, if it overloaded the origin
+    /// so that it stopped, the share of the load that came from misses at servers that were warming up.
     fn offer(&self, now: Micros, fetch: Fetch) -> (Option<(oneshot::Receiver<()>, u64)>, Option<f64>) {
         let mut state = lock(&self.state);
         let outage_count = state.model.overload_outages().len();
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -45,7 +45,7 @@
 }
 
 /// A cache server. Its id is never reused: a replacement is another server.
-pub(crate) struct Server {
+pub(crate) struct CacheServer {
     pub number: usize,
     /// Indexes of its zone and of its group of caches in the site.
     pub zone: usize,
@@ -61,7 +61,7 @@
     pub rule_checker: Mutex<Judge>,
     pub network: Mutex<Network>,
     /// Servers by their numbers; those that were replaced stay in the list.
-    pub servers: RwLock<Vec<Arc<Server>>>,
+    pub servers: RwLock<Vec<Arc<CacheServer>>>,
     pub origin: OriginEndpoint,
     pub discovery: Arc<DiscoveryService>,
     pub misses: RequestMisses,
@@ -92,11 +92,11 @@
         lock(&self.rule_checker)
     }
 
-    pub fn server(&self, number: usize) -> Option<Arc<Server>> {
+    pub fn server(&self, number: usize) -> Option<Arc<CacheServer>> {
         self.servers.read().unwrap_or_else(PoisonError::into_inner).get(number).cloned()
     }
 
-    pub fn all_servers(&self) -> Vec<Arc<Server>> {
+    pub fn all_servers(&self) -> Vec<Arc<CacheServer>> {
         self.servers.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -158,7 +158,7 @@
         group: usize,
         zone: usize,
         warming_up: bool,
-    ) -> Result<Arc<Server>, EmulatorError> {
+    ) -> Result<Arc<CacheServer>, EmulatorError> {
         let number = self.all_servers().len();
         let now = self.now();
         let mut model = Cache::new(
@@ -172,7 +172,7 @@
             model.start(now);
         }
         let endpoint = CacheEndpoint::open(self.ip, self.site.nodes.get(), model).await?;
-        let server = Arc::new(Server { number, zone, group, endpoint });
+        let server = Arc::new(CacheServer { number, zone, group, endpoint });
         self.servers.write().unwrap_or_else(PoisonError::into_inner).push(server.clone());
         server.clone().serve(self.clone());
         Ok(server)
--- a/crates/soak/src/injection.rs
+++ b/crates/soak/src/injection.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Restarts a node as the platform does. The first SIGTERM comes `after` the start of the series; new connections stop
-    /// a moment later, and SIGKILL follows only after the grace period.
+    /// Restarts a node as the platform does. The first SIGTERM comes `after` the start of the series; new connections
+    /// stop a moment later, and SIGKILL follows only after the grace period.
     async fn terminate(&self, node: &Node, series: &[TimedSignal], after: Duration) {
         let mut process = node.process.lock().await;
         let Some(mut exiting) = process.take() else { return };
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! A seed determines a [schedule] of faults that overlap in time. Node processes are paused, killed, and terminated and
 //! reloaded by series of signals; their system calls fail and their wall clock jumps. Cache servers, the origin and
-//! discovery fail too. The [`Report`] of a seed combines three sources: the emulator's verdict, which observes each request
-//! from outside, the [invariant violations](violations) that the nodes count themselves, and how the processes exited.
+//! discovery fail too. The [`Report`] of a seed combines three sources: the emulator's verdict, which observes each
+//! request from outside, the [invariant violations](violations) that the nodes count themselves, and how the processes
+//! exited.
 
 mod admin;
 mod error;
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -7,8 +7,8 @@
 
 use crate::violations::ViolationCounts;
 
-/// The invariant that only the emulator's verdict checks. An answer may be late if its deadline passed while the process
-/// was paused: the verdict allows for that, the node's own counter does not.
+/// The invariant that only the emulator's verdict checks. An answer may be late if its deadline passed while the
+/// process was paused: the verdict allows for that, the node's own counter does not.
 const CHECKED_BY_EMULATOR: &str = "answer_in_time";
 
 /// A process that did not behave as expected.
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -26,8 +26,8 @@
 const CALL_FAULT_RATES: [f64; 3] = [0.01, 0.05, 0.2];
 /// Steps of the wall clock, in milliseconds.
 const CLOCK_STEPS_MS: [i64; 4] = [-3_600_000, -5_000, 5_000, 3_600_000];
-/// System call faults that are injected. Broken connections are excluded: they end client connections through no fault of
-/// the node.
+/// System call faults that are injected. Broken connections are excluded: they end client connections through no fault
+/// of the node.
 const CALL_FAULTS: [CallFault; 8] = [
     CallFault::ShortRead,
     CallFault::ShortWrite,
@@ -58,8 +58,8 @@
 pub enum Action {
     /// Pauses the process (SIGSTOP, then SIGCONT) for this time.
     Stall(Duration),
-    /// Sends a series of signals. After its first SIGTERM, SIGKILL follows once the platform's grace period has ended, and
-    /// the node is restarted.
+    /// Sends a series of signals. After its first SIGTERM, SIGKILL follows once the platform's grace period has ended,
+    /// and the node is restarted.
     Signals(Vec<TimedSignal>),
     /// Sends SIGKILL and restarts the node.
     Kill,
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -27,8 +27,8 @@
     assert!(calls.windows(2).any(|pair| pair[1].0 < pair[0].1), "no system call faults overlap");
 }
 
-/// Guards against signals that only come one at a time: a shutdown or reload must also be interrupted by the other, and by
-/// another of its kind.
+/// Guards against signals that only come one at a time: a shutdown or reload must also be interrupted by the other, and
+/// by another of its kind.
 #[test]
 fn each_pair_of_signals_comes_both_close_together_and_apart() {
     let events = schedule(7, 12, UNTIL);
