--- a/crates/cli/src/commands/demo/report.rs
+++ b/crates/cli/src/commands/demo/report.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use stonefold_emulator::{Emulator, Load, Summary};
+use stonefold_emulator::{Emulator, Load, LoadSummary};
 use stonefold_model::Verdict;
 
 use super::node_process::NodeProcess;
@@ -41,7 +41,7 @@
         "{:>5}s {:>8} {:>8} {:>7} {:>5.1}% {:>7.1}ms {:>7.1}ms {:>9} {:>7}",
         elapsed.as_secs(),
         latest.served,
-        latest.refused,
+        latest.rejected,
         latest.failed,
         hit_percentage,
         latest.p50_ms,
@@ -71,7 +71,7 @@
             {} times a rule was broken",
             summary.requests,
             summary.served,
-            summary.refused,
+            summary.rejected,
             summary.failed,
             summary.p50_ms,
             summary.p99_ms,
@@ -88,11 +88,11 @@
     Ok(out.flush()?)
 }
 
-fn summary_as_json(summary: &Summary, fetch_rate: f64, verdict: Verdict) -> serde_json::Value {
+fn summary_as_json(summary: &LoadSummary, fetch_rate: f64, verdict: Verdict) -> serde_json::Value {
     json!({
         "requests": summary.requests,
         "served": summary.served,
-        "refused": summary.refused,
+        "refused": summary.rejected,
         "failed": summary.failed,
         "p50_ms": summary.p50_ms,
         "p99_ms": summary.p99_ms,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use crate::fleet::Fleet;
-use crate::schedule::{has_crowd, schedule};
-use crate::{Options, Report, SoakError};
+use crate::schedule::{has_idle_clients, schedule};
+use crate::{Report, SoakError, SoakOptions};
 
 /// The part of the load's duration in which faults begin; the rest is left for recovery.
 const FAULT_WINDOW: f64 = 0.75;
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 /// If the site or a node can't be set up or started; broken rules are in the report instead.
-pub async fn run(options: Options) -> Result<Report, SoakError> {
+pub async fn run(options: SoakOptions) -> Result<Report, SoakError> {
     let seed = options.seed;
     let duration = options.duration;
     let events = schedule(seed, options.nodes as usize, duration.mul_f64(FAULT_WINDOW));
@@ -27,7 +27,7 @@
     Ok(Report {
         seed,
         events: event_count,
-        crowd: has_crowd(seed),
+        idle_clients: has_idle_clients(seed),
         summary: fleet.load.figures().0.summary(),
         verdict: fleet.emulator.verdict(),
         late_sends: fleet.emulator.late_sends(),
