--- a/crates/store/tests/corpus.rs
+++ b/crates/store/tests/corpus.rs
@@ -1,4 +1,4 @@
-//! The fuzz targets' corpus, replayed; and what version 1 wrote, which must stay readable.
+//! Replays the corpus of the fuzz targets, and checks that the files which version 1 wrote into it stay readable.
 
 mod hostile;
 
@@ -22,7 +22,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../fuzz/corpus").join(target)
 }
 
-/// One change of each kind, as version 1 has them.
+/// Changes as version 1 encodes them.
 fn changes() -> [Change; 3] {
     let admin_override = AdminOverride { disabled: true, since_ms: 5 };
     [
@@ -36,6 +36,7 @@
     Proposal { client: 1, sequence, change }
 }
 
+/// The state after all changes but the first, which writes a document.
 fn applied() -> AppliedState {
     let mut state = State::default();
     for (n, change) in (1..).zip(changes().into_iter().skip(1)) {
@@ -44,7 +45,7 @@
     AppliedState { state, ..AppliedState::default() }
 }
 
-/// Writes the corpus anew; by hand, when the format gets a new version.
+/// Writes the corpus. It is run by hand when a format gets a new version.
 #[test]
 #[ignore = "writes files"]
 fn write_corpus() {
@@ -56,15 +57,16 @@
         let entry = encode("a log entry", &Entry::from_app_data(proposal(1, change.clone()))).unwrap();
         write("entries", format!("v1-{n}"), &entry);
         write("entries", format!("cut-{n}"), &entry[..entry.len() / 2]);
-        let request = encode("a question", &Request::Propose(proposal(1, change))).unwrap();
+        let request = encode("a request", &Request::Propose(proposal(1, change))).unwrap();
         write("frames", format!("v1-{n}"), &request);
         write("frames", format!("version-{n}"), &[&[9], &request[1..]].concat());
     }
     write("frames", "long".into(), &[0xff; 64]);
-    write("frames", "party".into(), &encode("a party", &Caller::Member(3)).unwrap());
+    write("frames", "party".into(), &encode("a caller", &Caller::Member(3)).unwrap());
     let purge = Entry::from_app_data(proposal(1, Change::Purge { key: "k".into() }));
     write("entries", "v1-purge".into(), &encode("a log entry", &purge).unwrap());
-    // `v1-0`, and `cut-0` of it, are of before anybody followed: none is written so any more.
+    // The corpus also has `v1-0` and `cut-0` (the truncated `v1-0`), which date from before there were subscribers.
+    // Snapshots are no longer written in their form.
     write("snapshots", "v1-followed".into(), &seal("a snapshot", &applied()).unwrap());
     write("snapshots", "empty".into(), &[]);
     for (name, bytes) in frames() {
@@ -74,7 +76,7 @@
     }
 }
 
-/// A frame of each kind, as version 1 has them.
+/// Frames of the feed as version 1 encodes them, by their names in the corpus.
 fn frames() -> [(&'static str, Vec<u8>); 5] {
     let publisher = PublisherStatus {
         echoed_time: 5,
@@ -98,11 +100,11 @@
         purges: vec!["k".into()],
     };
     let part = ItemPart { revision: 6, offset: 0, total: 90, bytes: vec![1, 0, 1] };
-    let parted = Update { records: Vec::new(), part: Some(part), ..update.clone() };
-    let downlink = |update| encode_frame(&PublisherFrame::Update(Box::new(update))).unwrap();
+    let update_with_part = Update { records: Vec::new(), part: Some(part), ..update.clone() };
+    let publisher_frame = |update| encode_frame(&PublisherFrame::Update(Box::new(update))).unwrap();
     [
-        ("update", downlink(update)),
-        ("part", downlink(parted)),
+        ("update", publisher_frame(update)),
+        ("part", publisher_frame(update_with_part)),
         (
             "refused",
             encode_frame(&PublisherFrame::Rejected(SessionRejection::Ahead { theirs: 9, ours: 4 })).unwrap(),
@@ -122,28 +124,28 @@
 }
 
 #[test]
-fn the_corpus_never_panics_and_version_1_is_read() {
-    let mut read = 0;
-    for (target, play) in [
+fn the_corpus_causes_no_panic_and_version_1_stays_readable() {
+    let mut files = 0;
+    for (target, run_target) in [
         ("frames", hostile::frames as fn(&[u8])),
         ("entries", hostile::entries),
         ("snapshots", hostile::snapshots),
         ("feed", hostile::feed),
     ] {
         for file in fs::read_dir(folder(target)).unwrap() {
-            play(&fs::read(file.unwrap().path()).unwrap());
-            read += 1;
+            run_target(&fs::read(file.unwrap().path()).unwrap());
+            files += 1;
         }
     }
-    assert!(read >= 34, "{read}");
+    assert!(files >= 34, "{files} files");
     for (n, change) in changes().into_iter().enumerate() {
         let bytes = fs::read(folder("entries").join(format!("v1-{n}"))).unwrap();
         let entry: Entry = decode("a log entry", &bytes).unwrap();
         assert_eq!(entry.payload, Entry::from_app_data(proposal(1, change)).payload);
     }
     let purge: Entry = decode("a log entry", &fs::read(folder("entries").join("v1-purge")).unwrap()).unwrap();
-    let wanted = Entry::from_app_data(proposal(1, Change::Purge { key: "k".into() }));
-    assert_eq!(purge.payload, wanted.payload);
+    let expected = Entry::from_app_data(proposal(1, Change::Purge { key: "k".into() }));
+    assert_eq!(purge.payload, expected.payload);
     for name in ["v1-0", "v1-followed"] {
         let sealed = fs::read(folder("snapshots").join(name)).unwrap();
         let opened = open_snapshot(&sealed).unwrap();
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -1,6 +1,7 @@
-//! Members, relays and subscribers in virtual time, from a seed: the pure state machines over a network that delays,
-//! stalls and closes connections, with kills of members, relays and subscribers, members that lag, and slow readers.
-#![allow(dead_code)] // the command and the tests use different parts
+//! Simulates members, relays and subscribers in virtual time. Their state machines run over a network that delays,
+//! stalls and closes connections. Members, relays and subscribers are killed, members lag, and subscribers read slowly.
+//! A run's faults follow from its seed.
+#![allow(dead_code)] // the example and the tests use different parts
 
 pub(crate) mod check;
 pub(crate) mod cluster;
@@ -21,15 +22,15 @@
 
 pub(crate) type Millis = u64;
 
-/// What is broken on purpose, to test the checker.
+/// A bug that is injected to test the checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Broken {
     Nothing,
-    /// A publisher drops a record.
+    /// Publishers sometimes leave out a record.
     Record,
-    /// A node drops a purge.
+    /// Nodes sometimes drop purges.
     Purge,
-    /// A node loses its saved state at a restart.
+    /// Nodes lose their saved state when they restart.
     Disk,
 }
 
@@ -37,7 +38,7 @@
 pub(crate) const TICK_MS: Millis = 25;
 /// Until when faults are injected, in ms.
 pub(crate) const FAULTS_END: Millis = 30_000;
-/// From when on changes have to arrive in time, in ms.
+/// From when on the network is calm, so that changes have to arrive in time, in ms.
 pub(crate) const CALM_START: Millis = 55_000;
 /// Until when changes are made, in ms.
 pub(crate) const CHANGES_END: Millis = 62_000;
@@ -51,25 +52,29 @@
 /// A relay or a subscriber.
 pub(crate) struct Node {
     pub subscriber: Subscriber,
+    /// The addresses of its publishers, by tier.
     tiers: Vec<Vec<String>>,
-    /// The state that it used, as saved on its disk.
+    /// The state that it has saved on its disk.
     disk: FeedTable,
-    pub started: Millis,
+    /// When its current incarnation started.
+    pub started_at: Millis,
     pub incarnation: u64,
-    /// Until when it is down.
-    down: Option<Millis>,
+    /// Until when it is down; none while it runs.
+    down_until: Option<Millis>,
     /// Until when it reads nothing.
-    slow: Millis,
+    slow_until: Millis,
+    /// The id of its connection to a publisher.
     conn: Option<u64>,
     pub observed: Observed,
 }
 
 impl Node {
-    pub(crate) fn alive(&self) -> bool {
-        self.down.is_none()
+    pub(crate) fn is_alive(&self) -> bool {
+        self.down_until.is_none()
     }
 }
 
+/// The simulated cluster, its subscribers and the network between them.
 pub(crate) struct World {
     pub now: Millis,
     pub rng: Rng,
@@ -79,7 +84,9 @@
     net: Network,
     broken: Broken,
     pub kills: u64,
+    /// The number of slow subscribers that were disconnected.
     pub disconnected: u64,
+    /// The number of sessions that were rejected.
     pub rejected: u64,
 }
 
@@ -90,10 +97,11 @@
     pub changes: usize,
     pub purges: u64,
     pub kills: u64,
-    /// Slow subscribers that were disconnected.
+    /// The number of slow subscribers that were disconnected.
     pub disconnected: u64,
 }
 
+/// The address of a node.
 fn name(node: usize) -> String {
     match node {
         n if n < REGION_RELAYS => format!("region-{n}"),
@@ -102,10 +110,11 @@
     }
 }
 
+/// The publishers of a node, in tiers, of which the first is preferred.
 fn tiers(node: usize) -> Vec<Vec<String>> {
     let members = (0..MEMBERS).map(|n| format!("member-{n}")).collect();
     let regions = (0..REGION_RELAYS).map(name).collect();
-    // Two relays for each site.
+    // Each site has two relays.
     let site = (REGION_RELAYS + node % 2 * 2..REGION_RELAYS + node % 2 * 2 + 2).map(name).collect();
     match node {
         n if n < REGION_RELAYS => vec![members],
@@ -125,7 +134,7 @@
     Report {
         verdict,
         changes: world.log.entries.len(),
-        purges: world.log.purged(),
+        purges: world.log.purge_count(),
         kills: world.kills,
         disconnected: world.disconnected,
     }
@@ -138,10 +147,10 @@
             subscriber: subscriber(n, &FeedTable::default(), rng.u64(..)),
             tiers: tiers(n),
             disk: FeedTable::default(),
-            started: 0,
+            started_at: 0,
             incarnation: 0,
-            down: None,
-            slow: 0,
+            down_until: None,
+            slow_until: 0,
             conn: None,
             observed: Observed::default(),
         };
@@ -166,19 +175,19 @@
                 self.poll_subscriber(node)?;
             }
             self.send_updates()?;
-            check::always(self)?;
+            check::check_step(self)?;
         }
-        check::end(self)
+        check::check_end(self)
     }
 
-    /// Injects a fault now and then.
+    /// Injects faults at random.
     fn inject_faults(&mut self) {
         let now = self.now;
         if self.rng.u32(..100) == 0 {
             let node = self.rng.usize(..NODES);
             match self.rng.u32(..4) {
                 0 | 1 => self.kill(node),
-                2 => self.nodes[node].slow = now + self.rng.u64(500..15_000),
+                2 => self.nodes[node].slow_until = now + self.rng.u64(500..15_000),
                 _ => {
                     let until = now + self.rng.u64(500..8_000);
                     let reset = self.rng.bool();
@@ -190,54 +199,57 @@
             let (member, until) = (self.rng.usize(..MEMBERS), now + self.rng.u64(500..10_000));
             if self.rng.bool() {
                 self.kills += 1;
-                self.members[member].down = until;
+                self.members[member].down_until = until;
                 let is_notified = self.rng.bool();
-                self.net.lost(|conn| conn.server == format!("member-{member}"), is_notified, now);
+                self.net.disconnect(|conn| conn.server == format!("member-{member}"), is_notified, now);
             } else {
-                self.members[member].lags = until;
+                self.members[member].lagging_until = until;
             }
         }
     }
 
+    /// Ends all faults.
     fn heal(&mut self) {
         self.net.heal(self.now);
         for member in &mut self.members {
-            (member.down, member.lags) = (self.now, self.now);
+            (member.down_until, member.lagging_until) = (self.now, self.now);
         }
         for node in &mut self.nodes {
-            (node.slow, node.down) = (0, node.down.map(|_| self.now));
+            (node.slow_until, node.down_until) = (0, node.down_until.map(|_| self.now));
         }
     }
 
+    /// Kills a node, which restarts after a while.
     fn kill(&mut self, node: usize) {
-        if !self.nodes[node].alive() {
+        if !self.nodes[node].is_alive() {
             return;
         }
         self.kills += 1;
-        self.nodes[node].down = Some(self.now + self.rng.u64(200..5_000));
+        self.nodes[node].down_until = Some(self.now + self.rng.u64(200..5_000));
         let (name, is_notified) = (name(node), self.rng.bool());
-        // By a kill, which closes its connections, or by a power cut, which doesn't.
-        self.net.lost(|conn| conn.client == node || conn.server == name, is_notified, self.now);
+        // A killed process closes its connections; after a power cut the other sides are not notified.
+        self.net.disconnect(|conn| conn.client == node || conn.server == name, is_notified, self.now);
     }
 
+    /// Restarts the nodes whose downtime is over.
     fn restart_nodes(&mut self) {
         let (now, broken) = (self.now, self.broken);
         for n in 0..NODES {
             let node = &mut self.nodes[n];
-            if node.down.is_some_and(|until| until <= now) {
+            if node.down_until.is_some_and(|until| until <= now) {
                 let disk = if broken == Broken::Disk { FeedTable::default() } else { node.disk.clone() };
-                (node.subscriber, node.down, node.started) =
+                (node.subscriber, node.down_until, node.started_at) =
                     (subscriber(n, &disk, self.rng.u64(..)), None, now);
-                (node.incarnation, node.conn, node.slow) = (node.incarnation + 1, None, 0);
-                node.observed.restarted();
+                (node.incarnation, node.conn, node.slow_until) = (node.incarnation + 1, None, 0);
+                node.observed.on_restart();
             }
         }
     }
 
     /// Carries out the actions of a node's subscriber.
     fn poll_subscriber(&mut self, n: usize) -> Result<(), String> {
-        let (now, started) = (self.now, self.nodes[n].started);
-        if !self.nodes[n].alive() || now < self.nodes[n].slow {
+        let (now, started) = (self.now, self.nodes[n].started_at);
+        if !self.nodes[n].is_alive() || now < self.nodes[n].slow_until {
             return Ok(());
         }
         while let Some(action) = self.nodes[n].subscriber.poll(now - started) {
@@ -247,7 +259,7 @@
                 }
                 Action::Send(bytes) => {
                     if let Some(conn) = self.nodes[n].conn {
-                        self.net.up(conn, bytes, now, &mut self.rng);
+                        self.net.send_up(conn, bytes, now, &mut self.rng);
                     }
                 }
                 Action::Close(_) => {
@@ -260,7 +272,8 @@
         Ok(())
     }
 
-    /// Runs `work` on a publisher's table, with its staleness and whether it is a member; nothing if it is down.
+    /// Calls `work` with a publisher's table, its staleness and whether it is a member. Returns none if the publisher
+    /// is down.
     fn with_publisher<R>(
         &mut self,
         server: &str,
@@ -269,15 +282,15 @@
         let now = self.now;
         if let Some(member) = server.strip_prefix("member-") {
             let member = &mut self.members[member.parse::<usize>().ok()?];
-            let stale = member.confirmed.map(|at| now - at);
-            return (member.down <= now).then(|| work(&mut member.table, stale, true));
+            let stale = member.confirmed_at.map(|at| now - at);
+            return (member.down_until <= now).then(|| work(&mut member.table, stale, true));
         }
         let node = &mut self.nodes[server.rsplit('-').next()?.parse::<usize>().ok()?];
-        let stale = node.subscriber.stale_ms(now - node.started);
-        node.alive().then(|| work(&mut node.subscriber.table, stale, false))
+        let stale = node.subscriber.stale_ms(now - node.started_at);
+        node.is_alive().then(|| work(&mut node.subscriber.table, stale, false))
     }
 
-    /// Delivers what has arrived by now.
+    /// Delivers the messages that have arrived by now on all connections.
     fn deliver_all(&mut self) -> Result<(), String> {
         for id in self.net.ids() {
             let Some(mut conn) = self.net.conns.remove(&id) else { continue };
@@ -288,55 +301,57 @@
         Ok(())
     }
 
-    /// Delivers what has arrived on a connection; whether it is still open.
+    /// Delivers the messages that have arrived on a connection. Returns whether it is still open.
     fn deliver(&mut self, id: u64, conn: &mut Conn) -> Result<bool, String> {
         let (now, n) = (self.now, conn.client);
-        let mine = self.nodes[n].alive() && self.nodes[n].conn == Some(id);
-        if conn.opening.is_some_and(|at| at <= now && now >= conn.stalled) {
-            conn.opening = None;
-            let up = self.with_publisher(&conn.server, |_, _, _| ()).is_some();
-            if !up {
-                return Ok(self.lose(id, mine));
+        let is_current = self.nodes[n].is_alive() && self.nodes[n].conn == Some(id);
+        if conn.opens_at.is_some_and(|at| at <= now && now >= conn.stalled_until) {
+            conn.opens_at = None;
+            let is_up = self.with_publisher(&conn.server, |_, _, _| ()).is_some();
+            if !is_up {
+                return Ok(self.notify_closed(id, is_current));
             }
-            if mine {
-                let local = now - self.nodes[n].started;
-                let hello = self.nodes[n].subscriber.on_connected(local);
-                conn.up.push_back((now + self.rng.u64(1..40), hello));
+            if is_current {
+                let local_now = now - self.nodes[n].started_at;
+                let hello = self.nodes[n].subscriber.on_connected(local_now);
+                conn.uplink.push_back((now + self.rng.u64(1..40), hello));
             }
         }
-        while let Some(bytes) = net::arrived(&mut conn.up, conn.stalled, now) {
+        while let Some(bytes) = net::pop_arrived(&mut conn.uplink, conn.stalled_until, now) {
             if !self.receive_at_publisher(conn, &bytes) {
-                conn.closing = Some(now);
+                conn.closes_at = Some(now);
                 break;
             }
         }
-        if mine && now >= self.nodes[n].slow {
-            while let Some(bytes) = net::arrived(&mut conn.down, conn.stalled, now) {
+        if is_current && now >= self.nodes[n].slow_until {
+            while let Some(bytes) = net::pop_arrived(&mut conn.downlink, conn.stalled_until, now) {
                 if !self.receive_at_subscriber(n, &bytes)? {
                     self.nodes[n].conn = None;
                     return Ok(false);
                 }
             }
         }
-        let ended = conn.closing.is_some_and(|at| at <= now) && (conn.down.is_empty() || !mine);
-        Ok(if ended { self.lose(id, mine) } else { true })
+        let has_ended =
+            conn.closes_at.is_some_and(|at| at <= now) && (conn.downlink.is_empty() || !is_current);
+        Ok(if has_ended { self.notify_closed(id, is_current) } else { true })
     }
 
-    /// Closes a connection at its client, if that still has it.
-    fn lose(&mut self, id: u64, mine: bool) -> bool {
-        if let Some(n) = (0..NODES).find(|&n| mine && self.nodes[n].conn == Some(id)) {
-            let local = self.now - self.nodes[n].started;
-            self.nodes[n].subscriber.on_closed(local);
+    /// Notifies a connection's client, if it still uses the connection, that it is closed. Always returns false,
+    /// because the connection isn't open any more.
+    fn notify_closed(&mut self, id: u64, is_current: bool) -> bool {
+        if let Some(n) = (0..NODES).find(|&n| is_current && self.nodes[n].conn == Some(id)) {
+            let local_now = self.now - self.nodes[n].started_at;
+            self.nodes[n].subscriber.on_closed(local_now);
             self.nodes[n].conn = None;
         }
         false
     }
 
-    /// A publisher receives a frame; whether the session goes on.
+    /// Processes a frame that a publisher receives. Returns whether the session goes on.
     fn receive_at_publisher(&mut self, conn: &mut Conn, bytes: &[u8]) -> bool {
         let (now, limits) = (self.now, SessionLimits::default());
         let Ok(frame) = decode_frame::<SubscriberFrame>(bytes) else { return false };
-        let done = match (frame, &mut conn.session) {
+        let result = match (frame, &mut conn.session) {
             (SubscriberFrame::Hello(hello), None) => {
                 match self.with_publisher(&conn.server, |table, _, member| {
                     PublisherSession::open(&hello, table, member, limits, now)
@@ -345,47 +360,48 @@
                         conn.session = Some(session);
                         Ok(())
                     }
-                    Some(Err(why)) => Err(why),
+                    Some(Err(reason)) => Err(reason),
                     None => return false,
                 }
             }
             (SubscriberFrame::Ack(ack), Some(session)) => session.on_ack(ack, now),
             _ => return false,
         };
-        match done {
+        match result {
             Ok(()) => true,
-            Err(why) => self.reject(conn, why),
+            Err(reason) => self.reject(conn, reason),
         }
     }
 
-    fn reject(&mut self, conn: &mut Conn, why: SessionRejection) -> bool {
+    /// Rejects a session. Always returns false, because the session ends.
+    fn reject(&mut self, conn: &mut Conn, reason: SessionRejection) -> bool {
         self.rejected += 1;
-        self.disconnected += u64::from(matches!(why, SessionRejection::TooSlow(_)));
-        if let Ok(bytes) = encode_frame(&PublisherFrame::Rejected(why)) {
-            conn.down.push_back((self.now + 1, bytes));
+        self.disconnected += u64::from(matches!(reason, SessionRejection::TooSlow(_)));
+        if let Ok(bytes) = encode_frame(&PublisherFrame::Rejected(reason)) {
+            conn.downlink.push_back((self.now + 1, bytes));
         }
         conn.session = None;
         false
     }
 
-    /// A subscriber receives a frame; whether the connection goes on.
+    /// Processes a frame that a subscriber receives. Returns whether the connection goes on.
     fn receive_at_subscriber(&mut self, n: usize, bytes: &[u8]) -> Result<bool, String> {
         let (now, broken) = (self.now, self.broken);
         let node = &mut self.nodes[n];
-        let local = now - node.started;
-        match node.subscriber.on_frame(bytes, local) {
+        let local_now = now - node.started_at;
+        match node.subscriber.on_frame(bytes, local_now) {
             Ok(events) => {
                 for event in events {
                     if let Event::Changed(_) = &event {
                         node.disk = node.subscriber.table.clone();
                     }
                     let dropped = broken == Broken::Purge && self.rng.u32(..200) == 0;
-                    node.observed.event(event, &node.subscriber.table, now, dropped)?;
+                    node.observed.on_event(event, &node.subscriber.table, now, dropped)?;
                 }
                 Ok(true)
             }
             Err(_) => {
-                node.subscriber.on_closed(local);
+                node.subscriber.on_closed(local_now);
                 Ok(false)
             }
         }
@@ -402,14 +418,14 @@
                 match polled {
                     Some(Ok(Some(bytes))) => {
                         let bytes = self.maybe_drop_record(bytes);
-                        conn.account(bytes.len(), now)?;
+                        conn.check_send_rate(bytes.len(), now)?;
                         conn.send_down(bytes, now, &mut self.rng);
                         conn.session = Some(session);
                     }
                     Some(Ok(None)) | None => conn.session = Some(session),
-                    Some(Err(why)) => {
-                        self.reject(&mut conn, why);
-                        conn.closing = Some(now);
+                    Some(Err(reason)) => {
+                        self.reject(&mut conn, reason);
+                        conn.closes_at = Some(now);
                     }
                 }
             }
@@ -418,6 +434,7 @@
         Ok(())
     }
 
+    /// With [`Broken::Record`], removes the first record of some updates.
     fn maybe_drop_record(&mut self, bytes: Vec<u8>) -> Vec<u8> {
         if self.broken != Broken::Record || self.rng.u32(..20) > 0 {
             return bytes;
--- a/crates/store/tests/feed_sim/net.rs
+++ b/crates/store/tests/feed_sim/net.rs
@@ -1,4 +1,5 @@
-//! Connections in virtual time: in order, delayed, stalled, and lost with or without a notice to the client.
+//! Connections in virtual time. They deliver messages in order, delay them and stall, and end with or without a notice
+//! to the client.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,64 +8,74 @@
 
 use super::{CALM_START, Millis};
 
+/// Messages on their way, each with the time at which it arrives.
 pub(crate) type Queue = VecDeque<(Millis, Vec<u8>)>;
 
+/// A connection of a subscriber to a publisher.
 pub(crate) struct Conn {
+    /// The subscriber's node.
     pub client: usize,
+    /// The publisher's address.
     pub server: String,
-    pub opening: Option<Millis>,
-    pub up: Queue,
-    pub down: Queue,
-    /// Nothing arrives before this.
-    pub stalled: Millis,
-    /// When the client is notified that it has ended.
-    pub closing: Option<Millis>,
+    /// When the connection opens; none once it is open.
+    pub opens_at: Option<Millis>,
+    /// Messages to the publisher.
+    pub uplink: Queue,
+    /// Messages to the subscriber.
+    pub downlink: Queue,
+    /// Nothing arrives before this time.
+    pub stalled_until: Millis,
+    /// When the client is notified that the connection has ended.
+    pub closes_at: Option<Millis>,
+    /// The publisher's session; none before the hello and after the session's end.
     pub session: Option<PublisherSession>,
-    /// Since when bytes are counted, and how many.
-    counted: Option<(Millis, u64)>,
+    /// The time of the first sent message, and the number of bytes sent since.
+    sent: Option<(Millis, u64)>,
 }
 
 impl Conn {
     pub(crate) fn send_down(&mut self, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
-        send(&mut self.down, bytes, now, rng);
+        send(&mut self.downlink, bytes, now, rng);
     }
 
-    /// Checks that a subscriber is sent no more than the limits allow.
-    pub(crate) fn account(&mut self, bytes: usize, now: Millis) -> Result<(), String> {
+    /// Counts sent bytes, and checks that the publisher sends no more than its limits allow.
+    pub(crate) fn check_send_rate(&mut self, bytes: usize, now: Millis) -> Result<(), String> {
         let limits = SessionLimits::default();
-        let (since, all) = self.counted.get_or_insert((now, 0));
-        *all += bytes as u64 + 72;
-        // A frame may overdraw the bucket, and heartbeats go out in any case.
-        let passed = now - *since;
-        let most = limits.burst_bytes
+        let (since, sent_bytes) = self.sent.get_or_insert((now, 0));
+        *sent_bytes += bytes as u64 + 72;
+        // A frame may overdraw the token bucket, and heartbeats are sent in any case.
+        let elapsed = now - *since;
+        let max_bytes = limits.burst_bytes
             + limits.purge_reserve_bytes
             + 2 * limits.max_payload_bytes as u64
-            + limits.bytes_per_second * passed / 1_000
-            + 150 * (1 + passed / limits.heartbeat_interval);
-        if *all <= most {
+            + limits.bytes_per_second * elapsed / 1_000
+            + 150 * (1 + elapsed / limits.heartbeat_interval);
+        if *sent_bytes <= max_bytes {
             Ok(())
         } else {
-            Err(format!("{} bytes sent in {passed} ms, at most {most} may be", *all))
+            Err(format!("{} bytes sent in {elapsed} ms, of at most {max_bytes}", *sent_bytes))
         }
     }
 }
 
 fn send(queue: &mut Queue, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
-    // A lost segment is retransmitted after a while; a calm network loses none.
-    let lost = if now < CALM_START && rng.u32(..100) < 2 { rng.u64(200..500) } else { 0 };
-    let after = queue.back().map_or(0, |(at, _)| *at);
-    queue.push_back((after.max(now + rng.u64(1..40) + lost), bytes));
+    // A lost segment arrives later, with its retransmission. A calm network loses none.
+    let retransmission_delay = if now < CALM_START && rng.u32(..100) < 2 { rng.u64(200..500) } else { 0 };
+    let previous = queue.back().map_or(0, |(at, _)| *at);
+    queue.push_back((previous.max(now + rng.u64(1..40) + retransmission_delay), bytes));
 }
 
-/// The next message, if it has arrived.
-pub(crate) fn arrived(queue: &mut Queue, stalled: Millis, now: Millis) -> Option<Vec<u8>> {
-    let there = now >= stalled && queue.front().is_some_and(|(at, _)| *at <= now);
-    if there { queue.pop_front().map(|(_, bytes)| bytes) } else { None }
+/// Removes the next message if it has arrived.
+pub(crate) fn pop_arrived(queue: &mut Queue, stalled_until: Millis, now: Millis) -> Option<Vec<u8>> {
+    let has_arrived = now >= stalled_until && queue.front().is_some_and(|(at, _)| *at <= now);
+    if has_arrived { queue.pop_front().map(|(_, bytes)| bytes) } else { None }
 }
 
+/// All connections, by their ids.
 #[derive(Default)]
 pub(crate) struct Network {
-    next: u64,
+    /// The id of the latest connection.
+    last_id: u64,
     pub conns: BTreeMap<u64, Conn>,
     /// Nodes whose network is stalled, and until when.
     stalls: BTreeMap<usize, Millis>,
@@ -76,63 +87,65 @@
     }
 
     pub(crate) fn connect(&mut self, client: usize, server: String, now: Millis, rng: &mut Rng) -> u64 {
-        self.next += 1;
-        let stalled = self.stalls.get(&client).copied().unwrap_or(0);
+        self.last_id += 1;
+        let stalled_until = self.stalls.get(&client).copied().unwrap_or(0);
         let conn = Conn {
             client,
             server,
-            opening: Some(now + rng.u64(2..80)),
-            up: Queue::new(),
-            down: Queue::new(),
-            stalled,
-            closing: None,
+            opens_at: Some(now + rng.u64(2..80)),
+            uplink: Queue::new(),
+            downlink: Queue::new(),
+            stalled_until,
+            closes_at: None,
             session: None,
-            counted: None,
+            sent: None,
         };
-        self.conns.insert(self.next, conn);
-        self.next
+        self.conns.insert(self.last_id, conn);
+        self.last_id
     }
 
-    pub(crate) fn up(&mut self, id: u64, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
+    /// Sends a message to the connection's publisher.
+    pub(crate) fn send_up(&mut self, id: u64, bytes: Vec<u8>, now: Millis, rng: &mut Rng) {
         if let Some(conn) = self.conns.get_mut(&id) {
-            send(&mut conn.up, bytes, now, rng);
+            send(&mut conn.uplink, bytes, now, rng);
         }
     }
 
-    /// Closes a connection by its client.
+    /// Closes a connection on behalf of its client.
     pub(crate) fn close(&mut self, id: u64, now: Millis) {
         if let Some(conn) = self.conns.get_mut(&id) {
-            (conn.closing, conn.session) = (Some(now), None);
+            (conn.closes_at, conn.session) = (Some(now), None);
         }
     }
 
-    /// Stalls a node's network; with `reset` its connections end with the stall.
+    /// Stalls a node's network. With `reset` its connections end when the stall does.
     pub(crate) fn stall(&mut self, node: usize, until: Millis, reset: bool, now: Millis) {
         self.stalls.insert(node, until);
         for conn in self.conns.values_mut().filter(|conn| conn.client == node) {
-            conn.stalled = conn.stalled.max(until);
+            conn.stalled_until = conn.stalled_until.max(until);
             if reset {
-                conn.closing = Some(now.max(until));
+                conn.closes_at = Some(now.max(until));
             }
         }
     }
 
-    /// Ends connections; their clients are notified, or find out by the silence.
-    pub(crate) fn lost(&mut self, which: impl Fn(&Conn) -> bool, is_notified: bool, now: Millis) {
-        for conn in self.conns.values_mut().filter(|conn| which(conn)) {
+    /// Ends connections. Their clients are notified, or have to notice that nothing arrives any more.
+    pub(crate) fn disconnect(&mut self, selected: impl Fn(&Conn) -> bool, is_notified: bool, now: Millis) {
+        for conn in self.conns.values_mut().filter(|conn| selected(conn)) {
             conn.session = None;
-            conn.up.clear();
-            conn.down.clear();
-            conn.opening = None;
-            conn.closing = is_notified.then_some(now);
-            conn.stalled = if is_notified { conn.stalled } else { Millis::MAX };
+            conn.uplink.clear();
+            conn.downlink.clear();
+            conn.opens_at = None;
+            conn.closes_at = is_notified.then_some(now);
+            conn.stalled_until = if is_notified { conn.stalled_until } else { Millis::MAX };
         }
     }
 
+    /// Ends all stalls, but doesn't restore connections that have ended.
     pub(crate) fn heal(&mut self, now: Millis) {
         self.stalls.clear();
-        for conn in self.conns.values_mut().filter(|conn| conn.stalled != Millis::MAX) {
-            conn.stalled = conn.stalled.min(now);
+        for conn in self.conns.values_mut().filter(|conn| conn.stalled_until != Millis::MAX) {
+            conn.stalled_until = conn.stalled_until.min(now);
         }
     }
 }
--- a/crates/store/tests/feed_simulation.rs
+++ b/crates/store/tests/feed_simulation.rs
@@ -1,4 +1,5 @@
-//! Distribution in virtual time; see `feed_sim`. A thousand seeds: `cargo run --release --example feed_simulate`.
+//! Simulations of the distribution to subscribers in virtual time; see `feed_sim`. A thousand seeds are run by
+//! `cargo run --release --example feed_simulate`.
 
 mod feed_sim;
 
@@ -7,19 +8,20 @@
 use feed_sim::{Broken, run};
 
 #[test]
-fn no_change_is_skipped_or_reverted_and_a_calm_network_is_timely() {
-    let of = |worker: u64| {
+fn no_change_is_skipped_or_reverted_and_without_faults_all_arrive_in_time() {
+    let run_worker = |worker: u64| {
         (worker..50).step_by(4).fold((0, 0), |(kills, disconnected), seed| {
             let report = run(seed, Broken::Nothing);
             assert_eq!(report.verdict, Ok(()), "seed {seed}");
             (kills + report.kills, disconnected + report.disconnected)
         })
     };
-    let all: Vec<(u64, u64)> = thread::scope(|scope| {
-        let runs: Vec<_> = (0..4).map(|worker| scope.spawn(move || of(worker))).collect();
+    let counts: Vec<(u64, u64)> = thread::scope(|scope| {
+        let runs: Vec<_> = (0..4).map(|worker| scope.spawn(move || run_worker(worker))).collect();
         runs.into_iter().map(|run| run.join().unwrap()).collect()
     });
-    let (kills, disconnected) = all.into_iter().fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
+    let (kills, disconnected) =
+        counts.into_iter().fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1));
     assert!(
         kills > 200 && disconnected > 5,
         "{kills} kills, {disconnected} slow subscribers disconnected: too few faults"
@@ -27,12 +29,13 @@
 }
 
 #[test]
-fn the_checker_detects_a_lost_record_a_lost_purge_and_a_step_back() {
-    for (broken, what) in
-        [(Broken::Record, "skipped"), (Broken::Purge, "comes after"), (Broken::Disk, "a step back")]
+fn the_checker_detects_a_lost_record_a_lost_purge_and_an_older_version() {
+    for (broken, expected) in
+        [(Broken::Record, "skipped"), (Broken::Purge, "comes after"), (Broken::Disk, "went back")]
     {
-        let found = (0..50)
-            .find_map(|seed| run(seed, broken).verdict.err().filter(|violation| violation.contains(what)));
-        assert!(found.is_some(), "{broken:?} shows in none of 50 seeds");
+        let found = (0..50).find_map(|seed| {
+            run(seed, broken).verdict.err().filter(|violation| violation.contains(expected))
+        });
+        assert!(found.is_some(), "{broken:?} is detected with none of 50 seeds");
     }
 }
--- a/crates/store/tests/hostile/mod.rs
+++ b/crates/store/tests/hostile/mod.rs
@@ -1,5 +1,6 @@
-//! Feeds arbitrary bytes to everything that decodes: they are rejected or decoded completely, and nothing panics.
-#![allow(dead_code)] // each target uses its own
+//! Feeds arbitrary bytes to all decoders, for the fuzz targets and the replay of their corpus. The bytes have to be
+//! rejected or decoded completely, and nothing may panic.
+#![allow(dead_code)] // each fuzz target uses only its own function
 
 use stonefold_store::codec::{decode, encode};
 use stonefold_store::feed::frame::{
@@ -14,6 +15,7 @@
 use stonefold_store::snapshot::open_snapshot;
 use stonefold_store::wire::{self, HELLO_BYTES, Keys, Opener, ServerHandshake};
 
+/// Feeds bytes to the handshake, to the opener of sealed messages, and to the decoders of requests and responses.
 pub(crate) fn frames(bytes: &[u8]) {
     let keys = Keys::new(wire::Key::new([1; 32]), None);
     if let Some(hello) = bytes.first_chunk::<HELLO_BYTES>() {
@@ -25,24 +27,27 @@
     {
         let _ = opener.open(&rest[..length.min(rest.len())]);
     }
-    let _ = decode::<Response>("an answer", bytes);
-    if let Ok(request) = decode::<Request>("a question", bytes) {
-        assert_eq!(encode("a question", &request).unwrap().first(), bytes.first());
+    let _ = decode::<Response>("a response", bytes);
+    if let Ok(request) = decode::<Request>("a request", bytes) {
+        assert_eq!(encode("a request", &request).unwrap().first(), bytes.first());
     }
 }
 
+/// Feeds bytes to the decoder of log entries. An entry that is decoded has to be the same after another round trip.
 pub(crate) fn entries(bytes: &[u8]) {
     if let Ok(entry) = decode::<Entry>("a log entry", bytes) {
-        let again = encode("a log entry", &entry).unwrap();
-        assert_eq!(decode::<Entry>("a log entry", &again).unwrap(), entry);
+        let encoded = encode("a log entry", &entry).unwrap();
+        assert_eq!(decode::<Entry>("a log entry", &encoded).unwrap(), entry);
     }
 }
 
+/// Feeds bytes to the reader of snapshots.
 pub(crate) fn snapshots(bytes: &[u8]) {
     let _ = open_snapshot(bytes);
 }
 
-/// Feeds bytes to a subscriber and to a publisher's session that have a few items.
+/// Feeds bytes, as a frame of the other side, to a subscriber and to a publisher's session that have a few items. The
+/// subscriber must not go back, nor apply a frame that it rejects.
 pub(crate) fn feed(bytes: &[u8]) {
     let mut table = FeedTable::default();
     let name = "d".to_owned();
@@ -57,13 +62,13 @@
     let mut subscriber = Subscriber::new(table.clone(), PublisherSelector::new(1, &[vec!["p".into()]], 1));
     subscriber.poll(0);
     subscriber.on_connected(0);
-    let before = (subscriber.table.items().clone(), subscriber.table.revision());
-    let taken = subscriber.on_frame(bytes, 1_000);
+    let (items_before, revision_before) = (subscriber.table.items().clone(), subscriber.table.revision());
+    let result = subscriber.on_frame(bytes, 1_000);
     let (items, revision) = (subscriber.table.items(), subscriber.table.revision());
-    match taken {
-        Err(_) => assert_eq!((items, revision), (&before.0, before.1)),
+    match result {
+        Err(_) => assert_eq!((items, revision), (&items_before, revision_before)),
         Ok(_) => {
-            assert!(revision >= before.1 && subscriber.table.list_version() >= 9);
+            assert!(revision >= revision_before && subscriber.table.list_version() >= 9);
             let revision_of = |key: &ItemKey| items.get(key).map(|held| held.revision);
             assert!(
                 revision_of(&ItemKey::List) >= Some(4) && revision_of(&ItemKey::Document(name)) >= Some(3)
--- a/crates/store/tests/sim/check.rs
+++ b/crates/store/tests/sim/check.rs
@@ -1,32 +1,33 @@
-//! Invariants of a history, whatever faults there were.
+//! Checks the invariants of a run's history, which have to hold under all faults.
 
 use std::collections::BTreeMap;
 
 use stonefold_store::applied::AppliedState;
 
-/// An operation of a client: a write of a text, or a read. Times are virtual.
+/// An operation of a client: a write of a document, or a read. Times are virtual, in ns from the client's start.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Operation {
     pub name: String,
-    pub begun: u128,
-    /// When and with what revision it ended; nothing for a write whose reply was lost.
-    pub ended: Option<(u128, u64)>,
-    /// The text that it wrote or read; empty if there was none.
+    pub started: u128,
+    /// The time at which it completed, and the document's revision then; none for a write whose reply did not arrive.
+    pub completed: Option<(u128, u64)>,
+    /// The text that it wrote or read; empty if it read no document.
     pub text: String,
     pub write: bool,
-    /// The revision that a write has to follow.
+    /// The revision that a write requires to be the latest one before it; none if any may be.
     pub after: Option<u64>,
 }
 
-/// A list that a node has used.
+/// The use of a list by a node.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ListUse {
     pub member: u64,
     pub incarnation: u64,
+    /// The list's version.
     pub list: u64,
 }
 
-/// Checks all invariants; the first violation.
+/// Checks all invariants. Returns the first violation. `last` has the final state of each replica.
 pub(crate) fn check(
     operations: &[Operation],
     list_uses: &[ListUse],
@@ -42,64 +43,71 @@
     check_lists_never_go_back(list_uses)
 }
 
-/// Each document is a register whose values are numbered: an operation that begins after another one has ended sees the
-/// value of that one, or a later one.
+/// Checks that the operations on each document are linearizable. A document is a register whose values are numbered by
+/// revision: an operation that starts after another one has completed sees the value of that one or a later one, and a
+/// write creates a later one.
 fn check_linearizable(operations: &[Operation]) -> Result<(), String> {
     let mut texts: BTreeMap<(&str, u64), &str> = BTreeMap::new();
-    for op in operations {
-        let Some((_, revision)) = op.ended.filter(|(_, revision)| *revision > 0) else { continue };
-        let text = texts.entry((&op.name, revision)).or_insert(&op.text);
-        if *text != op.text {
-            return Err(format!("revision {revision} of {} is {text:?} and {:?}", op.name, op.text));
+    for operation in operations {
+        let Some((_, revision)) = operation.completed.filter(|(_, revision)| *revision > 0) else { continue };
+        let text = texts.entry((&operation.name, revision)).or_insert(&operation.text);
+        if *text != operation.text {
+            return Err(format!(
+                "revision {revision} of {} is {text:?} and {:?}",
+                operation.name, operation.text
+            ));
         }
     }
     for first in operations {
-        let Some((end, seen)) = first.ended else { continue };
-        for then in operations.iter().filter(|then| then.name == first.name && then.begun > end) {
-            let Some((_, revision)) = then.ended else { continue };
-            if revision < seen || revision == seen && then.write {
-                return Err(format!("{then:?} goes back behind {first:?}"));
+        let Some((completed_at, first_revision)) = first.completed else { continue };
+        for second in
+            operations.iter().filter(|second| second.name == first.name && second.started > completed_at)
+        {
+            let Some((_, revision)) = second.completed else { continue };
+            if revision < first_revision || revision == first_revision && second.write {
+                return Err(format!("{second:?} is not linearizable after {first:?}"));
             }
         }
     }
     Ok(())
 }
 
-/// Each acknowledged write is in the history once, after the revision that it has to follow.
+/// Checks that each acknowledged write is in the document's history exactly once, directly after the revision that it
+/// requires, unless its revision is no longer retained.
 fn check_acknowledged(operations: &[Operation], applied: &AppliedState) -> Result<(), String> {
-    for op in operations.iter().filter(|op| op.write) {
-        let history: Vec<_> = applied.state.history(&op.name).collect();
+    for operation in operations.iter().filter(|operation| operation.write) {
+        let history: Vec<_> = applied.state.history(&operation.name).collect();
         let indexes: Vec<usize> =
-            (0..history.len()).filter(|&index| history[index].text == op.text).collect();
+            (0..history.len()).filter(|&index| history[index].text == operation.text).collect();
         if indexes.len() > 1 {
-            return Err(format!("{op:?} was made twice"));
+            return Err(format!("{operation:?} was applied twice"));
         }
-        let Some((_, revision)) = op.ended else { continue };
+        let Some((_, revision)) = operation.completed else { continue };
         let oldest = history.first().map_or(u64::MAX, |oldest| oldest.revision);
         let Some(&index) = indexes.first() else {
             if revision >= oldest || history.is_empty() {
-                return Err(format!("{op:?} is lost"));
+                return Err(format!("{operation:?} is lost"));
             }
             continue; // too old to be retained
         };
         if history[index].revision != revision {
-            return Err(format!("{op:?} stands as {}", history[index].revision));
+            return Err(format!("{operation:?} has revision {} in the history", history[index].revision));
         }
-        if index > 0 && op.after.is_some_and(|after| after != history[index - 1].revision) {
-            return Err(format!("{op:?} follows on {}", history[index - 1].revision));
+        if index > 0 && operation.after.is_some_and(|after| after != history[index - 1].revision) {
+            return Err(format!("{operation:?} follows revision {}", history[index - 1].revision));
         }
     }
     Ok(())
 }
 
-/// No node uses a list that is older than one it used in any of its incarnations: lists come from the store here, and so
-/// were known to be committed.
+/// Checks that no node uses a list that is older than one that it used before, in this incarnation or an earlier one.
+/// Here all lists come from the store, so each was known to be committed when it was used.
 fn check_lists_never_go_back(list_uses: &[ListUse]) -> Result<(), String> {
     let mut last: BTreeMap<u64, u64> = BTreeMap::new();
-    for act in list_uses {
-        let before = last.insert(act.member, act.list).unwrap_or(0);
-        if act.list < before {
-            return Err(format!("{act:?} after {before}"));
+    for list_use in list_uses {
+        let before = last.insert(list_use.member, list_use.list).unwrap_or(0);
+        if list_use.list < before {
+            return Err(format!("{list_use:?} after {before}"));
         }
     }
     Ok(())
--- a/crates/store/tests/sim/client.rs
+++ b/crates/store/tests/sim/client.rs
@@ -32,7 +32,7 @@
 }
 
 impl Member {
-    /// The revision and the text of a document; 0 if there is none.
+    /// The revision and the text of a document as this member has applied them; 0 and an empty text if there is none.
     fn latest(&self, name: &str) -> (u64, String) {
         let applied = self.replica.shared().read();
         let latest = applied.state.document(name);
@@ -70,7 +70,7 @@
         Some(Member { id: *id, incarnation: *incarnation, replica: replica.clone() })
     }
 
-    /// Whether a response of the member arrives: one that it sends after its end doesn't.
+    /// Whether the member's incarnation still runs. Responses that it sends after its end don't arrive.
     fn is_running(&self, member: &Member) -> bool {
         self.net.is_running(member.id, member.incarnation)
     }
@@ -80,7 +80,7 @@
     }
 
     async fn read(&self, member: &Member, name: String, deadline: Instant) -> Option<Operation> {
-        let begun = self.elapsed().as_nanos();
+        let started = self.elapsed().as_nanos();
         if self.broken != Broken::Quorum && member.replica.confirm(deadline).await.is_err() {
             return None;
         }
@@ -88,13 +88,13 @@
             return None;
         }
         let (revision, text) = member.latest(&name);
-        let ended = Some((self.elapsed().as_nanos(), revision));
-        Some(Operation { name, begun, ended, text, write: false, after: None })
+        let completed = Some((self.elapsed().as_nanos(), revision));
+        Some(Operation { name, started, completed, text, write: false, after: None })
     }
 
-    /// Writes a document, or a list, which is no recorded operation.
+    /// Writes a document, or sometimes a list. Only writes of documents are recorded.
     async fn write(&mut self, member: &Member, name: String, deadline: Instant) -> Option<Operation> {
-        let begun = self.elapsed().as_nanos();
+        let started = self.elapsed().as_nanos();
         self.sequence += 1;
         let text = format!("{}-{}", self.id, self.sequence);
         let after = fastrand::bool().then(|| member.latest(&name).0);
@@ -107,14 +107,14 @@
             Change::Document { name, text, author: String::new(), at_ms: 0, after }
         };
         let proposal = Proposal { client: self.id, sequence: self.sequence, change };
-        let ended = match member.replica.propose(proposal, deadline).await {
+        let completed = match member.replica.propose(proposal, deadline).await {
             _ if is_list => return None,
             Ok(Reply::Applied(revision)) if self.is_running(member) => {
                 Some((self.elapsed().as_nanos(), revision))
             }
-            Ok(Reply::Rejected(_)) => return None, // at every replica alike
+            Ok(Reply::Rejected(_)) => return None, // every replica rejects it alike, so nothing has changed
             Ok(_) | Err(_) => None,
         };
-        Some(Operation { name, begun, ended, text, write: true, after })
+        Some(Operation { name, started, completed, text, write: true, after })
     }
 }
--- a/crates/store/tests/sim/memory_disk.rs
+++ b/crates/store/tests/sim/memory_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that loses what was not synced, tears what was being written, and fails on demand.
+//! A disk in memory. A power cut loses unsynced writes or tears them, and writes fail on demand.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,14 +6,17 @@
 
 use redb::StorageBackend;
 
+/// A write to the disk.
 #[derive(Debug, Clone)]
 enum Write {
+    /// Bytes, and their offset.
     Bytes(usize, Vec<u8>),
+    /// A new length.
     Length(usize),
 }
 
 impl Write {
-    fn to(&self, image: &mut Vec<u8>) {
+    fn apply_to(&self, image: &mut Vec<u8>) {
         match self {
             Write::Bytes(at, bytes) => {
                 image.resize(image.len().max(at + bytes.len()), 0);
@@ -26,13 +29,15 @@
 
 #[derive(Debug, Default)]
 struct Image {
-    now: Vec<u8>,
+    /// The contents, with all writes.
+    current: Vec<u8>,
+    /// The contents at the last sync.
     synced: Vec<u8>,
-    /// Since the last sync.
+    /// The writes since the last sync.
     unsynced: Vec<Write>,
 }
 
-/// A disk that outlives the processes that use it.
+/// A disk that remains when a process that uses it ends. Clones share their contents.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct MemoryDisk {
     image: Arc<Mutex<Image>>,
@@ -45,23 +50,25 @@
         self.image.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What a power cut leaves: all that was synced, and of the rest any part, the last of it torn.
+    /// The disk after a power cut. It has everything that was synced, and a random part of the unsynced writes, some of
+    /// them torn.
     pub(crate) fn after_power_cut(&self) -> MemoryDisk {
         let image = self.image();
-        let mut left = image.synced.clone();
+        let mut remaining = image.synced.clone();
         for write in &image.unsynced {
             match write {
                 _ if fastrand::bool() => {}
                 Write::Bytes(at, bytes) if fastrand::u8(..8) == 0 => {
                     let torn = bytes[..fastrand::usize(..=bytes.len())].to_vec();
-                    Write::Bytes(*at, torn).to(&mut left);
+                    Write::Bytes(*at, torn).apply_to(&mut remaining);
                 }
-                whole => whole.to(&mut left),
+                complete => complete.apply_to(&mut remaining),
             }
         }
-        // A length that was set and lost comes with the bytes behind it.
-        left.resize(left.len().max(image.synced.len()), 0);
-        let image = Image { now: left.clone(), synced: left, unsynced: Vec::new() };
+        // The file stays at least as long as at the last sync. If a growth of it is lost, the writes behind its old end
+        // extend it all the same.
+        remaining.resize(remaining.len().max(image.synced.len()), 0);
+        let image = Image { current: remaining.clone(), synced: remaining, unsynced: Vec::new() };
         MemoryDisk { image: Arc::new(Mutex::new(image)), full: Arc::default() }
     }
 
@@ -70,7 +77,7 @@
             return Err(io::ErrorKind::StorageFull.into());
         }
         let mut image = self.image();
-        write.to(&mut image.now);
+        write.apply_to(&mut image.current);
         image.unsynced.push(write);
         Ok(())
     }
@@ -78,11 +85,11 @@
 
 impl StorageBackend for MemoryDisk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.image().now.len() as u64)
+        Ok(self.image().current.len() as u64)
     }
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let (image, at) = (self.image(), offset as usize);
-        let bytes = image.now.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let bytes = image.current.get(at..at + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
         Ok(())
     }
@@ -93,7 +100,7 @@
         let mut image = self.image();
         let unsynced = std::mem::take(&mut image.unsynced);
         for write in &unsynced {
-            write.to(&mut image.synced);
+            write.apply_to(&mut image.synced);
         }
         Ok(())
     }
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Clusters in virtual time, on simulated disks and a simulated network: every fault follows from a seed.
+//! Simulates clusters in virtual time, on simulated disks and a simulated network. A run's faults follow from its seed.
 
 pub(crate) mod check;
 mod client;
@@ -22,14 +22,14 @@
 use stonefold_store::state::{AdminOverride, Change, Proposal};
 use tokio::time::{Instant, sleep};
 
-/// What is broken on purpose, to test the checker.
+/// A bug that is injected to test the checker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum Broken {
     #[default]
     Nothing,
     /// Writes are acknowledged before they are synced.
     Sync,
-    /// Reads don't ask a quorum for the read index.
+    /// Reads are not confirmed by a quorum.
     Quorum,
 }
 
@@ -38,8 +38,11 @@
 pub(crate) struct Report {
     pub operations: Vec<Operation>,
     pub list_uses: Vec<ListUse>,
+    /// The number of operations that completed.
     pub answered: usize,
+    /// The number of members that were killed.
     pub kills: u64,
+    /// The first violation of an invariant, or the reason why the cluster did not recover.
     pub verdict: Result<(), String>,
 }
 
@@ -49,6 +52,7 @@
 /// How long the cluster may take to recover from them.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
+/// What the clients and the nodes record during a run.
 #[derive(Default)]
 struct Records {
     operations: Vec<Operation>,
@@ -62,21 +66,21 @@
     kills: u64,
     broken: Broken,
     records: Arc<Mutex<Records>>,
-    /// The member in each slot; one that was removed is replaced by a new one.
+    /// The member in each slot. A removed member is replaced by a new one.
     slots: Vec<MemberId>,
-    /// Why a disk could not be used.
-    wrong: Option<String>,
+    /// Why a disk could not be opened after a power cut.
+    disk_error: Option<String>,
 }
 
-/// Runs a cluster of this many members.
+/// Simulates a cluster with this many members.
 pub(crate) fn run(seed: u64, members: u64, broken: Broken) -> Report {
     fastrand::seed(seed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    runtime.unwrap().block_on(play(members, broken))
+    runtime.unwrap().block_on(simulate(members, broken))
 }
 
-async fn play(members: u64, broken: Broken) -> Report {
-    let mut cluster = Cluster::form(members, broken).await;
+async fn simulate(members: u64, broken: Broken) -> Report {
+    let mut cluster = Cluster::bootstrap(members, broken).await;
     let clients: Vec<_> = (0..4)
         .map(|id| Client::new(id, cluster.net.clone(), cluster.records.clone(), broken))
         .map(|client| tokio::spawn(client.run()))
@@ -94,8 +98,8 @@
 }
 
 impl Cluster {
-    /// Starts the members, and makes all of them voters.
-    async fn form(members: u64, broken: Broken) -> Cluster {
+    /// Starts the members, and adds all of them to a cluster as voters.
+    async fn bootstrap(members: u64, broken: Broken) -> Cluster {
         let net = Network::default();
         let mut cluster = Cluster {
             net: net.clone(),
@@ -105,32 +109,33 @@
             broken,
             records: Arc::default(),
             slots: (1..=members).collect(),
-            wrong: None,
+            disk_error: None,
         };
         net.links().delay = 5;
         for member in 1..=members {
             cluster.disks.insert(member, MemoryDisk::default());
             cluster.start(member).await;
         }
-        let first = net.replica(1).unwrap();
-        first.bootstrap().await.unwrap();
+        let leader = net.replica(1).unwrap();
+        leader.bootstrap().await.unwrap();
         for member in 2..=members {
             let add = Request::AddMember { member, addr: addr(member) };
-            let answer = first.answer(Caller::Client, add).await;
-            assert!(format!("{answer:?}").contains("Ok"), "{answer:?}");
+            let response = leader.answer(Caller::Client, add).await;
+            assert!(format!("{response:?}").contains("Ok"), "{response:?}");
         }
         cluster
     }
 
-    /// Waits until the cluster has settled, and checks the invariants.
+    /// Waits until the cluster has recovered, and checks the invariants.
     async fn report(mut self) -> Report {
-        let last = match self.wrong.take() {
-            Some(wrong) => Err(wrong),
-            None => self.settle().await,
+        let final_states = match self.disk_error.take() {
+            Some(disk_error) => Err(disk_error),
+            None => self.await_recovery().await,
         };
         let records = self.records.lock().unwrap();
-        let verdict = last.and_then(|last| check::check(&records.operations, &records.list_uses, &last));
-        let answered = records.operations.iter().filter(|operation| operation.ended.is_some()).count();
+        let verdict =
+            final_states.and_then(|states| check::check(&records.operations, &records.list_uses, &states));
+        let answered = records.operations.iter().filter(|operation| operation.completed.is_some()).count();
         let (operations, list_uses) = (records.operations.clone(), records.list_uses.clone());
         Report { operations, list_uses, answered, kills: self.kills, verdict }
     }
@@ -138,13 +143,13 @@
     async fn start(&mut self, member: MemberId) {
         self.incarnations += 1;
         let incarnation = self.incarnations;
-        let wire = SimulatedTransport { net: self.net.clone(), me: member, incarnation };
+        let transport = SimulatedTransport { net: self.net.clone(), me: member, incarnation };
         let disk = Disk::with_backend(self.disks[&member].clone(), Identity { cluster: CLUSTER, member });
         let full = self.disks[&member].full.load(std::sync::atomic::Ordering::Relaxed);
         let disk = match disk {
             Ok(disk) => disk,
-            Err(_) if full => return,
-            Err(error) => return self.wrong = Some(format!("a disk after a power cut: {error}")),
+            Err(_) if full => return, // a full disk can't be opened
+            Err(error) => return self.disk_error = Some(format!("a disk after a power cut: {error}")),
         };
         let disk = if self.broken == Broken::Sync { disk.unsynced() } else { disk };
         let options = ReplicaOptions {
@@ -152,20 +157,21 @@
             retained_entries: 3,
             ..ReplicaOptions::new(addr(member))
         };
-        let Ok(replica) = Replica::start(disk, options, wire).await else { return };
+        let Ok(replica) = Replica::start(disk, options, transport).await else { return };
         self.net.links().running.insert(member, (incarnation, replica.clone()));
         tokio::spawn(use_lists(member, incarnation, replica, self.net.clone(), self.records.clone()));
     }
 
-    /// Ends a member as a power cut does: nothing that it sends from now on arrives.
+    /// Ends a member as a power cut does. Nothing that it sends from now on arrives.
     async fn kill(&mut self, member: MemberId) {
         let Some((_, replica)) = self.net.links().running.remove(&member) else { return };
-        let left = self.disks[&member].after_power_cut();
-        self.disks.insert(member, left);
+        let remaining = self.disks[&member].after_power_cut();
+        self.disks.insert(member, remaining);
         self.kills += 1;
         replica.stop().await;
     }
 
+    /// Injects a random fault, ends one, or changes the membership.
     async fn inject_fault(&mut self) {
         let member = self.slots[fastrand::usize(..self.slots.len())];
         let running = self.net.links().running.contains_key(&member);
@@ -173,15 +179,16 @@
             0 | 1 if running => self.kill(member).await,
             2 => {
                 for member in self.slots.clone() {
-                    self.kill(member).await; // all at once
+                    self.kill(member).await; // all members at once
                 }
             }
             0..=4 if !running => self.start(member).await,
             5 | 6 => {
-                let (near, far): (Vec<_>, Vec<_>) = self.slots.iter().partition(|_| fastrand::bool());
-                let pair = |(a, b): (MemberId, MemberId)| (a.min(b), a.max(b));
-                let pairs = near.iter().flat_map(|&&a| far.iter().map(move |&&b| (a, b)));
-                let partitioned = pairs.map(pair).collect();
+                let (one_side, other_side): (Vec<_>, Vec<_>) =
+                    self.slots.iter().partition(|_| fastrand::bool());
+                let ordered = |(a, b): (MemberId, MemberId)| (a.min(b), a.max(b));
+                let pairs = one_side.iter().flat_map(|&&a| other_side.iter().map(move |&&b| (a, b)));
+                let partitioned = pairs.map(ordered).collect();
                 self.net.links().partitioned = partitioned;
             }
             7 | 8 => self.net.links().partitioned.clear(),
@@ -191,9 +198,9 @@
             }
             10 => self.disks[&member].full.store(fastrand::bool(), std::sync::atomic::Ordering::Relaxed),
             _ => {
-                // A member is removed for good, or a new one added, while others change.
+                // A random member removes or adds one, possibly while another membership change is in progress.
                 self.replace_removed().await;
-                let Some(by) = self.net.replica(self.slots[fastrand::usize(..self.slots.len())]) else {
+                let Some(replica) = self.net.replica(self.slots[fastrand::usize(..self.slots.len())]) else {
                     return;
                 };
                 let change = if fastrand::bool() {
@@ -201,12 +208,13 @@
                 } else {
                     Request::AddMember { member, addr: addr(member) }
                 };
-                tokio::spawn(async move { by.answer(Caller::Client, change).await });
+                tokio::spawn(async move { replica.answer(Caller::Client, change).await });
             }
         }
     }
 
-    /// Ends all faults, and starts every member.
+    /// Ends all faults, and starts every member that doesn't run. A member whose disk was full or whose replica has
+    /// stopped is restarted.
     async fn heal(&mut self) {
         {
             let mut links = self.net.links();
@@ -225,12 +233,15 @@
         }
     }
 
-    /// A new member, with an empty disk and a new id, takes the slot of each that was removed.
+    /// Replaces each member that was removed from the cluster by a new one with an empty disk and a new id.
     async fn replace_removed(&mut self) {
-        let known: Vec<_> = self.slots.iter().filter_map(|&member| self.net.replica(member)).collect();
+        let replicas: Vec<_> = self.slots.iter().filter_map(|&member| self.net.replica(member)).collect();
         for slot in 0..self.slots.len() {
             let member = self.slots[slot];
-            if known.iter().any(|replica| replica.shared().read().state.removed_members().contains(&member)) {
+            if replicas
+                .iter()
+                .any(|replica| replica.shared().read().state.removed_members().contains(&member))
+            {
                 self.kill(member).await;
                 let new = self.disks.keys().last().unwrap() + 1;
                 self.disks.insert(new, MemoryDisk::default());
@@ -244,16 +255,16 @@
         self.slots.iter().filter_map(|&member| self.net.replica(member)).collect()
     }
 
-    /// Waits until every slot has a voter and all have applied the same entries; what each of them has applied.
-    async fn settle(&mut self) -> Result<Vec<AppliedState>, String> {
-        let (end, mut sequence) = (Instant::now() + RECOVERY_TIMEOUT, 0);
-        while Instant::now() < end {
+    /// Waits until every slot has a voter and all have applied the same entries. Returns what each of them has applied.
+    async fn await_recovery(&mut self) -> Result<Vec<AppliedState>, String> {
+        let (deadline, mut sequence) = (Instant::now() + RECOVERY_TIMEOUT, 0);
+        while Instant::now() < deadline {
             self.replace_removed().await;
             let replicas = self.replicas();
-            let votes = |member: MemberId| {
+            let is_voter = |member: MemberId| {
                 replicas.iter().all(|r| r.members().get(&member).is_some_and(|m| m.is_voter))
             };
-            for &member in self.slots.iter().filter(|&&member| !votes(member)) {
+            for &member in self.slots.iter().filter(|&&member| !is_voter(member)) {
                 for replica in &replicas {
                     let add = Request::AddMember { member, addr: addr(member) };
                     replica.answer(Caller::Client, add).await;
@@ -263,14 +274,14 @@
             let admin_override = AdminOverride { disabled: true, since_ms: 0 };
             let change = Change::Override { server: "s-1".into(), admin_override };
             let proposal = Proposal { client: u64::MAX, sequence, change };
-            let until = Instant::now() + Duration::from_secs(5);
-            if replicas[0].propose(proposal, until).await.is_ok() {
+            let proposal_deadline = Instant::now() + Duration::from_secs(5);
+            if replicas[0].propose(proposal, proposal_deadline).await.is_ok() {
                 sleep(Duration::from_secs(2)).await;
-                let last: Vec<_> = replicas.iter().map(|replica| replica.shared().read().clone()).collect();
-                if last.iter().all(|applied| applied.last == last[0].last)
-                    && self.slots.iter().all(|&m| votes(m))
+                let states: Vec<_> = replicas.iter().map(|replica| replica.shared().read().clone()).collect();
+                if states.iter().all(|applied| applied.last == states[0].last)
+                    && self.slots.iter().all(|&m| is_voter(m))
                 {
-                    return Ok(last);
+                    return Ok(states);
                 }
             }
         }
@@ -280,7 +291,7 @@
     }
 }
 
-/// A node: it uses each list that it may use.
+/// Uses lists as a node does: each new one that it may use.
 async fn use_lists(
     member: MemberId,
     incarnation: u64,
@@ -292,8 +303,8 @@
     let mut applied = replica.applied_index();
     loop {
         let list = replica.shared().read().state.list().map_or(0, |list| list.version);
-        let verdict = replica.freshness(|freshness, _| freshness.use_list(list));
-        if verdict == VersionCheck::Newer && net.is_running(member, incarnation) {
+        let check = replica.freshness(|freshness, _| freshness.use_list(list));
+        if check == VersionCheck::Newer && net.is_running(member, incarnation) {
             records.lock().unwrap().list_uses.push(ListUse { member, incarnation, list });
         }
         if applied.changed().await.is_err() {
--- a/crates/store/tests/sim/net.rs
+++ b/crates/store/tests/sim/net.rs
@@ -12,19 +12,20 @@
 use stonefold_store::replica::{Replica, Transport};
 use tokio::time::{sleep, timeout};
 
+/// The state of the network and of the members on it.
 #[derive(Default)]
 pub(crate) struct Links {
     /// The running members, with their incarnation.
     pub running: BTreeMap<MemberId, (u64, Replica<SimulatedTransport>)>,
     /// Pairs of members between which no messages pass.
     pub partitioned: BTreeSet<(MemberId, MemberId)>,
-    /// Messages lost, in percent.
+    /// The probability that a message is lost, in percent.
     pub loss: u32,
     /// The longest delay of a message, in ms.
     pub delay: u64,
 }
 
-/// The network; its clones are the same one.
+/// The network. Clones share their state.
 #[derive(Clone, Default)]
 pub(crate) struct Network(Arc<Mutex<Links>>);
 
@@ -45,7 +46,7 @@
     format!("sim:{member}")
 }
 
-/// One incarnation of a member on the network.
+/// The transport of one incarnation of a member on the network.
 #[derive(Clone)]
 pub(crate) struct SimulatedTransport {
     pub net: Network,
@@ -54,8 +55,8 @@
 }
 
 impl SimulatedTransport {
-    /// Delays a message; whether it arrives.
-    async fn passes(&self, to: MemberId) -> bool {
+    /// Delays a message. Returns whether it arrives.
+    async fn deliver(&self, to: MemberId) -> bool {
         let delay = {
             let links = self.net.links();
             let pair = (self.me.min(to), self.me.max(to));
@@ -66,29 +67,32 @@
             Some(delay) => sleep(delay).await,
             None => return false,
         }
-        // A member that has ended neither sends nor receives any more.
+        // Messages of an incarnation don't arrive any more once a later one of the same member runs. A member that is
+        // still starting is not among the running ones.
         self.net.links().running.get(&self.me).is_none_or(|(incarnation, _)| *incarnation == self.incarnation)
     }
 
     async fn exchange(&self, member: MemberId, request: Request) -> Result<Response, RequestError> {
-        let nobody = || RequestError::Unreachable("nobody there".into());
-        if !self.passes(member).await {
+        let unreachable = || RequestError::Unreachable("the member is not running".into());
+        if !self.deliver(member).await {
             return std::future::pending().await;
         }
-        let (incarnation, replica) = self.net.links().running.get(&member).cloned().ok_or_else(nobody)?;
+        let (incarnation, replica) =
+            self.net.links().running.get(&member).cloned().ok_or_else(unreachable)?;
         let (caller, identity) = (Caller::Member(self.me), replica.identity());
         let introduction = Introduction { cluster: identity.cluster, caller, addr: addr(self.me) };
         admit(&introduction, identity.cluster, identity.member, &replica.members())
             .map_err(|error| RequestError::Rejected(error.to_string()))?;
-        // Encoded, as between processes. The request is carried out even if nobody waits for the response.
-        let request: Request = decode("a question", &encode("a question", &request).unwrap()).unwrap();
-        let answer = tokio::spawn(async move { replica.answer(caller, request).await });
-        let answer = answer.await.map_err(|_| nobody())?;
-        // What it has done after its end is on no disk, and no response arrives.
-        if !self.net.is_running(member, incarnation) || !self.passes(member).await {
+        // Messages are encoded and decoded as between processes. The request is carried out even if the caller stops
+        // waiting for the response.
+        let request: Request = decode("a request", &encode("a request", &request).unwrap()).unwrap();
+        let response = tokio::spawn(async move { replica.answer(caller, request).await });
+        let response = response.await.map_err(|_| unreachable())?;
+        // If the member has ended meanwhile, no response arrives: what it did after its end may be on no disk.
+        if !self.net.is_running(member, incarnation) || !self.deliver(member).await {
             return std::future::pending().await;
         }
-        Ok(decode("an answer", &encode("an answer", &answer).unwrap()).unwrap())
+        Ok(decode("a response", &encode("a response", &response).unwrap()).unwrap())
     }
 }
 
@@ -100,7 +104,8 @@
         request: Request,
         wait: Duration,
     ) -> BoxFuture<'static, Result<Response, RequestError>> {
-        let (wire, late) = (self.clone(), |_| RequestError::Unreachable("no answer in time".into()));
-        Box::pin(async move { timeout(wait, wire.exchange(member, request)).await.map_err(late)? })
+        let (transport, timed_out) =
+            (self.clone(), |_| RequestError::Unreachable("no response in time".into()));
+        Box::pin(async move { timeout(wait, transport.exchange(member, request)).await.map_err(timed_out)? })
     }
 }
--- a/crates/store/tests/simulation.rs
+++ b/crates/store/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Clusters of three and five in virtual time; see `sim`.
+//! Simulations of clusters with three and five members in virtual time; see `sim`.
 
 mod sim;
 
@@ -14,16 +14,17 @@
 use stonefold_store::state::{AdminOverride, Change, Proposal};
 use tokio::time::Instant;
 
-/// Runs many seeds on all cores; the first that violates an invariant, and which one.
+/// Runs many seeds on all cores. Returns the first seed that violates an invariant, and the violation.
 fn first_failure(seeds: std::ops::Range<u64>, members: u64, broken: Broken) -> Option<(u64, String)> {
     let workers = thread::available_parallelism().map_or(2, |cores| cores.get()) as u64;
     thread::scope(|scope| {
         let runs: Vec<_> = (0..workers)
             .map(|worker| {
-                let mine = seeds.clone().filter(move |seed| seed % workers == worker);
+                let worker_seeds = seeds.clone().filter(move |seed| seed % workers == worker);
                 scope.spawn(move || {
-                    mine.map(|seed| (seed, run(seed, members, broken)))
-                        .find_map(|(seed, report)| report.verdict.err().map(|what| (seed, what)))
+                    worker_seeds
+                        .map(|seed| (seed, run(seed, members, broken)))
+                        .find_map(|(seed, report)| report.verdict.err().map(|violation| (seed, violation)))
                 })
             })
             .collect();
@@ -40,7 +41,7 @@
 #[test]
 fn the_checker_detects_missing_syncs_and_reads_without_a_quorum() {
     for broken in [Broken::Sync, Broken::Quorum] {
-        assert!(first_failure(0..40, 3, broken).is_some(), "{broken:?} shows in none of 40 seeds");
+        assert!(first_failure(0..40, 3, broken).is_some(), "{broken:?} is detected with none of 40 seeds");
     }
 }
 
@@ -51,29 +52,29 @@
         let net = Network::default();
         for member in [1, 2] {
             let disk = Disk::with_backend(MemoryDisk::default(), Identity { cluster: 1, member }).unwrap();
-            let wire = SimulatedTransport { net: net.clone(), me: member, incarnation: member };
-            let replica = Replica::start(disk, ReplicaOptions::new(addr(member)), wire).await.unwrap();
+            let transport = SimulatedTransport { net: net.clone(), me: member, incarnation: member };
+            let replica = Replica::start(disk, ReplicaOptions::new(addr(member)), transport).await.unwrap();
             net.links().running.insert(member, (member, replica));
         }
-        let first = net.replica(1).unwrap();
-        first.bootstrap().await.unwrap();
-        let added = first.answer(Caller::Client, Request::AddMember { member: 2, addr: addr(2) }).await;
-        assert!(matches!(added, Response::MembersChanged(Ok(()))), "{added:?}");
+        let leader = net.replica(1).unwrap();
+        leader.bootstrap().await.unwrap();
+        let response = leader.answer(Caller::Client, Request::AddMember { member: 2, addr: addr(2) }).await;
+        assert!(matches!(response, Response::MembersChanged(Ok(()))), "{response:?}");
         net.links().partitioned.insert((1, 2));
-        let mut refused = 0;
+        let mut failed = 0;
         for client in 0..600 {
             let change = Change::Override {
                 server: "s-1".into(),
                 admin_override: AdminOverride { disabled: true, since_ms: 0 },
             };
             let proposal = Proposal { client, sequence: 1, change };
-            refused += u32::from(
-                first.propose(proposal, Instant::now() + Duration::from_millis(100)).await.is_err(),
+            failed += u32::from(
+                leader.propose(proposal, Instant::now() + Duration::from_millis(100)).await.is_err(),
             );
         }
-        let status = first.status();
+        let status = leader.status();
         assert!(
-            refused == 600 && (100..=256).contains(&(status.last_index - status.applied_index)),
+            failed == 600 && (100..=256).contains(&(status.last_index - status.applied_index)),
             "{status:?}"
         );
     });
--- a/crates/store/tests/storage.rs
+++ b/crates/store/tests/storage.rs
@@ -1,4 +1,5 @@
-//! The disk: the engine's own test suite, other versions, damage, and two processes at one file.
+//! Tests of the disk: openraft's storage suite, power cuts, full disks, other versions, damage, and two processes that
+//! open one file.
 
 #[path = "sim/memory_disk.rs"]
 mod memory_disk;
@@ -17,20 +18,21 @@
 use stonefold_store::state_machine::StateMachine;
 use tokio::sync::watch;
 
-const MINE: Identity = Identity { cluster: 7, member: 1 };
+const IDENTITY: Identity = Identity { cluster: 7, member: 1 };
 
-struct Fresh;
+/// Builds an empty disk and its state machine.
+struct EmptyStore;
 
-impl StoreBuilder<TypeConfig, Disk, StateMachine, ()> for Fresh {
+impl StoreBuilder<TypeConfig, Disk, StateMachine, ()> for EmptyStore {
     async fn build(&self) -> Result<((), Disk, StateMachine), StorageError> {
-        let disk = Disk::with_backend(MemoryDisk::default(), MINE).unwrap();
+        let disk = Disk::with_backend(MemoryDisk::default(), IDENTITY).unwrap();
         Ok(((), disk.clone(), StateMachine::new(disk, watch::channel(0).0).unwrap()))
     }
 }
 
 #[test]
-fn the_disk_passes_the_engines_storage_suite() {
-    Suite::test_all(Fresh).unwrap();
+fn the_disk_passes_the_storage_suite_of_openraft() {
+    Suite::test_all(EmptyStore).unwrap();
 }
 
 fn entry(index: u64) -> Entry {
@@ -46,38 +48,38 @@
     for seed in 0..60 {
         fastrand::seed(seed);
         let memory_disk = MemoryDisk::default();
-        let mut disk = Disk::with_backend(memory_disk.clone(), MINE).unwrap();
+        let mut disk = Disk::with_backend(memory_disk.clone(), IDENTITY).unwrap();
         disk.save_vote(&Vote::new(3, 2)).await.unwrap();
         disk.blocking_append((1..=5).map(entry)).await.unwrap();
         disk.save_committed(Some(entry(5).log_id)).await.unwrap();
-        // Not synced yet when the power goes, in whatever part it has come to the disk.
+        // This write is not synced before the power cut, so any part of it may be on the disk.
         disk.clone().unsynced().save_vote(&Vote::new(3, 2)).await.unwrap();
-        let mut again = Disk::with_backend(memory_disk.after_power_cut(), MINE).unwrap();
-        assert_eq!(again.entries(..).unwrap(), (1..=5).map(entry).collect::<Vec<_>>(), "seed {seed}");
-        assert_eq!(again.read_vote().await.unwrap(), Some(Vote::new(3, 2)));
-        assert_eq!(again.read_committed().await.unwrap(), Some(entry(5).log_id));
+        let mut reopened = Disk::with_backend(memory_disk.after_power_cut(), IDENTITY).unwrap();
+        assert_eq!(reopened.entries(..).unwrap(), (1..=5).map(entry).collect::<Vec<_>>(), "seed {seed}");
+        assert_eq!(reopened.read_vote().await.unwrap(), Some(Vote::new(3, 2)));
+        assert_eq!(reopened.read_committed().await.unwrap(), Some(entry(5).log_id));
     }
 }
 
 #[tokio::test]
-async fn a_leader_that_restarts_has_to_be_elected_anew() {
-    let mut disk = Disk::with_backend(MemoryDisk::default(), MINE).unwrap();
-    for (leader, leads_on) in [(1, false), (2, true)] {
+async fn a_leader_that_restarts_has_to_be_elected_again() {
+    let mut disk = Disk::with_backend(MemoryDisk::default(), IDENTITY).unwrap();
+    for (leader, stays_committed) in [(1, false), (2, true)] {
         disk.save_vote(&Vote::new_committed(5, leader)).await.unwrap();
-        assert_eq!(disk.read_vote().await.unwrap().unwrap().committed, leads_on);
+        assert_eq!(disk.read_vote().await.unwrap().unwrap().committed, stays_committed);
     }
 }
 
 #[tokio::test]
 async fn a_full_disk_fails_writes_and_keeps_its_entries() {
     let memory_disk = MemoryDisk::default();
-    let mut disk = Disk::with_backend(memory_disk.clone(), MINE).unwrap();
+    let mut disk = Disk::with_backend(memory_disk.clone(), IDENTITY).unwrap();
     disk.blocking_append([entry(1)]).await.unwrap();
     memory_disk.full.store(true, std::sync::atomic::Ordering::Relaxed);
     let error = disk.blocking_append([entry(2)]).await.unwrap_err();
     assert!(error.to_string().contains("storage"), "{error}");
-    let again = Disk::with_backend(memory_disk.after_power_cut(), MINE).unwrap();
-    assert_eq!(again.entries(..).unwrap(), [entry(1)]);
+    let reopened = Disk::with_backend(memory_disk.after_power_cut(), IDENTITY).unwrap();
+    assert_eq!(reopened.entries(..).unwrap(), [entry(1)]);
 }
 
 #[test]
@@ -89,32 +91,33 @@
     let error = decode::<Entry>("a log entry", &newer).unwrap_err();
     assert_eq!(error, CodecError::Version { what: "a log entry", found: 9 });
     assert!(error.to_string().contains("version 9"), "{error}");
-    // Cut anywhere, or with more behind it.
+    // Bytes truncated at any length, and trailing bytes, are rejected.
     assert!((0..bytes.len()).all(|end| decode::<Entry>("a log entry", &bytes[..end]).is_err()));
     assert!(decode::<Entry>("a log entry", &[&bytes[..], &[0]].concat()).is_err());
-    // A kind of change that this version doesn't know.
+    // A variant of a change that this version doesn't know is rejected.
     let unknown = encode("a change", &(77u8, 1u8)).unwrap();
     assert!(matches!(decode::<Change>("a change", &unknown), Err(CodecError::Damaged(..))));
 }
 
 #[tokio::test]
 async fn a_damaged_snapshot_is_not_installed() {
-    let (mut all, mut new) = ([Fresh.build().await.unwrap().2], Fresh.build().await.unwrap().2);
-    all[0].apply((1..=4).map(entry)).await.unwrap();
-    let snapshot = all[0].get_snapshot_builder().await.build_snapshot().await.unwrap();
+    let (mut sources, mut target) =
+        ([EmptyStore.build().await.unwrap().2], EmptyStore.build().await.unwrap().2);
+    sources[0].apply((1..=4).map(entry)).await.unwrap();
+    let snapshot = sources[0].get_snapshot_builder().await.build_snapshot().await.unwrap();
     let sealed = snapshot.snapshot.get_ref().clone();
-    for place in 0..sealed.len() {
-        let (cut, mut changed) = (sealed[..place].to_vec(), sealed.clone());
-        changed[place] ^= 1;
-        for bad in [cut, changed] {
-            assert!(open_snapshot(&bad).is_err());
+    for position in 0..sealed.len() {
+        let (truncated, mut altered) = (sealed[..position].to_vec(), sealed.clone());
+        altered[position] ^= 1;
+        for damaged in [truncated, altered] {
+            assert!(open_snapshot(&damaged).is_err());
         }
     }
-    let cut = Box::new(std::io::Cursor::new(sealed[..sealed.len() - 1].to_vec()));
-    assert!(new.install_snapshot(&snapshot.meta, cut).await.is_err());
-    assert_eq!(new.applied_state().await.unwrap().0, None, "nothing of it");
-    new.install_snapshot(&snapshot.meta, snapshot.snapshot).await.unwrap();
-    assert_eq!(new.shared().read().state, all[0].shared().read().state);
+    let truncated = Box::new(std::io::Cursor::new(sealed[..sealed.len() - 1].to_vec()));
+    assert!(target.install_snapshot(&snapshot.meta, truncated).await.is_err());
+    assert_eq!(target.applied_state().await.unwrap().0, None, "a damaged snapshot was applied in part");
+    target.install_snapshot(&snapshot.meta, snapshot.snapshot).await.unwrap();
+    assert_eq!(target.shared().read().state, sources[0].shared().read().state);
     assert_eq!(
         unseal::<AppliedState>("s", &seal("s", &AppliedState::default()).unwrap()).unwrap().last,
         None
@@ -122,14 +125,14 @@
 }
 
 #[test]
-fn a_folder_holds_one_store_that_one_process_opens() {
+fn a_folder_holds_one_store_and_only_one_process_may_open_it() {
     let dir = tempfile::tempdir().unwrap();
     assert!(matches!(Disk::open(dir.path()), Err(DiskError::Missing(_))));
-    let disk = Disk::create(dir.path(), MINE).unwrap();
+    let disk = Disk::create(dir.path(), IDENTITY).unwrap();
     let busy = Disk::open(dir.path()).unwrap_err();
     assert!(busy.to_string().contains("already open"), "{busy}");
     drop(disk);
     let error = Disk::create(dir.path(), Identity { cluster: 8, member: 2 }).unwrap_err();
     assert!(matches!(error, DiskError::Exists { member: 1, cluster: 7, .. }), "{error}");
-    assert_eq!(Disk::open(dir.path()).unwrap().identity(), MINE);
+    assert_eq!(Disk::open(dir.path()).unwrap().identity(), IDENTITY);
 }
