--- a/crates/store/tests/compatibility/disk.rs
+++ b/crates/store/tests/compatibility/disk.rs
@@ -1,7 +1,7 @@
-//! The replica's file: identity, vote, log and snapshot.
+//! The replica's database file: identity, vote, log and snapshot.
 //!
-//! The database's file is mostly empty: its fixture holds the length and the pages that have anything in them. What
-//! stands in its tables is a fixture too, as the program has to write it byte for byte.
+//! Most pages of the file are empty, so its fixture has only the file's length and its other pages. The rows of
+//! the database's tables are another fixture, because the program has to write them byte for byte.
 
 use std::fs;
 use std::path::Path;
@@ -23,7 +23,8 @@
 const PAGE_BYTES: usize = 4096;
 const IDENTITY: Identity = Identity { cluster: 9, member: 1 };
 
-/// Makes a replica's disk in a folder, as an engine does that has applied half of its log.
+/// Creates a replica's disk in a folder, as a replica leaves it that has applied, snapshotted and purged parts of its
+/// log.
 async fn create(folder: &Path) {
     let mut disk = Disk::create(folder, IDENTITY).unwrap();
     disk.save_vote(&Vote::new_committed(3, 2)).await.unwrap();
@@ -33,6 +34,7 @@
     disk.purge(history::log_id(4)).await.unwrap();
 }
 
+/// The fixture of a database file: its length, and the number and the bytes of each page that isn't empty.
 fn pages(file: &[u8]) -> Vec<u8> {
     let mut pages = (file.len() as u64).to_be_bytes().to_vec();
     for (number, page) in (0u64..).zip(file.chunks(PAGE_BYTES)) {
@@ -44,7 +46,7 @@
     pages
 }
 
-/// Writes the database's file into a folder.
+/// Writes the database file of the fixture into a folder.
 fn unpack(folder: &Path) {
     let pages = fixture::read(PAGES_FILE);
     let number = |bytes: &[u8]| u64::from_be_bytes(bytes.try_into().unwrap()) as usize;
@@ -85,21 +87,21 @@
 }
 
 #[tokio::test]
-async fn the_disks_rows_are_written_as_before() {
+async fn database_rows_are_written_as_in_the_fixture() {
     let folder = tempfile::tempdir().unwrap();
     create(folder.path()).await;
     fixture::assert_same_bytes(ROWS_FILE, &rows(folder.path()));
 }
 
 #[test]
-fn the_disks_file_holds_the_rows_that_were_written() {
+fn the_database_file_of_the_fixture_has_the_same_rows() {
     let folder = tempfile::tempdir().unwrap();
     unpack(folder.path());
     fixture::assert_same_bytes(ROWS_FILE, &rows(folder.path()));
 }
 
 #[tokio::test]
-async fn the_disk_is_read_as_before() {
+async fn the_database_file_of_the_fixture_is_read_completely() {
     let folder = tempfile::tempdir().unwrap();
     unpack(folder.path());
     let mut disk = Disk::open(folder.path()).unwrap();
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn the_disks_snapshot_is_read_as_before() {
+fn the_snapshot_in_the_database_rows_is_read() {
     let sealed = &fixture::read_table(ROWS_FILE)["meta/snapshot"];
     let applied = open_snapshot(sealed).unwrap();
     assert_eq!(applied.last, Some(history::log_id(6)));
--- a/crates/store/tests/compatibility/feed.rs
+++ b/crates/store/tests/compatibility/feed.rs
@@ -1,4 +1,4 @@
-//! Frames of the feed, and the items in them: one of each kind.
+//! The feed's frames and the items in them: one of each kind.
 
 use stonefold_store::feed::delta::{Delta, diff};
 use stonefold_store::feed::frame::{
@@ -86,27 +86,27 @@
 }
 
 #[test]
-fn the_feeds_items_and_frames_are_written_as_before() {
+fn feed_items_and_frames_are_written_as_in_the_fixtures() {
     for (file, table) in encoded() {
         fixture::assert_same_bytes(file, &table);
     }
 }
 
 #[test]
-fn the_feeds_items_are_read_as_before() {
+fn the_feed_items_of_the_fixture_are_read() {
     let table = fixture::read_table(ITEMS_FILE);
     for (name, item) in items() {
         assert_eq!(Item::decode(&table[name]).unwrap(), item, "{name}");
     }
     let Item::ListDelta { from: 9, version: 10, delta } = Item::decode(&table["list-delta"]).unwrap() else {
-        panic!("no difference to list 9");
+        panic!("not a delta from list 9 to list 10");
     };
     let apply = |delta: &Delta| delta.apply(OLD_LIST).unwrap();
     assert_eq!(apply(&delta), NEW_LIST);
 }
 
 #[test]
-fn the_feeds_frames_are_read_as_before() {
+fn the_feed_frames_of_the_fixtures_are_read() {
     let table = fixture::read_table(PUBLISHER_FILE);
     for (name, frame) in publisher_frames() {
         assert_eq!(decode_frame::<PublisherFrame>(&table[name]).unwrap(), frame, "{name}");
--- a/crates/store/tests/compatibility/fixture.rs
+++ b/crates/store/tests/compatibility/fixture.rs
@@ -1,4 +1,4 @@
-//! Files of the fixtures: binary ones, and tables of a name and its bytes in hex on each line.
+//! The fixtures' files. Some are binary; the others are tables, with a name and its bytes in hex on each line.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -34,7 +34,7 @@
     write(file, rows.collect::<String>().as_bytes());
 }
 
-/// Asserts that the values are encoded as in the fixture, one for each of its rows.
+/// Asserts that the encoded values are the rows of the fixture, with the same names and bytes.
 pub(crate) fn assert_same_bytes(file: &str, encoded: &Table) {
     let table = read_table(file);
     assert_eq!(encoded.keys().collect::<Vec<_>>(), table.keys().collect::<Vec<_>>(), "{file}");
--- a/crates/store/tests/compatibility/history.rs
+++ b/crates/store/tests/compatibility/history.rs
@@ -1,4 +1,4 @@
-//! Log entries: one of each kind, in an order that a store takes them in.
+//! Log entries: one of each kind, in an order in which a store accepts them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
     Change::Override { server: server.into(), admin_override: AdminOverride { disabled, since_ms } }
 }
 
-/// Proposals by the index of their entry.
+/// The proposal of the log entry with this index.
 pub(crate) fn proposal(index: u64) -> Proposal {
     let (client, sequence, change) = match index {
         2 => (1_000, 1, document("text 1", Some(0))),
@@ -82,13 +82,14 @@
     Entry { log_id: log_id(11), payload: EntryPayload::Normal(proposal) }
 }
 
-fn all() -> impl Iterator<Item = (String, Entry)> {
-    let named = |entry: Entry| (format!("{:02}", entry.log_id.index), entry);
-    entries().into_iter().chain([restore()]).map(named)
+/// All entries of the fixture, by their names in it.
+fn named_entries() -> impl Iterator<Item = (String, Entry)> {
+    let with_name = |entry: Entry| (format!("{:02}", entry.log_id.index), entry);
+    entries().into_iter().chain([restore()]).map(with_name)
 }
 
 fn encoded() -> Table {
-    all().map(|(name, entry)| (name, encode("a log entry", &entry).unwrap())).collect()
+    named_entries().map(|(name, entry)| (name, encode("a log entry", &entry).unwrap())).collect()
 }
 
 pub(crate) fn write_fixture() {
@@ -96,16 +97,16 @@
 }
 
 #[test]
-fn log_entries_are_read_and_written_as_before() {
+fn log_entries_are_read_and_written_as_in_the_fixture() {
     let table = fixture::read_table(FILE);
-    for (name, entry) in all() {
+    for (name, entry) in named_entries() {
         assert_eq!(decode::<Entry>("a log entry", &table[&name]).unwrap(), entry, "{name}");
     }
     fixture::assert_same_bytes(FILE, &encoded());
 }
 
 #[test]
-fn a_restored_state_is_read_as_before() {
+fn the_restore_entry_of_the_fixture_has_the_restored_state() {
     let entry: Entry = decode("a log entry", &fixture::read_table(FILE)["11"]).unwrap();
     let EntryPayload::Normal(Proposal { client: 1_005, sequence: 1, change: Change::Restore { state } }) =
         entry.payload
--- a/crates/store/tests/compatibility/main.rs
+++ b/crates/store/tests/compatibility/main.rs
@@ -1,7 +1,7 @@
-//! Compatibility of stored and sent forms: fixtures that an earlier program wrote are read with the same meaning, and
+//! Compatibility of stored and sent formats. Fixtures that an earlier program wrote are read with the same meaning, and
 //! the same values are written as the same bytes.
 //!
-//! The fixtures in `tests/fixtures/` change only with the version of a form. `write_fixtures` writes them.
+//! The fixtures in `tests/fixtures/` change only with the version of a format. `write_fixtures` writes them.
 
 mod disk;
 mod feed;
@@ -12,7 +12,7 @@
 mod subscriber;
 mod wire;
 
-/// Writes all fixtures anew; by hand, when a form gets a new version.
+/// Writes all fixtures. It is run by hand when a format gets a new version.
 #[tokio::test]
 #[ignore = "writes files"]
 async fn write_fixtures() {
--- a/crates/store/tests/compatibility/messages.rs
+++ b/crates/store/tests/compatibility/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of members and clients: one of each kind.
+//! The messages of members and clients: one of each kind.
 
 use std::fmt::Debug;
 
@@ -91,7 +91,7 @@
     ]
 }
 
-fn failed() -> Vec<(&'static str, Response)> {
+fn failed_requests() -> Vec<(&'static str, Response)> {
     let leader = Some((2, "127.0.0.1:7002".into()));
     vec![
         ("unavailable-busy", Response::Proposed(Err(RequestError::Busy))),
@@ -129,7 +129,7 @@
         Revision { revision: 3, text: "text 2".into(), author: "alice".into(), at_ms: 1_700_000_000_001 };
     let mut responses = raft_responses();
     responses.extend(rejected_proposals());
-    responses.extend(failed());
+    responses.extend(failed_requests());
     responses.extend([
         ("changed", Response::MembersChanged(Ok(()))),
         ("confirmed", Response::ReadIndex(Ok(8))),
@@ -154,7 +154,7 @@
     fixture::write_table(RESPONSES_FILE, &encoded(responses()));
 }
 
-/// Asserts that the messages of a fixture are read as these, in all of their fields.
+/// Asserts that the messages of a fixture are read as these messages, with all of their fields.
 fn assert_read<T: DeserializeOwned + Debug>(file: &str, messages: Vec<(&'static str, T)>) {
     let table = fixture::read_table(file);
     for (name, message) in messages {
@@ -164,26 +164,26 @@
 }
 
 #[test]
-fn requests_are_read_and_written_as_before() {
+fn requests_are_read_and_written_as_in_the_fixture() {
     assert_read(REQUESTS_FILE, requests());
     fixture::assert_same_bytes(REQUESTS_FILE, &encoded(requests()));
 }
 
 #[test]
-fn responses_are_read_and_written_as_before() {
+fn responses_are_read_and_written_as_in_the_fixture() {
     assert_read(RESPONSES_FILE, responses());
     fixture::assert_same_bytes(RESPONSES_FILE, &encoded(responses()));
 }
 
 #[test]
-fn a_status_is_read_as_before() {
+fn the_status_response_of_the_fixture_is_read_completely() {
     let response: Response = decode("a message", &fixture::read_table(RESPONSES_FILE)["status"]).unwrap();
     let Response::Status(read) = response else { panic!("{response:?}") };
     assert_eq!(*read, status());
 }
 
 #[test]
-fn callers_are_written_as_before() {
+fn callers_keep_their_encoding() {
     let bytes = |caller: Caller| encode("a caller", &caller).unwrap();
     assert_eq!(bytes(Caller::Member(3)), [1, 0, 3]);
     assert_eq!(bytes(Caller::Client), [1, 1]);
--- a/crates/store/tests/compatibility/snapshot.rs
+++ b/crates/store/tests/compatibility/snapshot.rs
@@ -14,33 +14,34 @@
 
 const FILE: &str = "snapshot";
 
-/// Applies the log's entries up to an index, and makes a snapshot of them; as it is sealed.
-pub(crate) async fn build(disk: Disk, upto: usize) -> Vec<u8> {
+/// Applies the log's entries up to an index, and builds a snapshot. Returns it in its sealed form.
+pub(crate) async fn build(disk: Disk, last_index: usize) -> Vec<u8> {
     let mut machine = StateMachine::new(disk, watch::channel(0).0).unwrap();
-    machine.apply(history::entries().into_iter().take(upto)).await.unwrap();
+    machine.apply(history::entries().into_iter().take(last_index)).await.unwrap();
     let snapshot = machine.get_snapshot_builder().await.build_snapshot().await.unwrap();
     snapshot.snapshot.into_inner()
 }
 
-async fn built() -> Vec<u8> {
+/// The sealed snapshot of all entries of the log.
+async fn build_complete() -> Vec<u8> {
     let folder = tempfile::tempdir().unwrap();
     build(Disk::create(folder.path(), Identity { cluster: 9, member: 1 }).unwrap(), 10).await
 }
 
 pub(crate) async fn write_fixture() {
-    fixture::write(FILE, &built().await);
+    fixture::write(FILE, &build_complete().await);
 }
 
 #[tokio::test]
-async fn a_snapshot_is_written_as_before() {
+async fn a_snapshot_is_written_as_in_the_fixture() {
     let sealed = fixture::read(FILE);
-    assert_eq!(hex::encode(built().await), hex::encode(&sealed));
+    assert_eq!(hex::encode(build_complete().await), hex::encode(&sealed));
     let opened = open_snapshot(&sealed).unwrap();
     assert_eq!(hex::encode(seal("a snapshot", &opened).unwrap()), hex::encode(&sealed));
 }
 
 #[test]
-fn a_snapshot_is_read_as_before() {
+fn the_snapshot_of_the_fixture_is_read() {
     let applied = open_snapshot(&fixture::read(FILE)).unwrap();
     assert_eq!(applied.last, Some(history::log_id(10)));
     let members = StoredMembership::new(Some(history::log_id(7)), history::membership(&[1, 2]));
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn clients_last_proposals_are_read_as_before() {
+fn the_snapshot_of_the_fixture_has_the_clients_last_proposals() {
     let mut state = open_snapshot(&fixture::read(FILE)).unwrap().state;
     let replies = [
         (3, Reply::Applied(3)),
--- a/crates/store/tests/compatibility/subscriber.rs
+++ b/crates/store/tests/compatibility/subscriber.rs
@@ -1,4 +1,4 @@
-//! A subscriber's folder: the state that its node acted on.
+//! A subscriber's folder: the state that its node has used.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 
 const FILE: &str = "subscriber";
 const CLUSTER: u128 = 9;
-/// The id that was drawn when the fixture was written.
+/// The subscriber's id, which was drawn at random when the fixture was written.
 const SUBSCRIBER: u64 = 9_329_645_005_054_110_676;
 
 fn table() -> FeedTable {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_subscribers_folder_is_read_and_written_as_before() {
+fn a_subscriber_folder_is_read_and_written_as_in_the_fixture() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join(FILE);
     fs::write(&path, fixture::read(FILE)).unwrap();
--- a/crates/store/tests/feed/main.rs
+++ b/crates/store/tests/feed/main.rs
@@ -1,4 +1,5 @@
-//! Distribution without sockets: what is rejected, what is limited, and which publisher is selected.
+//! Tests of the distribution to subscribers without sockets: rejected frames and sessions, limits, and the selection of
+//! publishers.
 
 mod items;
 mod publisher;
--- a/crates/store/tests/feed/table.rs
+++ b/crates/store/tests/feed/table.rs
@@ -1,4 +1,4 @@
-//! The table of a member, and deltas between lists.
+//! A member's feed table, and deltas between lists.
 
 use proptest::prelude::*;
 use stonefold_store::applied::AppliedState;
--- a/crates/store/tests/following/main.rs
+++ b/crates/store/tests/following/main.rs
@@ -1,4 +1,4 @@
-//! Distribution over TCP: members, relays and subscribers, and peers that must be rejected.
+//! Tests of the distribution to subscribers over TCP: members, relays and subscribers, and peers that must be rejected.
 
 mod access;
 mod failover;
--- a/crates/store/tests/following/nodes.rs
+++ b/crates/store/tests/following/nodes.rs
@@ -20,13 +20,15 @@
 use tokio::time::{Instant, timeout};
 use tokio_util::sync::CancellationToken;
 
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for an expected change.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 pub(crate) const CLUSTER: u128 = 9;
 
 pub(crate) fn keys(n: u8) -> Keys {
     Keys::new(wire::Key::new([n; 32]), None)
 }
 
+/// A member that listens on a local port.
 pub(crate) struct Member {
     pub(crate) addr: String,
     pub(crate) replica: Replica<TcpTransport>,
@@ -35,7 +37,8 @@
     _dir: tempfile::TempDir,
 }
 
-pub(crate) async fn listening(member: u64) -> Member {
+/// Starts a member that belongs to no cluster yet.
+pub(crate) async fn start_member(member: u64) -> Member {
     let dir = tempfile::tempdir().unwrap();
     let disk = Disk::create(dir.path(), Identity { cluster: CLUSTER, member }).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -44,47 +47,50 @@
     let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await.unwrap();
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, replica.clone(), tcp.clone(), stop.clone()));
-    let confirms = replica.clone();
+    let confirming_replica = replica.clone();
     tokio::spawn(async move {
         loop {
-            // As the daemon does, but more often.
-            let _ = confirms.confirm(Instant::now() + Duration::from_secs(1)).await;
+            // The daemon does the same, but less often.
+            let _ = confirming_replica.confirm(Instant::now() + Duration::from_secs(1)).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     });
     Member { addr, replica, tcp, stop, _dir: dir }
 }
 
-pub(crate) async fn members(number: u64) -> Vec<Member> {
-    let mut all = vec![listening(1).await];
-    all[0].replica.bootstrap().await.unwrap();
-    all[0].replica.confirm(Instant::now() + PATIENCE).await.unwrap();
-    for member in 2..=number {
-        let new = listening(member).await;
-        let add = Request::AddMember { member, addr: new.addr.clone() };
-        let added = all[0].replica.answer(Caller::Client, add).await;
-        assert!(matches!(added, Response::MembersChanged(Ok(()))), "{added:?}");
-        all.push(new);
+/// Starts a cluster with this many members.
+pub(crate) async fn start_cluster(size: u64) -> Vec<Member> {
+    let mut members = vec![start_member(1).await];
+    members[0].replica.bootstrap().await.unwrap();
+    members[0].replica.confirm(Instant::now() + TIMEOUT).await.unwrap();
+    for member in 2..=size {
+        let new_member = start_member(member).await;
+        let add = Request::AddMember { member, addr: new_member.addr.clone() };
+        let response = members[0].replica.answer(Caller::Client, add).await;
+        assert!(matches!(response, Response::MembersChanged(Ok(()))), "{response:?}");
+        members.push(new_member);
     }
-    all
+    members
 }
 
 impl Member {
-    pub(crate) async fn change(&self, change: Change) {
+    /// Commits a change.
+    pub(crate) async fn commit(&self, change: Change) {
         let proposal = Proposal { client: fastrand::u64(..), sequence: 1, change };
-        self.replica.propose(proposal, Instant::now() + PATIENCE).await.unwrap();
+        self.replica.propose(proposal, Instant::now() + TIMEOUT).await.unwrap();
     }
 
-    pub(crate) async fn document(&self, name: &str, text: &str) {
+    pub(crate) async fn write_document(&self, name: &str, text: &str) {
         let (name, text) = (name.into(), text.into());
-        self.change(Change::Document { name, text, author: "me".into(), at_ms: 0, after: None }).await;
+        self.commit(Change::Document { name, text, author: "me".into(), at_ms: 0, after: None }).await;
     }
 
     pub(crate) async fn purge(&self, key: &str) {
-        self.change(Change::Purge { key: key.into() }).await;
+        self.commit(Change::Purge { key: key.into() }).await;
     }
 
-    pub(crate) async fn end(&self) {
+    /// Stops the member and its server.
+    pub(crate) async fn shut_down(&self) {
         self.stop.cancel();
         self.replica.stop().await;
     }
@@ -98,18 +104,16 @@
     pub(crate) tcp: TcpTransport,
 }
 
-pub(crate) fn follows(
-    subscriber: u64,
+/// Starts a subscriber with this id and these publishers. `saved` has its folder and the state read from it.
+pub(crate) fn start_subscriber_with(
+    id: u64,
     tiers: &[Vec<String>],
     tcp: TcpTransport,
     cluster: u128,
     saved: Option<(SubscriberFolder, FeedTable)>,
 ) -> TestSubscriber {
     let (folder, table) = saved.map_or((None, FeedTable::default()), |(folder, table)| (Some(folder), table));
-    let feed = SubscriberFeed::new(
-        cluster,
-        Subscriber::new(table, PublisherSelector::new(subscriber, tiers, subscriber)),
-    );
+    let feed = SubscriberFeed::new(cluster, Subscriber::new(table, PublisherSelector::new(id, tiers, id)));
     let (stop, purges) = (CancellationToken::new(), Arc::<Mutex<Vec<Event>>>::default());
     let recorded = purges.clone();
     let on_purge = Box::new(move |event: &Event| recorded.lock().unwrap().push(event.clone()));
@@ -117,46 +121,56 @@
     TestSubscriber { feed, purges, stop, tcp }
 }
 
-pub(crate) fn subscriber(subscriber: u64, tiers: &[Vec<String>]) -> TestSubscriber {
-    follows(subscriber, tiers, TcpTransport::subscriber(keys(1).subscriber_keys(), CLUSTER), CLUSTER, None)
+/// Starts a subscriber with this id and these publishers, without a folder.
+pub(crate) fn start_subscriber(id: u64, tiers: &[Vec<String>]) -> TestSubscriber {
+    start_subscriber_with(
+        id,
+        tiers,
+        TcpTransport::subscriber(keys(1).subscriber_keys(), CLUSTER),
+        CLUSTER,
+        None,
+    )
 }
 
 impl TestSubscriber {
-    /// Serves others as a relay, with these limits.
-    pub(crate) async fn relays(&self, limits: SessionLimits) -> (String, CancellationToken) {
+    /// Starts to serve other subscribers as a relay. Returns the relay's address and a token that stops its server.
+    pub(crate) async fn start_relay(&self, limits: SessionLimits) -> (String, CancellationToken) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (addr, stop) = (listener.local_addr().unwrap().to_string(), CancellationToken::new());
         tokio::spawn(serve_relay(listener, self.feed.clone(), self.tcp.clone(), limits, stop.clone()));
         (addr, stop)
     }
 
-    pub(crate) async fn until(&self, what: &str, there: impl Fn(&TestSubscriber) -> bool) {
+    /// Waits until a condition holds. `what` describes it in the message of a timeout.
+    pub(crate) async fn wait_until(&self, what: &str, condition: impl Fn(&TestSubscriber) -> bool) {
         let mut changed = self.feed.changes();
         let wait = async {
-            while !there(self) {
+            while !condition(self) {
                 let _ = timeout(Duration::from_millis(50), changed.changed()).await;
             }
         };
-        let standing = || {
+        let describe = || {
             let (revision, publisher) = (self.feed.revision(), self.feed.publisher());
             format!("{what}: {:?} {:?}", (revision, publisher), self.feed.counters())
         };
-        timeout(PATIENCE, wait).await.unwrap_or_else(|_| panic!("{}", standing()));
+        timeout(TIMEOUT, wait).await.unwrap_or_else(|_| panic!("{}", describe()));
     }
 
-    pub(crate) fn text(&self, name: &str) -> Option<String> {
+    /// The text of a document, if the subscriber has it.
+    pub(crate) fn document_text(&self, name: &str) -> Option<String> {
         match self.feed.view().item(&ItemKey::Document(name.into())) {
             Some((_, Item::Document { text, .. })) => Some(text),
             _ => None,
         }
     }
 
-    pub(crate) async fn has(&self, name: &str, text: &str) {
-        self.until(text, |follows| follows.text(name).as_deref() == Some(text)).await;
+    /// Waits until a document has this text.
+    pub(crate) async fn wait_for_document(&self, name: &str, text: &str) {
+        self.wait_until(text, |subscriber| subscriber.document_text(name).as_deref() == Some(text)).await;
     }
 
-    /// The purged keys so far.
-    pub(crate) fn purged(&self) -> Vec<String> {
+    /// The keys of all reported purges, in their order.
+    pub(crate) fn purged_keys(&self) -> Vec<String> {
         let purges = self.purges.lock().unwrap();
         let keys = purges
             .iter()
--- a/crates/store/tests/hostile/mod.rs
+++ b/crates/store/tests/hostile/mod.rs
@@ -62,13 +62,13 @@
     let mut subscriber = Subscriber::new(table.clone(), PublisherSelector::new(1, &[vec!["p".into()]], 1));
     subscriber.poll(0);
     subscriber.on_connected(0);
-    let (items_before, revision_before) = (subscriber.table.items().clone(), subscriber.table.revision());
+    let before = (subscriber.table.items().clone(), subscriber.table.revision());
     let result = subscriber.on_frame(bytes, 1_000);
     let (items, revision) = (subscriber.table.items(), subscriber.table.revision());
     match result {
-        Err(_) => assert_eq!((items, revision), (&items_before, revision_before)),
+        Err(_) => assert_eq!((items, revision), (&before.0, before.1)),
         Ok(_) => {
-            assert!(revision >= revision_before && subscriber.table.list_version() >= 9);
+            assert!(revision >= before.1 && subscriber.table.list_version() >= 9);
             let revision_of = |key: &ItemKey| items.get(key).map(|held| held.revision);
             assert!(
                 revision_of(&ItemKey::List) >= Some(4) && revision_of(&ItemKey::Document(name)) >= Some(3)
