--- a/crates/store/tests/corpus.rs
+++ b/crates/store/tests/corpus.rs
@@ -65,8 +65,8 @@
     write("frames", "party".into(), &encode("a caller", &Caller::Member(3)).unwrap());
     let purge = Entry::from_app_data(proposal(1, Change::Purge { key: "k".into() }));
     write("entries", "v1-purge".into(), &encode("a log entry", &purge).unwrap());
-    // The corpus also has `v1-0` and `cut-0` (the truncated `v1-0`), which date from before there were subscribers.
-    // Snapshots are no longer written in their form.
+    // The corpus of snapshots also has `v1-0` and `cut-0` (the truncated `v1-0`), which date from before there were
+    // subscribers. Snapshots are no longer written in their format.
     write("snapshots", "v1-followed".into(), &seal("a snapshot", &applied()).unwrap());
     write("snapshots", "empty".into(), &[]);
     for (name, bytes) in frames() {
--- a/crates/store/tests/feed/publisher.rs
+++ b/crates/store/tests/feed/publisher.rs
@@ -109,7 +109,7 @@
     let limits = SessionLimits::default();
     let mut sent_bytes = 0;
     for (now, bytes, _) in &frames {
-        sent_bytes += *bytes as u64 + 72;
+        sent_bytes += *bytes as u64 + 72; // with the overhead of a frame on the network
         let max_bytes = limits.burst_bytes
             + limits.purge_reserve_bytes
             + limits.max_payload_bytes as u64 * 2
--- a/crates/store/tests/feed/subscriber.rs
+++ b/crates/store/tests/feed/subscriber.rs
@@ -66,7 +66,7 @@
     encoded(Update { records: [vec![valid], update.records].concat(), ..update })
 }
 
-fn invalid_encodings() -> Vec<InvalidFrame> {
+fn invalid_encodings_and_revisions() -> Vec<InvalidFrame> {
     let mut other_version = with_valid_record(empty_update(6, 9));
     other_version[0] = 9;
     vec![
@@ -202,7 +202,7 @@
 
 #[test]
 fn invalid_frames_are_rejected_counted_and_not_applied() {
-    let cases = [invalid_encodings(), invalid_records(), invalid_parts(), invalid_purges()];
+    let cases = [invalid_encodings_and_revisions(), invalid_records(), invalid_parts(), invalid_purges()];
     for InvalidFrame { name, frame, error } in cases.into_iter().flatten() {
         let mut subscriber = subscriber();
         let state = |subscriber: &Subscriber| {
--- a/crates/store/tests/feed_sim/net.rs
+++ b/crates/store/tests/feed_sim/net.rs
@@ -42,7 +42,7 @@
     pub(crate) fn check_send_rate(&mut self, bytes: usize, now: Millis) -> Result<(), String> {
         let limits = SessionLimits::default();
         let (since, sent_bytes) = self.sent.get_or_insert((now, 0));
-        *sent_bytes += bytes as u64 + 72;
+        *sent_bytes += bytes as u64 + 72; // with the overhead of a frame on the network
         // A frame may overdraw the token bucket, and heartbeats are sent in any case.
         let elapsed = now - *since;
         let max_bytes = limits.burst_bytes
--- a/crates/store/tests/rules.rs
+++ b/crates/store/tests/rules.rs
@@ -104,7 +104,7 @@
                     !was_confirmed && next.node.is_confirmed() && next.applied < next.highest_read_index;
             }
             ModelAction::SendRequest if next.pending_request.is_none() => {
-                next.pending_request = Some((next.now, next.committed))
+                next.pending_request = Some((next.now, next.committed));
             }
             ModelAction::ReceiveResponse => {
                 let (sent_at, index) = next.pending_request?;
