--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use stonefold_config::CheckError;
 use stonefold_model::site::{Fault, Site};
-use stonefold_model::{Cache, Judge, LateSend, Listed, Listing, Micros, Network, State, Verdict};
+use stonefold_model::{Cache, LateSend, Listed, Listing, Micros, Network, RuleChecker, State, Verdict};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use crate::cache::CachePort;
@@ -57,7 +57,7 @@
     pub site: Site,
     pub ip: IpAddr,
     pub clock: Clock,
-    pub judge: Mutex<Judge>,
+    pub judge: Mutex<RuleChecker>,
     pub network: Mutex<Network>,
     /// Servers by their numbers; those that have gone stay in their place.
     pub servers: RwLock<Vec<Arc<Server>>>,
@@ -87,7 +87,7 @@
         self.clock.unix_ms(at)
     }
 
-    pub fn judge(&self) -> MutexGuard<'_, Judge> {
+    pub fn judge(&self) -> MutexGuard<'_, RuleChecker> {
         locked(&self.judge)
     }
 
@@ -249,7 +249,7 @@
         let world = Arc::new(World {
             ip: options.ip,
             clock,
-            judge: Mutex::new(Judge::new(&site.rules)),
+            judge: Mutex::new(RuleChecker::new(&site.rules)),
             network: Mutex::new(Network::new(&site.network, seed)),
             servers: RwLock::default(),
             origin,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,5 +1,5 @@
-//! Models of the environment of a node: cache servers, the origin, discovery, the network, clients, and a judge of
-//! the rules that a node must keep.
+//! Models of the environment of a node: cache servers, the origin, discovery, the network, clients, and a checker
+//! of the rules that a node must keep.
 //!
 //! All are state machines in virtual time: each call carries the current time, no model reads a clock, and every
 //! random choice comes from a seed. The emulator drives the models behind real sockets.
@@ -9,11 +9,11 @@
 mod cache;
 mod clients;
 mod discovery;
-mod judge;
 mod network;
 mod origin;
 mod random;
 mod retry;
+mod rule_checker;
 pub mod site;
 mod store;
 mod window;
@@ -21,11 +21,11 @@
 pub use cache::{Cache, Completion, Job, JobId, LoadReport, Outcome, Rejection, Work};
 pub use clients::{ClientRequest, Clients};
 pub use discovery::{Discovery, Listed, Listing, State};
-pub use judge::{Answer, Judge, LateSend, Verdict};
 pub use network::Network;
 pub use origin::{Fetch, FetchCompletion, Origin, Outage};
 pub use random::Random;
 pub use retry::Retries;
+pub use rule_checker::{Answer, LateSend, RuleChecker, Verdict};
 
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/rule_checker.rs
@@ -1,4 +1,4 @@
-//! The judge: counts answers and rule violations of the nodes from events observed outside them.
+//! Counts the answers and the rule violations of the nodes, from events observed outside them.
 
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
@@ -22,7 +22,7 @@
     Wrong,
 }
 
-/// Counts so far. All but the first four and `origin_stops` are rule violations.
+/// Counts of requests, answers and rule violations so far. All but the first four and `origin_stops` are rule violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     /// Requests that nodes accepted.
@@ -85,7 +85,7 @@
 
 /// Finds violations of the four rules of the protocol in the events that it is given.
 #[derive(Debug)]
-pub struct Judge {
+pub struct RuleChecker {
     rules: Rules,
     /// Deadlines of the requests that are not answered yet.
     open: HashMap<u64, Micros>,
@@ -105,11 +105,11 @@
 /// Number of runs that are remembered.
 const MAX_RUNS: NonZeroUsize = NonZeroUsize::new(100_000).unwrap();
 
-impl Judge {
-    /// Creates a judge with these thresholds.
+impl RuleChecker {
+    /// Creates a rule checker with these thresholds.
     #[must_use]
-    pub fn new(rules: &Rules) -> Judge {
-        Judge {
+    pub fn new(rules: &Rules) -> RuleChecker {
+        RuleChecker {
             rules: rules.clone(),
             open: HashMap::new(),
             not_serving_since: HashMap::new(),
--- a/crates/model/src/site/rules.rs
+++ b/crates/model/src/site/rules.rs
@@ -5,7 +5,7 @@
 
 use crate::site::units::SECOND_US;
 
-/// Thresholds of the rules by which the judge finds violations.
+/// Thresholds of the rules by which the rule checker finds violations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -8,8 +8,8 @@
 use stonefold_config::{Count, DurationMicros, Fraction, Layers, Positive, Size, load};
 use stonefold_model::site::{CacheKind, OriginKind, Rules, Site};
 use stonefold_model::{
-    Answer, Cache, ClientRequest, Clients, Discovery, Fetch, Job, Judge, Listed, Micros, Origin, Outcome,
-    Rejection, State, Verdict, Work,
+    Answer, Cache, ClientRequest, Clients, Discovery, Fetch, Job, Listed, Micros, Origin, Outcome, Rejection,
+    RuleChecker, State, Verdict, Work,
 };
 
 const MS: Micros = 1_000;
@@ -152,13 +152,13 @@
 }
 
 #[test]
-fn the_judge_finds_each_rule_violation() {
-    type Case<'a> = (&'a str, &'a dyn Fn(&mut Judge), fn(&Verdict) -> u64);
+fn the_rule_checker_finds_each_rule_violation() {
+    type Case<'a> = (&'a str, &'a dyn Fn(&mut RuleChecker), fn(&Verdict) -> u64);
     let rules = Rules::default();
-    let broken = |what: &dyn Fn(&mut Judge)| {
-        let mut judge = Judge::new(&rules);
-        what(&mut judge);
-        judge.verdict()
+    let broken = |observe: &dyn Fn(&mut RuleChecker)| {
+        let mut checker = RuleChecker::new(&rules);
+        observe(&mut checker);
+        checker.verdict()
     };
     let late = 1_000 * MS + rules.answer_slack.us() + 1;
     let cases: [Case; 9] = [
@@ -230,8 +230,8 @@
             |v| v.repeated_runs,
         ),
     ];
-    for (name, what, figure) in cases {
-        let verdict = broken(what);
+    for (name, observe, figure) in cases {
+        let verdict = broken(observe);
         assert_eq!((figure(&verdict), verdict.rules_broken()), (1, 1), "{name}: {verdict:?}");
     }
     let kept = broken(&|j| {
