--- a/crates/model/src/cache/mod.rs
+++ b/crates/model/src/cache/mod.rs
@@ -15,10 +15,10 @@
 
 use crate::Micros;
 use crate::cache::load_report::LoadReporter;
-use crate::cache::service::Running;
+use crate::cache::service::RunningJob;
 use crate::random::{Random, stream};
-use crate::site::{CacheKind, Rules};
-use crate::store::Store;
+use crate::site::{CacheKind, RuleThresholds};
+use crate::store::ObjectStore;
 use crate::window::Window;
 
 pub use job::{Completion, Job, JobId, Outcome, Rejection, Work};
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Cache {
     kind: CacheKind,
-    rules: Rules,
+    rules: RuleThresholds,
     /// Speed of this server's cores, relative to a standard core.
     speed: f64,
     random: Random,
@@ -47,14 +47,15 @@
     attained_service: f64,
     /// Attained service at which each job ends. Cancelled jobs are removed lazily.
     ends: BinaryHeap<Reverse<(OrderedFloat<f64>, JobId)>>,
-    running: BTreeMap<JobId, Running>,
+    running: BTreeMap<JobId, RunningJob>,
     queue: VecDeque<(JobId, Job)>,
     last_id: u64,
-    store: Store,
-    /// Keys being fetched from the origin after a miss, and when the fetch times out.
+    store: ObjectStore,
+    /// KeyDistribution being fetched from the origin after a miss, and when the fetch times out.
     fetches: BTreeMap<String, Micros>,
     /// Work of all requests that reached the server, including rejected ones.
     offered_load: Window,
+    /// Moving average of the service time, in milliseconds.
     latency_ms: f64,
     reporter: LoadReporter,
 }
@@ -62,7 +63,7 @@
 impl Cache {
     /// Creates a warm server. `number` selects its random stream among the servers of the same seed.
     #[must_use]
-    pub fn new(kind: &CacheKind, rules: &Rules, seed: u64, number: u64, now: Micros) -> Cache {
+    pub fn new(kind: &CacheKind, rules: &RuleThresholds, seed: u64, number: u64, now: Micros) -> Cache {
         let mut random = Random::new(seed, stream::FIRST_CACHE + number);
         let speed = kind.speed.get() * random.lognormal(1.0, kind.speed_spread.get());
         let mut cache = Cache {
@@ -80,7 +81,7 @@
             running: BTreeMap::new(),
             queue: VecDeque::new(),
             last_id: 0,
-            store: Store::new(kind.memory.bytes()),
+            store: ObjectStore::new(kind.memory.bytes()),
             fetches: BTreeMap::new(),
             offered_load: Window::new(rules.overload_for.us()),
             latency_ms: 0.0,
--- a/crates/model/src/cache/service.rs
+++ b/crates/model/src/cache/service.rs
@@ -21,7 +21,7 @@
 
 /// A job in service.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct RunningJob {
     job: Job,
     started_at: Micros,
 }
@@ -80,7 +80,7 @@
     fn begin(&mut self, now: Micros, id: JobId, job: Job) {
         let ends_at = self.attained_service + job.cost.max(0.0);
         self.ends.push(Reverse((OrderedFloat(ends_at), id)));
-        self.running.insert(id, Running { job, started_at: now });
+        self.running.insert(id, RunningJob { job, started_at: now });
     }
 
     /// Cancels a job and stops its work. Returns whether the job was in service or queued.
@@ -184,7 +184,7 @@
         }
     }
 
-    fn complete(&mut self, running: &Running) -> Outcome {
+    fn complete(&mut self, running: &RunningJob) -> Outcome {
         let latency_ms = self.now.saturating_sub(running.started_at) as f64 / 1e3;
         self.latency_ms += (latency_ms - self.latency_ms) / LATENCY_AVERAGE_JOBS;
         if self.random.chance(self.kind.errors.get()) {
--- a/crates/model/src/clients.rs
+++ b/crates/model/src/clients.rs
@@ -6,7 +6,7 @@
 use crate::random::{Random, stream};
 use crate::site::Site;
 
-/// Mean gap of a rate of one request per second, in microseconds.
+/// One second, in microseconds: the mean gap between requests at a rate of one request per second.
 const SECOND_US: f64 = 1e6;
 /// Lowest request rate, in requests per second.
 const MIN_RATE_PER_S: f64 = 1e-3;
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery service: learns of changes late, answers calls at a limited rate, keeps the latest changes for watches.
+//! The discovery service: publishes changes with a delay, answers calls at a limited rate, and keeps the latest changes
+//! for watches.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -32,7 +33,7 @@
     pub server: usize,
     /// Its state.
     pub state: State,
-    /// When it last started; 0 if before the simulation.
+    /// When the server last started; 0 if before the simulation.
     pub started: Micros,
 }
 
@@ -54,11 +55,12 @@
     random: Random,
     servers: BTreeMap<usize, Listed>,
     version: u64,
+    /// The latest changes with the version that each made, oldest first.
     changes: VecDeque<(u64, Listed)>,
     /// Changes that are not visible yet, by the time at which they will be and a sequence number.
     pending: BTreeMap<(Micros, u64), Listed>,
     last_sequence: u64,
-    /// When it can serve the next call.
+    /// When the next call can be served.
     free_at: Micros,
     unavailable_until: Micros,
     frozen_until: Micros,
--- a/crates/model/src/retry/tests.rs
+++ b/crates/model/src/retry/tests.rs
@@ -26,5 +26,5 @@
     let draw = |seed| retries(2, seed).next_attempt(0, 1, None, u64::MAX);
     assert_eq!(draw(3), draw(3));
     let all: std::collections::BTreeSet<_> = (0..20).map(draw).collect();
-    assert!(all.len() > 10, "rejected together, they retry apart");
+    assert!(all.len() > 10, "clients that are rejected together retry at different times");
 }
--- a/crates/model/src/rule_checker.rs
+++ b/crates/model/src/rule_checker.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::Micros;
-use crate::site::Rules;
+use crate::site::RuleThresholds;
 
 /// The answer that a client got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 /// Finds violations of the four rules of the protocol in the events that it is given.
 #[derive(Debug)]
 pub struct RuleChecker {
-    rules: Rules,
+    rules: RuleThresholds,
     /// Deadlines of the requests that are not answered yet.
     open: HashMap<u64, Micros>,
     /// By node and server: since when the node knows that the server drains or is removed.
@@ -108,7 +108,7 @@
 impl RuleChecker {
     /// Creates a rule checker with these thresholds.
     #[must_use]
-    pub fn new(rules: &Rules) -> RuleChecker {
+    pub fn new(rules: &RuleThresholds) -> RuleChecker {
         RuleChecker {
             rules: rules.clone(),
             open: HashMap::new(),
--- a/crates/model/src/site/cache_group.rs
+++ b/crates/model/src/site/cache_group.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use stonefold_config::{Count, DurationMicros, Fraction, Positive, Size};
 
-use crate::site::units::{HOUR_US, MIB_BYTES, SECOND_US, Sigma, Time};
+use crate::site::units::{DurationUpToHour, HOUR_US, LogStdDev, MIB_BYTES, SECOND_US};
 
 /// A group of identically configured cache servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     /// Speed of a core relative to a standard core.
     pub speed: Positive,
     /// Standard deviation of the logarithm of the servers' speeds.
-    pub speed_spread: Sigma,
+    pub speed_spread: LogStdDev,
     /// Maximum number of requests in service at once.
     pub slots: Count<1, 100_000>,
     /// Maximum number of queued requests; more are rejected.
@@ -27,11 +27,11 @@
     pub memory: Size<0, { 1 << 50 }>,
     /// Time to live of a cached object.
     #[serde(rename = "keeps_for")]
-    pub time_to_live: Time,
+    pub time_to_live: DurationUpToHour,
     /// Mean time between pauses of the process; 0s for none.
-    pub pause_every: Time,
+    pub pause_every: DurationUpToHour,
     /// Mean duration of a pause.
-    pub pause: Time,
+    pub pause: DurationUpToHour,
     /// Fraction of requests that fail.
     pub errors: Fraction,
     /// Fraction of its capacity that a restarted server has at first.
@@ -39,10 +39,10 @@
     pub warm_up_from: Fraction,
     /// Time from a restart until the server has its full capacity.
     #[serde(rename = "cold")]
-    pub warm_up: Time,
+    pub warm_up: DurationUpToHour,
     /// Maximum number of open connections.
     pub connections: Count<1, 1_000_000>,
-    /// Work of accepting a connection, on a standard core.
+    /// Processor time for accepting a connection, on a standard core.
     pub handshake: DurationMicros<0, SECOND_US>,
     /// Idle timeout of a connection.
     pub idle: DurationMicros<1_000, HOUR_US>,
@@ -50,9 +50,9 @@
     #[serde(rename = "closes_after")]
     pub max_answers_per_connection: Count<0, 1_000_000>,
     /// Interval between load reports.
-    pub report_every: Time,
-    /// Delay between the making and the publication of a load report.
-    pub report_delay: Time,
+    pub report_every: DurationUpToHour,
+    /// Delay between the sampling and the publication of a load report.
+    pub report_delay: DurationUpToHour,
     /// Maximum relative error of the numbers in a load report.
     pub report_noise: Fraction,
 }
--- a/crates/model/src/site/check.rs
+++ b/crates/model/src/site/check.rs
@@ -51,7 +51,7 @@
             return Err(CheckError::new("class", reason));
         }
         if self.network.zones.is_empty() {
-            return Err(CheckError::new("network.zones", "at least one zone"));
+            return Err(CheckError::new("network.zones", "needed: at least one zone"));
         }
         let [least, most] = self.network.cross_zone;
         if most < least {
--- a/crates/model/src/site/discovery.rs
+++ b/crates/model/src/site/discovery.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use stonefold_config::{DurationMicros, Positive};
 
-use crate::site::units::{SECOND_US, Time};
+use crate::site::units::{DurationUpToHour, SECOND_US};
 
 /// Delays and limits of the discovery service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -16,7 +16,7 @@
     pub calls_per_s: Positive,
     /// Maximum queueing delay of a call; a call that would wait longer fails.
     #[serde(rename = "waits_for")]
-    pub max_queue_delay: Time,
+    pub max_queue_delay: DurationUpToHour,
 }
 
 impl Default for DiscoveryKind {
--- a/crates/model/src/site/fault.rs
+++ b/crates/model/src/site/fault.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use stonefold_config::{DurationMicros, Fraction, Positive};
 
-use crate::site::units::{SECOND_US, Time};
+use crate::site::units::{DurationUpToHour, SECOND_US};
 
 /// A scheduled fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -11,7 +11,7 @@
 pub struct Fault {
     /// Time of the fault since the start.
     #[serde(default)]
-    pub at: Time,
+    pub at: DurationUpToHour,
     /// Kind of the fault.
     pub kind: FaultKind,
     /// Affected cache server, by its identifier.
@@ -25,13 +25,13 @@
     pub zone: Option<String>,
     /// Duration of the fault; of the whole rollout for `Roll`.
     #[serde(rename = "for", default = "default_duration")]
-    pub lasts: Time,
+    pub lasts: DurationUpToHour,
     /// Slowdown factor.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub factor: Option<Positive>,
 }
 
-fn default_duration() -> Time {
+fn default_duration() -> DurationUpToHour {
     DurationMicros::new(2 * SECOND_US)
 }
 
--- a/crates/model/src/site/mod.rs
+++ b/crates/model/src/site/mod.rs
@@ -22,9 +22,9 @@
 pub use network::NetworkKind;
 pub use origin::OriginKind;
 pub use retry::RetryKind;
-pub use rules::Rules;
-pub use traffic::{ClassKind, Keys, TenantKind};
-pub use units::{Rate, Sigma, Time};
+pub use rules::RuleThresholds;
+pub use traffic::{ClassKind, KeyDistribution, TenantKind};
+pub use units::{DurationUpToHour, LogStdDev, Rate};
 
 /// The configuration of a site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
     pub discovery: DiscoveryKind,
     /// Key popularity and value sizes.
     #[serde(default)]
-    pub keys: Keys,
+    pub keys: KeyDistribution,
     /// Request classes.
     #[serde(rename = "class")]
     pub classes: Vec<ClassKind>,
@@ -66,7 +66,7 @@
     pub retry: RetryKind,
     /// Thresholds of the rules that a node must keep.
     #[serde(default)]
-    pub rules: Rules,
+    pub rules: RuleThresholds,
     /// Scheduled faults.
     #[serde(rename = "fault", default)]
     pub faults: Vec<Fault>,
--- a/crates/model/src/site/origin.rs
+++ b/crates/model/src/site/origin.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use stonefold_config::{Count, DurationMicros, Fraction, Positive};
 
-use crate::site::units::{HOUR_US, SECOND_US, Sigma, Time};
+use crate::site::units::{DurationUpToHour, HOUR_US, LogStdDev, SECOND_US};
 
 /// Capacity and overload behaviour of the origin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -14,7 +14,7 @@
     /// Mean service time of a fetch.
     pub time: DurationMicros<0, { 60 * SECOND_US }>,
     /// Standard deviation of the logarithm of the service times.
-    pub sigma: Sigma,
+    pub sigma: LogStdDev,
     /// Service time of a write relative to a fetch.
     #[serde(rename = "write_times")]
     pub write_cost_factor: Positive,
@@ -26,7 +26,7 @@
     pub stop_after: DurationMicros<1_000, HOUR_US>,
     /// Duration of an outage caused by overload.
     #[serde(rename = "stops_for")]
-    pub outage_duration: Time,
+    pub outage_duration: DurationUpToHour,
 }
 
 impl Default for OriginKind {
--- a/crates/model/src/site/traffic.rs
+++ b/crates/model/src/site/traffic.rs
@@ -3,12 +3,12 @@
 use serde::{Deserialize, Serialize};
 use stonefold_config::{Count, DeduplicationScope, DurationMicros, Fraction, Idempotency, Positive, Size};
 
-use crate::site::units::{HOUR_US, MIB_BYTES, Rate, SECOND_US, Sigma, Time};
+use crate::site::units::{DurationUpToHour, HOUR_US, LogStdDev, MIB_BYTES, Rate, SECOND_US};
 
 /// Distribution of the requested keys and of the sizes of their values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Keys {
+pub struct KeyDistribution {
     /// Number of keys.
     pub count: Count<1, 100_000_000>,
     /// Exponent of the Zipf distribution of key popularity.
@@ -21,12 +21,12 @@
     /// Mean size of a value.
     pub value: Size<0, { 4 * MIB_BYTES }>,
     /// Standard deviation of the logarithm of the sizes.
-    pub value_sigma: Sigma,
+    pub value_sigma: LogStdDev,
 }
 
-impl Default for Keys {
+impl Default for KeyDistribution {
     fn default() -> Self {
-        Keys {
+        KeyDistribution {
             count: Count::new(20_000),
             zipf: Positive::new(0.9),
             prewarmed: Fraction::new(0.0),
@@ -49,7 +49,7 @@
     pub work: DurationMicros<0, { 60 * SECOND_US }>,
     /// Standard deviation of the logarithm of the work.
     #[serde(default)]
-    pub work_sigma: Sigma,
+    pub work_sigma: LogStdDev,
     /// Latency objective: an answer within this time has its full value.
     #[serde(rename = "aim")]
     pub latency_objective: DurationMicros<1_000, HOUR_US>,
@@ -62,7 +62,7 @@
     pub scope: DeduplicationScope,
     /// How long the servers remember an idempotency key.
     #[serde(default)]
-    pub window: Time,
+    pub window: DurationUpToHour,
     /// Whether its requests are writes.
     #[serde(default)]
     pub write: bool,
--- a/crates/model/src/site/units.rs
+++ b/crates/model/src/site/units.rs
@@ -12,10 +12,10 @@
 /// Highest [`Rate`], in events per second.
 const MAX_RATE_PER_S: f64 = 1e6;
 
-/// A duration of up to an hour.
-pub type Time = DurationMicros<0, HOUR_US>;
+/// A duration from zero up to one hour.
+pub type DurationUpToHour = DurationMicros<0, HOUR_US>;
 /// Standard deviation of the logarithm of a lognormal distribution.
-pub type Sigma = Fraction;
+pub type LogStdDev = Fraction;
 
 /// A rate in events per second, from 0 to 1,000,000.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -13,15 +13,15 @@
 
 /// Objects by key, whose total size never exceeds the memory.
 #[derive(Debug)]
-pub(crate) struct Store {
+pub(crate) struct ObjectStore {
     entries: LruCache<String, Entry>,
     bytes: u64,
     memory: u64,
 }
 
-impl Store {
-    pub(crate) fn new(memory: u64) -> Store {
-        Store { entries: LruCache::unbounded(), bytes: 0, memory }
+impl ObjectStore {
+    pub(crate) fn new(memory: u64) -> ObjectStore {
+        ObjectStore { entries: LruCache::unbounded(), bytes: 0, memory }
     }
 
     /// Returns the size of an object and marks it as used. An expired object is removed.
--- a/crates/model/src/window.rs
+++ b/crates/model/src/window.rs
@@ -19,7 +19,7 @@
 
     /// Adds an amount and returns the sum over the window that ends now.
     pub(crate) fn add(&mut self, now: Micros, amount: f64) -> f64 {
-        // Amounts added at the same time share an entry, so that a burst takes no extra memory.
+        // Amounts added at the same time share an entry, so that a burst uses no extra memory.
         match self.entries.back_mut() {
             Some((at, last)) if *at == now => *last += amount,
             _ => self.entries.push_back((now, amount)),
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use stonefold_config::{Count, DurationMicros, Fraction, Layers, Positive, Size, load};
-use stonefold_model::site::{CacheKind, OriginKind, Rules, Site};
+use stonefold_model::site::{CacheKind, OriginKind, RuleThresholds, Site};
 use stonefold_model::{
     Answer, Cache, ClientRequest, Clients, Discovery, Fetch, Job, Listed, Micros, Origin, Outcome, Rejection,
     RuleChecker, State, Verdict, Work,
@@ -26,7 +26,7 @@
 }
 
 fn cache(kind: &CacheKind) -> Cache {
-    Cache::new(kind, &Rules::default(), 1, 0, 0)
+    Cache::new(kind, &RuleThresholds::default(), 1, 0, 0)
 }
 
 fn read(key: &str, cost: f64) -> Job {
@@ -35,7 +35,7 @@
 
 #[test]
 fn processor_sharing_ends_requests_at_the_analytic_times() {
-    // Two cores, four requests of 10 ms: each gets half a core, so all end at 20 ms.
+    // Four requests of 10 ms share two cores: each gets half a core, so all end at 20 ms.
     let (mut server, mut done) = (cache(&kind()), Vec::new());
     for _ in 0..4 {
         server.offer(0, read("k", 10e3), &mut done).unwrap();
@@ -49,11 +49,11 @@
     server.offer(start, read("k", 10e3), &mut done).unwrap();
     let long = server.offer(start, read("k", 30e3), &mut done).unwrap();
     server.offer(start, read("k", 30e3), &mut done).unwrap();
-    // Three on two cores: 10 ms of work takes 15 ms; then each of the other two has a core.
+    // With three requests on two cores, 10 ms of work takes 15 ms; then each of the other two has a core.
     assert_eq!(server.next_event(), Some(start + 15 * MS));
     assert!(server.cancel(start + 15 * MS, long, &mut done));
     server.advance(start + 35 * MS, &mut done);
-    assert_eq!(done.len(), 2, "one ended at 15 ms, one at 35, and the one cancelled never");
+    assert_eq!(done.len(), 2, "one request ended at 15 ms, one at 35 ms; the cancelled one did not");
 }
 
 #[test]
@@ -64,7 +64,7 @@
     let mut server = cache(&kind);
     server.start(0);
     assert!((server.capacity(0) - 0.6).abs() < 1e-9 && (server.capacity(5_000 * MS) - 1.3).abs() < 1e-9);
-    // 0.6 cores, three times, for 1.5 s: 2.7 s of work are too much, 2.6 are not.
+    // The limit is three times 0.6 cores for 1.5 s, which is 2.7 s of work: 2.6 s are accepted, more is not.
     let mut done = Vec::new();
     for n in 0..26 {
         let _ = server.offer(n, read("k", 100e3), &mut done);
@@ -75,7 +75,7 @@
     assert_eq!(server.offer(40, read("k", 1.0), &mut done), Err(Rejection::Down));
     server.start(1_000 * MS);
     assert!(!server.is_down() && server.objects() == 0);
-    // Once warm, it only rejects.
+    // A server that is warm rejects excess requests and does not collapse.
     server.advance(20_000 * MS, &mut done);
     for _ in 0..100 {
         let _ = server.offer(20_000 * MS, read("k", 100e3), &mut done);
@@ -131,7 +131,7 @@
     let mut origin = Origin::new(&kind, 1);
     assert_eq!(origin.capacity(), 100.0);
     let (mut done, mut lost, mut sent) = (Vec::new(), Vec::new(), 0);
-    // Sustained load of 2.4 times its capacity: it rejects requests but does not stop.
+    // Under a sustained load of 2.4 times its capacity the origin rejects requests but does not stop.
     for n in 0..2400 {
         origin.offer(n * 10_000 / 24 * 10, Fetch { write: false, warming_up: false }, &mut done, &mut lost);
         sent += 1;
@@ -154,7 +154,7 @@
 #[test]
 fn the_rule_checker_finds_each_rule_violation() {
     type Case<'a> = (&'a str, &'a dyn Fn(&mut RuleChecker), fn(&Verdict) -> u64);
-    let rules = Rules::default();
+    let rules = RuleThresholds::default();
     let broken = |observe: &dyn Fn(&mut RuleChecker)| {
         let mut checker = RuleChecker::new(&rules);
         observe(&mut checker);
@@ -234,7 +234,7 @@
         let verdict = broken(observe);
         assert_eq!((figure(&verdict), verdict.rules_broken()), (1, 1), "{name}: {verdict:?}");
     }
-    let kept = broken(&|j| {
+    let compliant = broken(&|j| {
         j.request_accepted(1, MS);
         j.request_answered(0, 1, Answer::Rejected);
         j.server_notified(0, 1, 2, false);
@@ -246,7 +246,7 @@
         j.node_restarted(3);
         j.request_sent(900 * MS, 3, 2);
     });
-    assert_eq!((kept.rules_broken(), kept.rejected), (0, 1));
+    assert_eq!((compliant.rules_broken(), compliant.rejected), (0, 1));
 }
 
 #[test]
@@ -268,7 +268,7 @@
     assert!(all.full && all.servers.len() == 2 && all.version == 3);
     assert!(discovery.listing_since(Some(99)).full, "an unknown later version gets the full list");
     let answered = (0..1000).filter(|_| discovery.call(0).is_some()).count();
-    assert_eq!(answered, 101, "50 a second for 2 s, and one at once");
+    assert_eq!(answered, 101, "50 calls a second for 2 s, plus the one served at once");
     discovery.set_unavailable_until(10);
     assert!(discovery.call(9).is_none());
 }
@@ -293,8 +293,8 @@
             cost: request.cost,
             deadline: request.at + request.deadline,
         };
-        let taken = caches[server].offer(request.at, job, &mut done);
-        writeln!(text, "{request:?} {taken:?} {:?}", caches[server].report(request.at)).unwrap();
+        let offered = caches[server].offer(request.at, job, &mut done);
+        writeln!(text, "{request:?} {offered:?} {:?}", caches[server].report(request.at)).unwrap();
         for one in done.drain(..).filter(|done| done.outcome == Outcome::Miss) {
             let id = origin.offer(
                 request.at,
@@ -328,7 +328,7 @@
     let part =
         |of: &dyn Fn(&ClientRequest) -> bool| requests.iter().filter(|a| of(a)).count() as f64 / 50_000.0;
     assert!((part(&|a| a.class == 1) - 0.05).abs() < 0.005);
-    // 0.44 at twice its share of 0.44 × 2 + 0.56.
+    // The tenant has a share of 0.44 and sends twice that, of a total of 0.44 × 2 + 0.56.
     assert!((part(&|a| a.tenant == Some(0)) - 0.88 / 1.44).abs() < 0.02);
     assert!(requests.iter().all(|a| a.key < 20_000 && a.zone < 4));
 }
@@ -351,20 +351,20 @@
         (fault("kind = \"melt\"\nserver = \"c-1\""), "fault[0].kind", "unknown variant `melt`"),
         (fault("kind = \"partition\"\nzone = \"up\""), "fault[0].zone", "none of network.zones"),
     ];
-    for (text, key, why) in cases {
+    for (text, key, reason) in cases {
         let dir = tempfile::tempdir().unwrap();
         let path = dir.path().join("site.toml");
         std::fs::write(&path, text).unwrap();
         let error =
             load::<Site>(&Layers { file: Some(path), ..Layers::default() }).err().unwrap().to_string();
-        assert!(error.contains(&format!(" {key}: ")) && error.contains(why), "{error}");
+        assert!(error.contains(&format!(" {key}: ")) && error.contains(reason), "{error}");
     }
     example("twohundred");
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Offer { key: u8, cost: u32, patience: u32 },
+    Offer { key: u8, cost: u32, timeout: u32 },
     Cancel(u8),
     Insert { key: u8, size: u16 },
     Slow(u8),
@@ -373,9 +373,9 @@
     Wait(u32),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..8u8, 0..40_000u32, 1..100_000u32).prop_map(|(key, cost, patience)| Step::Offer { key, cost, patience }),
+        6 => (0..8u8, 0..40_000u32, 1..100_000u32).prop_map(|(key, cost, timeout)| Step::Offer { key, cost, timeout }),
         2 => any::<u8>().prop_map(Step::Cancel),
         2 => (0..8u8, 0..1500u16).prop_map(|(key, size)| Step::Insert { key, size }),
         1 => (0..4u8).prop_map(Step::Slow),
@@ -392,7 +392,7 @@
     /// request ends exactly once, and eventually all end.
     #[test]
     fn a_cache_server_stays_within_its_bounds_and_ends_each_request_once(
-        steps in proptest::collection::vec(step(), 1..200),
+        steps in proptest::collection::vec(any_step(), 1..200),
     ) {
         let mut kind = kind();
         kind.pause_every = DurationMicros::new(20 * MS);
@@ -403,11 +403,11 @@
         let (mut now, mut open, mut done) = (0, BTreeSet::new(), Vec::new());
         for step in steps {
             match step {
-                Step::Offer { key, cost, patience } => {
-                    let deadline = now + Micros::from(patience);
+                Step::Offer { key, cost, timeout } => {
+                    let deadline = now + Micros::from(timeout);
                     let job = Job { work: Work::Read(key.to_string()), cost: cost.into(), deadline };
                     if let Ok(id) = server.offer(now, job, &mut done) {
-                        prop_assert!(open.insert(id), "an id is new");
+                        prop_assert!(open.insert(id), "the identifier was already in use");
                     }
                 }
                 Step::Cancel(n) => {
@@ -415,7 +415,7 @@
                         if server.cancel(now, id, &mut done) {
                             open.remove(&id);
                         }
-                        prop_assert!(!server.cancel(now, id, &mut done), "cancelled twice");
+                        prop_assert!(!server.cancel(now, id, &mut done), "a job was cancelled twice");
                     }
                 }
                 Step::Insert { key, size } => server.insert(now, &key.to_string(), size.into()),
