--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use stonefold_config::{Count, DurationMillis, Positive};
-use stonefold_lab::experiment::{Hollow, Vary};
-use stonefold_lab::hollow::play::Play;
+use stonefold_lab::experiment::{HollowPlan, VariedQuantity};
+use stonefold_lab::hollow::scenario::Scenario;
 use stonefold_lab::measure::hollow::{HollowError, measure};
 use stonefold_model::site::DiscoveryKind;
 use tokio_util::sync::CancellationToken;
@@ -45,18 +45,18 @@
 /// Tests that start nodes are alone with theirs.
 static ALONE: Mutex<()> = Mutex::new(());
 
-fn beside_real_nodes(lasts_ms: u64) -> Hollow {
-    Hollow {
-        vary: Vary::Nodes,
+fn beside_real_nodes(lasts_ms: u64) -> HollowPlan {
+    HollowPlan {
+        vary: VariedQuantity::Nodes,
         nodes: Count::new(20),
         real_nodes: Count::new(10),
         servers: Count::new(100),
         changes_per_min: Count::new(240),
         lasts: DurationMillis::new(lasts_ms),
         catch_up: DurationMillis::new(30_000),
-        play: Play::Calm,
-        apart: true,
-        plant: None,
+        scenario: Scenario::Calm,
+        thread_per_node: true,
+        injected_fault: None,
         subscribe: true,
         discovery: DiscoveryKind { calls_per_s: Positive::new(2_000.0), ..DiscoveryKind::default() },
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -6,8 +6,8 @@
 use stonefold_config::{Check, CheckError, Count, DurationMillis};
 use stonefold_model::site::DiscoveryKind;
 
-use crate::hollow::fleet::Plant;
-use crate::hollow::play::Play;
+use crate::hollow::fleet::InjectedFault;
+use crate::hollow::scenario::Scenario;
 use crate::machine;
 
 const MIB: u64 = 1 << 20;
@@ -57,9 +57,9 @@
     /// What the store's members say to each other.
     Store(Store),
     /// What the control of hollow nodes costs, and whether anything is missed.
-    Hollow(Hollow),
+    Hollow(HollowPlan),
     /// The same at one size, with something that befalls all of it.
-    Scenario(Hollow),
+    Scenario(HollowPlan),
 }
 
 /// The time of a decision against servers.
@@ -93,9 +93,9 @@
 /// Hollow nodes before hollow servers, over loopback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Hollow {
+pub struct HollowPlan {
     /// Which of the following the sizes stand for.
-    pub vary: Vary,
+    pub vary: VariedQuantity,
     /// Hollow nodes.
     pub nodes: Count<1, 100_000>,
     /// Nodes beside them that are processes.
@@ -111,14 +111,14 @@
     #[serde(default = "catch_up")]
     pub catch_up: Span,
     /// What befalls them.
-    #[serde(default)]
-    pub play: Play,
+    #[serde(default, rename = "play")]
+    pub scenario: Scenario,
     /// Whether each hollow node has a thread of its own, which wakes up for it alone, as a process does; for 200 at most.
-    #[serde(default)]
-    pub apart: bool,
+    #[serde(default, rename = "apart")]
+    pub thread_per_node: bool,
     /// Something wrong that discovery does to one node half way: a trial of what finds it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub plant: Option<Plant>,
+    #[serde(default, rename = "plant", skip_serializing_if = "Option::is_none")]
+    pub injected_fault: Option<InjectedFault>,
     /// Whether the list must be subscribed to, and discovery bears that it is asked.
     #[serde(default = "subscribed")]
     pub subscribe: bool,
@@ -138,7 +138,7 @@
 /// What the sizes of a hollow fleet stand for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Vary {
+pub enum VariedQuantity {
     /// Hollow nodes.
     Nodes,
     /// Servers.
@@ -147,14 +147,14 @@
     Changes,
 }
 
-impl Hollow {
+impl HollowPlan {
     /// With the size in its place.
-    pub fn at(&self, size: usize) -> Hollow {
+    pub fn at(&self, size: usize) -> HollowPlan {
         let mut at = self.clone();
         match self.vary {
-            Vary::Nodes => at.nodes = Count::new(size as u64),
-            Vary::Servers => at.servers = Count::new(size as u64),
-            Vary::Changes => at.changes_per_min = Count::new(size as u64),
+            VariedQuantity::Nodes => at.nodes = Count::new(size as u64),
+            VariedQuantity::Servers => at.servers = Count::new(size as u64),
+            VariedQuantity::Changes => at.changes_per_min = Count::new(size as u64),
         }
         at
     }
@@ -266,7 +266,7 @@
             return wrong("sizes", format!("{largest} would take some {memory} MiB: at most {most} MiB"));
         }
         if let Measure::Hollow(of) | Measure::Scenario(of) = &self.measure
-            && of.apart
+            && of.thread_per_node
             && of.at(largest).nodes.get() > MOST_PROCESSES
         {
             return wrong("measure", format!("nodes apart are threads: at most {MOST_PROCESSES}"));
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -23,7 +23,7 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::truth::{Found, Standing, Truth};
+use super::list_checker::{Found, Standing, Truth};
 
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 /// Zones of the size that the plan is made for.
@@ -53,7 +53,7 @@
 /// Something wrong that discovery does to one node, once: for tests of what finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Plant {
+pub enum InjectedFault {
     /// It leaves a change out.
     Skip,
     /// It tells a list that is older than one that it told before.
@@ -84,7 +84,7 @@
     truth: Mutex<Truth>,
     /// How long changes took to single nodes, in microseconds.
     took: Mutex<Histogram<u64>>,
-    plant: Mutex<Option<Plant>>,
+    injected_fault: Mutex<Option<InjectedFault>>,
 }
 
 fn zone(server: usize) -> String {
@@ -107,15 +107,15 @@
     }
 
     fn telling(&self, _node: usize, listing: &mut Listing) {
-        let mut plant = locked(&self.plant);
-        match *plant {
-            Some(Plant::Skip) if !listing.full && !listing.servers.is_empty() => {
+        let mut fault = locked(&self.injected_fault);
+        match *fault {
+            Some(InjectedFault::Skip) if !listing.full && !listing.servers.is_empty() => {
                 listing.servers.pop();
             }
-            Some(Plant::StepBack) => listing.version = 1,
+            Some(InjectedFault::StepBack) => listing.version = 1,
             _ => return,
         }
-        *plant = None;
+        *fault = None;
     }
 
     fn learned(&self, _version: u64, changes: &[Listed]) {
@@ -194,7 +194,7 @@
             clock,
             truth: Mutex::new(Truth::new(first.version, first.servers.iter().copied(), plan.nodes)),
             took: Mutex::new(longest),
-            plant: Mutex::default(),
+            injected_fault: Mutex::default(),
         });
         let known = document(&*hollows, 0, &first);
         let service = Arc::new(service);
@@ -287,8 +287,8 @@
     }
 
     /// Something wrong is told to whoever calls next.
-    pub fn plant(&self, plant: Plant) {
-        *locked(&self.hollows.plant) = Some(plant);
+    pub fn inject_fault(&self, fault: InjectedFault) {
+        *locked(&self.hollows.injected_fault) = Some(fault);
     }
 
     /// What the calls of some nodes came to, together.
--- a/crates/lab/src/hollow/mod.rs
+++ b/crates/lab/src/hollow/mod.rs
@@ -4,6 +4,6 @@
 //! discovery, [`play`] what befalls them, [`real`] nodes as processes beside them.
 
 pub mod fleet;
-pub mod play;
+pub mod list_checker;
 pub mod real;
-pub mod truth;
+pub mod scenario;
--- a/crates/lab/src/hollow/play.rs
+++ b/crates/lab/src/hollow/scenario.rs
@@ -13,7 +13,7 @@
 /// What befalls it, beside the changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Play {
+pub enum Scenario {
     /// Nothing.
     #[default]
     Calm,
@@ -24,16 +24,22 @@
     /// A zone's servers are gone from the start, and all return a third of the time in.
     ZoneReturns,
     /// Discovery answers nobody in the middle third of the time.
-    DiscoveryAway,
+    #[serde(rename = "discovery-away")]
+    DiscoveryUnavailable,
 }
 
 /// Plays it over a time, with so many changes of the list; returns when the time is over.
 ///
 /// # Errors
 /// If a node can't be restarted.
-pub async fn play(fleet: &mut Fleet, play: Play, changes: usize, lasts: Duration) -> Result<(), FleetError> {
+pub async fn run_scenario(
+    fleet: &mut Fleet,
+    scenario: Scenario,
+    changes: usize,
+    lasts: Duration,
+) -> Result<(), FleetError> {
     let start = Instant::now();
-    let mut steps = steps(fleet, play, changes, lasts);
+    let mut steps = steps(fleet, scenario, changes, lasts);
     steps.sort_by_key(|(after, _)| *after);
     let mut dealt = Deal::new(fleet);
     for (after, step) in steps {
@@ -61,20 +67,22 @@
     Away(Duration),
 }
 
-fn steps(fleet: &Fleet, play: Play, changes: usize, lasts: Duration) -> Vec<(Duration, Step)> {
+fn steps(fleet: &Fleet, scenario: Scenario, changes: usize, lasts: Duration) -> Vec<(Duration, Step)> {
     let evenly = |n: usize, of: usize| lasts.mul_f64((n as f64 + 0.5) / of as f64);
     let mut steps: Vec<(Duration, Step)> = (0..changes).map(|n| (evenly(n, changes), Step::Change)).collect();
     let nodes = fleet.plan().nodes;
-    match play {
-        Play::Calm => {}
-        Play::Restarts(count) => {
+    match scenario {
+        Scenario::Calm => {}
+        Scenario::Restarts(count) => {
             let count = count.get();
             // Spread over all nodes: 7919 is prime, and no two follow each other.
             steps.extend((0..count).map(|n| (evenly(n, count), Step::Restart(n * 7919 % nodes))));
         }
-        Play::RestartAll => steps.extend((0..nodes).map(|node| (lasts / 3, Step::Restart(node)))),
-        Play::ZoneReturns => steps.extend([(Duration::ZERO, Step::ZoneGone), (lasts / 3, Step::ZoneBack)]),
-        Play::DiscoveryAway => steps.push((lasts / 3, Step::Away(lasts / 3))),
+        Scenario::RestartAll => steps.extend((0..nodes).map(|node| (lasts / 3, Step::Restart(node)))),
+        Scenario::ZoneReturns => {
+            steps.extend([(Duration::ZERO, Step::ZoneGone), (lasts / 3, Step::ZoneBack)])
+        }
+        Scenario::DiscoveryUnavailable => steps.push((lasts / 3, Step::Away(lasts / 3))),
     }
     steps
 }
--- a/crates/lab/src/measure/hollow.rs
+++ b/crates/lab/src/measure/hollow.rs
@@ -10,10 +10,10 @@
 use tokio::task::yield_now;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::experiment::Hollow;
+use crate::experiment::HollowPlan;
 use crate::hollow::fleet::{Fleet, FleetError, Plan};
-use crate::hollow::play::play;
 use crate::hollow::real::Real;
+use crate::hollow::scenario::run_scenario;
 use crate::machine::{Carried, threads_on_processor};
 use crate::sample::Figures;
 
@@ -83,12 +83,12 @@
 /// # Errors
 /// If it can't be started, or is told to stop. No process is left then.
 pub fn measure(
-    of: &Hollow,
+    of: &HollowPlan,
     seed: u64,
     node: &Path,
     stop: &CancellationToken,
 ) -> Result<Figures, HollowError> {
-    let nodes = if of.apart { Nodes::apart(of.nodes.get())? } else { Nodes::together()? };
+    let nodes = if of.thread_per_node { Nodes::apart(of.nodes.get())? } else { Nodes::together()? };
     let discovery = runtime(DISCOVERY)?;
     let running = nodes.handles.clone();
     discovery.block_on(async {
@@ -137,7 +137,7 @@
     }
 }
 
-async fn watch(of: &Hollow, fleet: &mut Fleet, node: &Path) -> Result<Figures, HollowError> {
+async fn watch(of: &HollowPlan, fleet: &mut Fleet, node: &Path) -> Result<Figures, HollowError> {
     let mut figures = Figures::default();
     let began = Instant::now();
     for node in 0..fleet.plan().nodes {
@@ -173,12 +173,19 @@
 }
 
 /// Plays what is stated; where something wrong is planted, once all nodes have come through the first half.
-async fn befall(of: &Hollow, fleet: &mut Fleet, changes: usize, lasts: Duration) -> Result<(), FleetError> {
-    let Some(plant) = of.plant else { return play(fleet, of.play, changes, lasts).await };
-    play(fleet, of.play, changes / 2, lasts / 2).await?;
+async fn befall(
+    of: &HollowPlan,
+    fleet: &mut Fleet,
+    changes: usize,
+    lasts: Duration,
+) -> Result<(), FleetError> {
+    let Some(fault) = of.injected_fault else {
+        return run_scenario(fleet, of.scenario, changes, lasts).await;
+    };
+    run_scenario(fleet, of.scenario, changes / 2, lasts / 2).await?;
     fleet.settled(of.catch_up.duration()).await;
-    fleet.plant(plant);
-    play(fleet, of.play, changes / 2, lasts / 2).await
+    fleet.inject_fault(fault);
+    run_scenario(fleet, of.scenario, changes / 2, lasts / 2).await
 }
 
 /// Nodes as processes, each of which has called discovery.
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use stonefold_config::{Count, Positive};
-use stonefold_lab::hollow::fleet::{Fleet, Plan, Plant};
-use stonefold_lab::hollow::play::{Play, play};
+use stonefold_lab::hollow::fleet::{Fleet, InjectedFault, Plan};
+use stonefold_lab::hollow::scenario::{Scenario, run_scenario};
 use stonefold_model::site::DiscoveryKind;
 use tokio::runtime::Handle;
 
@@ -22,10 +22,10 @@
 }
 
 /// Plays it where lists are asked for and where they are pushed: all changes get everywhere.
-async fn is_whole(of: Play, changes: usize) {
+async fn is_whole(of: Scenario, changes: usize) {
     for subscribe in [true, false] {
         let mut fleet = fleet(subscribe).await;
-        play(&mut fleet, of, changes, LASTS).await.unwrap();
+        run_scenario(&mut fleet, of, changes, LASTS).await.unwrap();
         assert!(fleet.settled(CATCH_UP).await, "{of:?}: {:?}", fleet.behind());
         let found = fleet.found();
         assert_eq!((found.skipped, found.backwards), (0, 0), "{of:?}: {:?}", found.words);
@@ -36,49 +36,49 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_days_changes_get_everywhere() {
-    is_whole(Play::Calm, 200).await;
+    is_whole(Scenario::Calm, 200).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn nodes_that_are_restarted_catch_up() {
-    is_whole(Play::Restarts(Count::new(12)), 40).await;
+    is_whole(Scenario::Restarts(Count::new(12)), 40).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn all_nodes_that_are_restarted_at_once_catch_up() {
-    is_whole(Play::RestartAll, 40).await;
+    is_whole(Scenario::RestartAll, 40).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_zone_that_returns_is_known_everywhere() {
-    is_whole(Play::ZoneReturns, 4).await;
+    is_whole(Scenario::ZoneReturns, 4).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_changed_while_discovery_was_away_gets_everywhere_once_it_is_back() {
-    is_whole(Play::DiscoveryAway, 40).await;
+    is_whole(Scenario::DiscoveryUnavailable, 40).await;
 }
 
 /// Discovery does something wrong to one node, in the middle of changes.
-async fn planted(plant: Plant) -> stonefold_lab::hollow::truth::Found {
+async fn with_injected_fault(fault: InjectedFault) -> stonefold_lab::hollow::list_checker::Found {
     let mut fleet = fleet(true).await;
-    play(&mut fleet, Play::Calm, 5, LASTS / 4).await.unwrap();
+    run_scenario(&mut fleet, Scenario::Calm, 5, LASTS / 4).await.unwrap();
     assert!(fleet.settled(CATCH_UP).await);
     assert_eq!((fleet.found().skipped, fleet.found().backwards), (0, 0));
-    fleet.plant(plant);
-    play(&mut fleet, Play::Calm, 5, LASTS / 4).await.unwrap();
+    fleet.inject_fault(fault);
+    run_scenario(&mut fleet, Scenario::Calm, 5, LASTS / 4).await.unwrap();
     fleet.settled(CATCH_UP).await;
     fleet.found()
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_change_that_one_node_was_not_told_is_found() {
-    let found = planted(Plant::Skip).await;
+    let found = with_injected_fault(InjectedFault::Skip).await;
     assert!(found.skipped > 0 && found.backwards == 0, "{found:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_list_that_goes_back_at_one_node_is_found() {
-    let found = planted(Plant::StepBack).await;
+    let found = with_injected_fault(InjectedFault::StepBack).await;
     assert!(found.backwards > 0, "{found:?}");
 }
--- a/crates/lab/tests/truth.rs
+++ b/crates/lab/tests/list_checker.rs
@@ -1,6 +1,6 @@
 //! What a node does with the list's history is judged as it is: nothing skipped, nothing backwards.
 
-use stonefold_lab::hollow::truth::{Standing, Truth};
+use stonefold_lab::hollow::list_checker::{Standing, Truth};
 use stonefold_model::{Listed, State};
 
 fn listed(server: usize, state: State) -> Listed {
