--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiment file: one typed tree, and the bounds that a plan must keep.
+//! The plan of an experiment: the types of its TOML file, and the bounds that a plan must keep.
 
 use std::time::Duration;
 
@@ -10,284 +10,298 @@
 use crate::hollow::scenario::Scenario;
 use crate::machine;
 
+/// One mebibyte, in bytes.
 const MIB: u64 = 1 << 20;
-/// Half of the machine that the laboratory was made for.
-const MOST_MEMORY: u64 = 12 << 30;
-const MOST_PROCESSES: usize = 200;
-/// Fewer sizes or repeats are no slope.
-const LEAST_SIZES: usize = 4;
-const LEAST_REPEATS: usize = 3;
-/// What a sample takes beside its measured time: its process, its members' start.
-const START: Duration = Duration::from_millis(200);
+/// Most memory that a sample may need: half of the memory of the machine that the lab is written for.
+const MAX_MEMORY_BYTES: u64 = 12 << 30;
+/// Most processes of a sample, and most threads that run one hollow node each.
+const MAX_PROCESSES: usize = 200;
+/// Fewest sizes from which a slope is fitted.
+const MIN_SIZES: usize = 4;
+/// Fewest repeats of each size from which a slope is fitted.
+const MIN_REPEATS: usize = 3;
+/// Time that a sample takes besides its measured time, to start its process and its members.
+const SAMPLE_OVERHEAD: Duration = Duration::from_millis(200);
 
-/// A size: so many servers, members or nodes.
-pub type Size = Count<1, 1_000_000>;
-/// A measured time.
-pub type Span = DurationMillis<100, 600_000>;
+/// A size of an experiment: a number of servers, members, nodes or changes per minute.
+pub type ExperimentSize = Count<1, 1_000_000>;
+/// The duration of a measurement.
+pub type MeasuredTime = DurationMillis<100, 600_000>;
 
-/// An experiment.
+/// The plan of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name, which its results carry: lower-case letters, digits and hyphens.
+    /// Name of the experiment and of its result files: lower-case letters, digits and hyphens.
     pub name: String,
-    /// What is varied, as the plot's axis names it.
+    /// What is varied; the label of the plot's horizontal axis.
     pub against: String,
-    /// The sizes, each larger than the one before.
-    pub sizes: Vec<Size>,
-    /// How often each size is measured.
+    /// The sizes, in ascending order.
+    pub sizes: Vec<ExperimentSize>,
+    /// Number of samples of each size.
     pub repeats: Count<1, 100>,
-    /// Seeds every random choice.
+    /// Seed of every random choice.
     #[serde(default)]
     pub seed: Count<0, { u32::MAX as u64 }>,
-    /// The runner stops after so long.
+    /// Time after which the runner stops.
     pub time_limit: DurationMillis<1_000, 3_600_000>,
-    /// What is measured, and how.
-    pub measure: Measure,
+    /// What is measured, with its settings.
+    pub measure: Measurement,
 }
 
 /// What is measured.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Measure {
-    /// How long the balancer decides.
-    Decision(Decision),
-    /// What a balancer holds in memory.
-    Memory(Memory),
-    /// What the store's members say to each other.
-    Store(Store),
-    /// What the control of hollow nodes costs, and whether anything is missed.
+pub enum Measurement {
+    /// Time in which the balancer decides where a request is sent.
+    Decision(DecisionPlan),
+    /// Memory of a balancer.
+    Memory(MemoryPlan),
+    /// Traffic and processor time of the store's members.
+    Store(StorePlan),
+    /// Traffic and processor time of the control code of hollow nodes, and whether a node misses a change of the list.
     Hollow(HollowPlan),
-    /// The same at one size, with something that befalls all of it.
+    /// The same for a scenario, which may run at a single size, without a slope.
     Scenario(HollowPlan),
 }
 
-/// The time of a decision against servers.
+/// Settings for measuring the time of a decision by the number of servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Decision {
-    /// Decisions that are timed, after a tenth as many that are not.
+pub struct DecisionPlan {
+    /// Number of timed decisions. A tenth as many, which are not timed, come first.
     pub requests: Count<100, 10_000_000>,
 }
 
-/// The memory of a balancer against servers.
+/// Settings for measuring the memory of a balancer by the number of servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Memory {
-    /// Balancers that are held at once.
+pub struct MemoryPlan {
+    /// Number of balancers that exist at once.
     pub copies: Count<1, 10_000>,
-    /// Requests that each has served, so that it knows its servers.
+    /// Requests that each balancer handles first, so that it has state about its servers.
     pub requests: Count<0, 100_000>,
 }
 
-/// What a store's members cost, all of them voters.
+/// Settings for measuring the members of a store, all of them voters, by their number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Store {
-    /// How long nothing is asked.
-    pub idle: Span,
-    /// And then, how long each member asks the leader once a second what is committed.
-    pub asking: Span,
+pub struct StorePlan {
+    /// Duration of the first phase, without requests.
+    pub idle: MeasuredTime,
+    /// Duration of the second phase, in which each member asks the leader once a second for the committed position.
+    pub asking: MeasuredTime,
 }
 
-/// Hollow nodes before hollow servers, over loopback.
+/// Settings for measuring hollow nodes with listed servers that do not run, over loopback.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HollowPlan {
-    /// Which of the following the sizes stand for.
+    /// The setting that the sizes replace.
     pub vary: VariedQuantity,
-    /// Hollow nodes.
+    /// Number of hollow nodes.
     pub nodes: Count<1, 100_000>,
-    /// Nodes beside them that are processes.
+    /// Number of additional nodes that run as processes.
     #[serde(default)]
     pub real_nodes: Count<0, 1_000>,
-    /// Servers.
+    /// Number of listed servers.
     pub servers: Count<1, 65_000>,
-    /// Changes of the list in a minute.
+    /// Changes of the list per minute.
     pub changes_per_min: Count<0, 60_000>,
-    /// How long it is played, once all nodes have started.
-    pub lasts: Span,
-    /// How long all of them may take for their start, and again at the end for what is new.
-    #[serde(default = "catch_up")]
-    pub catch_up: Span,
-    /// What befalls them.
+    /// Duration of the scenario, once all nodes have started.
+    pub lasts: MeasuredTime,
+    /// Time within which all nodes must apply the latest list after their start, and again at the end.
+    #[serde(default = "default_catch_up")]
+    pub catch_up: MeasuredTime,
+    /// The scenario that is run.
     #[serde(default, rename = "play")]
     pub scenario: Scenario,
-    /// Whether each hollow node has a thread of its own, which wakes up for it alone, as a process does; for 200 at most.
+    /// Whether each hollow node has its own thread, which wakes up for it alone, as a process does; for at most 200
+    /// nodes.
     #[serde(default, rename = "apart")]
     pub thread_per_node: bool,
-    /// Something wrong that discovery does to one node half way: a trial of what finds it.
+    /// A fault that discovery injects into its answer to one node half way, to test that the checks find it.
     #[serde(default, rename = "plant", skip_serializing_if = "Option::is_none")]
     pub injected_fault: Option<InjectedFault>,
-    /// Whether the list must be subscribed to, and discovery bears that it is asked.
-    #[serde(default = "subscribed")]
+    /// Whether nodes must get the list by a watch, which discovery must be able to serve; otherwise they choose how to
+    /// get it.
+    #[serde(default = "default_subscribe")]
     pub subscribe: bool,
-    /// Discovery.
+    /// Delays and limits of discovery.
     #[serde(default)]
     pub discovery: DiscoveryKind,
 }
 
-fn catch_up() -> Span {
-    Span::new(30_000)
+fn default_catch_up() -> MeasuredTime {
+    MeasuredTime::new(30_000)
 }
 
-fn subscribed() -> bool {
+fn default_subscribe() -> bool {
     true
 }
 
-/// What the sizes of a hollow fleet stand for.
+/// The setting of a hollow fleet that the sizes of the experiment replace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VariedQuantity {
-    /// Hollow nodes.
+    /// Number of hollow nodes.
     Nodes,
-    /// Servers.
+    /// Number of servers.
     Servers,
-    /// Changes in a minute.
+    /// Changes of the list per minute.
     Changes,
 }
 
 impl HollowPlan {
-    /// With the size in its place.
-    pub fn at(&self, size: usize) -> HollowPlan {
-        let mut at = self.clone();
+    /// Returns the plan with the varied setting replaced by a size.
+    pub fn with_size(&self, size: usize) -> HollowPlan {
+        let mut plan = self.clone();
         match self.vary {
-            VariedQuantity::Nodes => at.nodes = Count::new(size as u64),
-            VariedQuantity::Servers => at.servers = Count::new(size as u64),
-            VariedQuantity::Changes => at.changes_per_min = Count::new(size as u64),
+            VariedQuantity::Nodes => plan.nodes = Count::new(size as u64),
+            VariedQuantity::Servers => plan.servers = Count::new(size as u64),
+            VariedQuantity::Changes => plan.changes_per_min = Count::new(size as u64),
         }
-        at
+        plan
     }
 
-    fn memory(&self) -> u64 {
+    /// Memory that a sample is expected to need, in bytes.
+    fn memory_bytes(&self) -> u64 {
         let (nodes, servers) = (self.nodes.get() as u64, self.servers.get() as u64);
         128 * MIB + nodes * (96 << 10) + nodes * servers * 2048 + self.real_nodes.get() as u64 * 48 * MIB
     }
 }
 
 impl Experiment {
-    /// The sizes as numbers.
+    /// The sizes, as numbers.
     pub fn sizes(&self) -> impl Iterator<Item = usize> {
         self.sizes.iter().map(|size| size.get())
     }
 
-    fn largest(&self) -> usize {
+    fn max_size(&self) -> usize {
         self.sizes().max().unwrap_or(0)
     }
 }
 
-impl Measure {
-    /// What a sample of this size is expected to hold, in bytes: rounded up from what was measured.
-    pub fn memory(&self, size: usize) -> u64 {
+impl Measurement {
+    /// Memory that a sample of this size is expected to need, in bytes: measured figures, rounded up.
+    pub fn memory_bytes(&self, size: usize) -> u64 {
         let size = size as u64;
         match self {
-            Measure::Decision(_) => 32 * MIB + size * 4096,
-            Measure::Memory(of) => 32 * MIB + of.copies.get() as u64 * (4096 + size * 2048),
-            // Each keeps its disk's cache, and links to all others.
-            Measure::Store(_) => 64 * MIB + size * 24 * MIB + size * size * 8192,
-            Measure::Hollow(of) | Measure::Scenario(of) => of.at(size as usize).memory(),
+            Measurement::Decision(_) => 32 * MIB + size * 4096,
+            Measurement::Memory(plan) => 32 * MIB + plan.copies.get() as u64 * (4096 + size * 2048),
+            // Each member has the cache of its disk, and connections to all others.
+            Measurement::Store(_) => 64 * MIB + size * 24 * MIB + size * size * 8192,
+            Measurement::Hollow(plan) | Measurement::Scenario(plan) => {
+                plan.with_size(size as usize).memory_bytes()
+            }
         }
     }
 
-    /// Processes of a sample, its own included.
+    /// Number of processes of a sample, including its own.
     pub fn processes(&self) -> usize {
         match self {
-            Measure::Hollow(of) | Measure::Scenario(of) => 1 + of.real_nodes.get(),
+            Measurement::Hollow(plan) | Measurement::Scenario(plan) => 1 + plan.real_nodes.get(),
             _ => 1,
         }
     }
 
-    /// Descriptors that one process of a sample of this size needs at once.
+    /// Number of descriptors that one process of a sample of this size has open at once.
     pub fn descriptors(&self, size: usize) -> usize {
         match self {
-            Measure::Decision(_) | Measure::Memory(_) => 32,
-            // The leader's two links to each member, both of their ends, and each one's listener and disk.
-            Measure::Store(_) => 64 + size * 12,
-            // A listener and both ends of a connection for each; one more while a node is started anew.
-            Measure::Hollow(of) | Measure::Scenario(of) => {
-                let of = of.at(size);
-                128 + of.nodes.get() * 4 + of.real_nodes.get() * 3
+            Measurement::Decision(_) | Measurement::Memory(_) => 32,
+            // Both ends of the leader's two connections to each member, and each member's listener and disk.
+            Measurement::Store(_) => 64 + size * 12,
+            // A listener and both ends of a connection for each node, and one more while a node restarts.
+            Measurement::Hollow(plan) | Measurement::Scenario(plan) => {
+                let plan = plan.with_size(size);
+                128 + plan.nodes.get() * 4 + plan.real_nodes.get() * 3
             }
         }
     }
 
-    /// How long a sample lasts at least.
-    fn lasts(&self) -> Duration {
+    /// Shortest duration of a sample.
+    fn min_duration(&self) -> Duration {
         match self {
-            Measure::Decision(_) | Measure::Memory(_) => START,
-            Measure::Store(of) => START + of.idle.duration() + of.asking.duration(),
-            Measure::Hollow(of) | Measure::Scenario(of) => START + of.lasts.duration(),
+            Measurement::Decision(_) | Measurement::Memory(_) => SAMPLE_OVERHEAD,
+            Measurement::Store(plan) => SAMPLE_OVERHEAD + plan.idle.duration() + plan.asking.duration(),
+            Measurement::Hollow(plan) | Measurement::Scenario(plan) => {
+                SAMPLE_OVERHEAD + plan.lasts.duration()
+            }
         }
     }
 
-    /// Sizes and repeats: a scenario is played at one size, and is no slope.
-    fn least(&self) -> (usize, usize) {
-        if let Measure::Scenario(_) = self { (1, 1) } else { (LEAST_SIZES, LEAST_REPEATS) }
+    /// Fewest sizes and repeats. A scenario may have a single size and repeat, as it needs no slope.
+    fn min_sizes_and_repeats(&self) -> (usize, usize) {
+        if let Measurement::Scenario(_) = self { (1, 1) } else { (MIN_SIZES, MIN_REPEATS) }
     }
 }
 
-fn wrong<T>(key: &str, what: impl Into<String>) -> Result<T, CheckError> {
-    Err(CheckError::new(key, what))
+fn invalid<T>(key: &str, reason: impl Into<String>) -> Result<T, CheckError> {
+    Err(CheckError::new(key, reason))
 }
 
 impl Check for Experiment {
     fn check(&self) -> Result<(), CheckError> {
-        let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
-        if self.name.is_empty() || !self.name.chars().all(plain) {
-            return wrong(
+        let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+        if self.name.is_empty() || !self.name.chars().all(is_allowed) {
+            return invalid(
                 "name",
                 format!("{:?}: expected lower-case letters, digits and hyphens", self.name),
             );
         }
-        let (sizes, repeats) = self.measure.least();
-        if self.sizes.len() < sizes {
-            return wrong("sizes", format!("{}: a slope needs at least {sizes}", self.sizes.len()));
+        let (min_sizes, min_repeats) = self.measure.min_sizes_and_repeats();
+        if self.sizes.len() < min_sizes {
+            return invalid("sizes", format!("{}: a slope needs at least {min_sizes}", self.sizes.len()));
         }
         if let Some(n) = self.sizes.windows(2).position(|pair| pair[0] >= pair[1]) {
-            return wrong(&format!("sizes[{}]", n + 1), "must be larger than the one before");
+            return invalid(&format!("sizes[{}]", n + 1), "must be larger than the one before");
         }
-        if self.repeats.get() < repeats {
-            return wrong("repeats", format!("{}: at least {repeats}", self.repeats.get()));
+        if self.repeats.get() < min_repeats {
+            return invalid("repeats", format!("{}: at least {min_repeats} are needed", self.repeats.get()));
         }
         self.check_bounds(machine::descriptor_limit())
     }
 }
 
 impl Experiment {
-    /// Whether the plan keeps to the bounds, on a machine that allows a process so many descriptors.
+    /// Checks that the plan stays within the bounds, on a machine that allows a process this number of descriptors.
     ///
     /// # Errors
-    /// The key that asks for more, what it asks for, and the bound.
+    /// Returns the key that exceeds a bound, the value that it leads to, and the bound.
     pub fn check_bounds(&self, descriptors: usize) -> Result<(), CheckError> {
-        let largest = self.largest();
-        let memory = self.measure.memory(largest);
-        if memory > MOST_MEMORY {
-            let (memory, most) = (memory / MIB, MOST_MEMORY / MIB);
-            return wrong("sizes", format!("{largest} would take some {memory} MiB: at most {most} MiB"));
+        let max_size = self.max_size();
+        let memory_bytes = self.measure.memory_bytes(max_size);
+        if memory_bytes > MAX_MEMORY_BYTES {
+            let (memory, limit) = (memory_bytes / MIB, MAX_MEMORY_BYTES / MIB);
+            return invalid(
+                "sizes",
+                format!("size {max_size} needs about {memory} MiB: at most {limit} MiB"),
+            );
         }
-        if let Measure::Hollow(of) | Measure::Scenario(of) = &self.measure
-            && of.thread_per_node
-            && of.at(largest).nodes.get() > MOST_PROCESSES
+        if let Measurement::Hollow(plan) | Measurement::Scenario(plan) = &self.measure
+            && plan.thread_per_node
+            && plan.with_size(max_size).nodes.get() > MAX_PROCESSES
         {
-            return wrong("measure", format!("nodes apart are threads: at most {MOST_PROCESSES}"));
+            return invalid("measure", format!("with `apart`, nodes are threads: at most {MAX_PROCESSES}"));
         }
         let processes = self.measure.processes();
-        if processes > MOST_PROCESSES {
-            return wrong("measure", format!("{processes} processes at once: at most {MOST_PROCESSES}"));
+        if processes > MAX_PROCESSES {
+            return invalid("measure", format!("{processes} processes at once: at most {MAX_PROCESSES}"));
         }
-        let wanted = self.measure.descriptors(largest);
-        if wanted > descriptors {
-            return wrong(
+        let needed = self.measure.descriptors(max_size);
+        if needed > descriptors {
+            return invalid(
                 "sizes",
-                format!("{largest} would need {wanted} descriptors: this machine allows {descriptors}"),
+                format!("size {max_size} needs {needed} descriptors: this machine allows {descriptors}"),
             );
         }
         let samples = u32::try_from(self.sizes.len() * self.repeats.get()).unwrap_or(u32::MAX);
-        let (least, limit) = (self.measure.lasts().saturating_mul(samples), self.time_limit.duration());
-        if least > limit {
-            return wrong(
+        let (min_duration, limit) =
+            (self.measure.min_duration().saturating_mul(samples), self.time_limit.duration());
+        if min_duration > limit {
+            return invalid(
                 "time_limit",
-                format!("{limit:?} is too short: {samples} samples take {least:?} at least"),
+                format!("{limit:?} is too short: {samples} samples take at least {min_duration:?}"),
             );
         }
         Ok(())
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -1,6 +1,7 @@
-//! Hollow nodes before hollow servers: each has a connection to discovery, which is the emulator's over the model.
+//! A fleet of hollow nodes, each with a connection to the emulator's discovery, which is driven by the model.
 //!
-//! The servers are entries of the list with an address that nobody calls: a node's control makes no connection to them.
+//! The servers are only entries of the list, with addresses at which nothing listens: a node's control code does not
+//! connect to them.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,67 +24,70 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::list_checker::{Found, Standing, Truth};
+use super::list_checker::{Findings, ListChecker, ServerStatus};
 
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// Zones of the size that the plan is made for.
+/// Loopback address with a port that the system selects.
+const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Number of zones, as in a site of the intended size.
 pub const ZONES: usize = 30;
-/// Servers that share their keys.
-const CELL: usize = 4;
-/// Longer times count as this, in microseconds.
-const LONGEST: u64 = 3_600_000_000;
+/// Servers of a cell, which share their keys.
+const SERVERS_PER_CELL: usize = 4;
+/// Longest time that is recorded, in microseconds; longer ones count as this.
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 
-/// What a fleet is made of.
+/// The size and the settings of a fleet.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// Hollow nodes, and others that the lists are for beside them.
+pub struct FleetPlan {
+    /// Number of hollow nodes.
     pub nodes: usize,
-    /// See `nodes`.
+    /// Number of additional nodes that discovery serves.
     pub others: usize,
-    /// Servers.
+    /// Number of listed servers.
     pub servers: usize,
-    /// Discovery.
+    /// Delays and limits of discovery.
     pub discovery: DiscoveryKind,
-    /// Whether the list must be subscribed to, and discovery bears that it is asked.
+    /// Whether nodes must get the list by a watch, which discovery must be able to serve; otherwise they choose how to
+    /// get it.
     pub subscribe: bool,
-    /// Seeds every random choice.
+    /// Seed of every random choice.
     pub seed: u64,
 }
 
-/// Something wrong that discovery does to one node, once: for tests of what finds it.
+/// A fault in one answer of discovery to one node, to test that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedFault {
-    /// It leaves a change out.
+    /// The answer leaves a change out.
     Skip,
-    /// It tells a list that is older than one that it told before.
+    /// The answer has a version older than an earlier answer.
     StepBack,
 }
 
-/// Why there is no fleet.
+/// Why a fleet or a node could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A listener.
-    #[error("{0}")]
+    /// A listener could not be created.
+    #[error("cannot listen: {0}")]
     Io(#[from] std::io::Error),
-    /// A node's configuration.
+    /// The configuration of a node is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// More servers than a list can name.
+    /// There are more servers than ports for their addresses.
     #[error("{0} servers: at most 65000")]
-    Servers(usize),
+    TooManyServers(usize),
 }
 
-fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The servers as they are told, and what comes of it.
-struct Hollows {
+/// Lists the servers for discovery and checks the lists that nodes apply.
+struct FleetRegistry {
     clock: Clock,
-    truth: Mutex<Truth>,
-    /// How long changes took to single nodes, in microseconds.
-    took: Mutex<Histogram<u64>>,
+    checker: Mutex<ListChecker>,
+    /// Time that each change took to reach each node, in microseconds.
+    node_times: Mutex<Histogram<u64>>,
+    /// The fault that the next suitable answer of discovery gets.
     injected_fault: Mutex<Option<InjectedFault>>,
 }
 
@@ -91,7 +95,7 @@
     format!("z{}", server % ZONES)
 }
 
-impl Registry for Hollows {
+impl Registry for FleetRegistry {
     fn entry(&self, _node: usize, listed: &Listed) -> Option<Value> {
         let state = match listed.state {
             State::Serving => "SERVING",
@@ -100,8 +104,8 @@
         };
         let port = 1 + u16::try_from(listed.server).ok()?;
         Some(
-            json!({"id": Site::id(listed.server), "addr": SocketAddr::new(ANY.ip(), port), "zone": zone(listed.server),
-            "kind": "box", "cell": listed.server / CELL, "state": state, "weight": 1.0,
+            json!({"id": Site::id(listed.server), "addr": SocketAddr::new(LOOPBACK.ip(), port), "zone": zone(listed.server),
+            "kind": "box", "cell": listed.server / SERVERS_PER_CELL, "state": state, "weight": 1.0,
             "started_ms": self.unix_ms(listed.started)}),
         )
     }
@@ -119,22 +123,22 @@
     }
 
     fn learned(&self, _version: u64, changes: &[Listed]) {
-        let told = |listed: &Listed| Listed { started: self.unix_ms(listed.started), ..*listed };
-        let told: Vec<Listed> = changes.iter().map(told).collect();
-        locked(&self.truth).learned(self.clock.now(), &told);
+        let with_unix_time = |listed: &Listed| Listed { started: self.unix_ms(listed.started), ..*listed };
+        let changes: Vec<Listed> = changes.iter().map(with_unix_time).collect();
+        locked(&self.checker).changes_published(self.clock.now(), &changes);
     }
 }
 
-impl Hollows {
-    /// 0 is long ago, here and there.
+impl FleetRegistry {
+    /// Converts a start time to milliseconds of Unix time. 0, which means before the simulation, stays 0.
     fn unix_ms(&self, started: Micros) -> u64 {
         if started == 0 { 0 } else { self.clock.unix_ms(started) }
     }
 
-    fn acted(&self, node: usize, acted: &AppliedList<'_>) {
+    fn list_applied(&self, node: usize, list: &AppliedList<'_>) {
         let now = self.clock.now();
-        let has = |server: usize| -> Standing {
-            let (state, started_ms) = acted.listed(&Site::id(server))?;
+        let status_of = |server: usize| -> ServerStatus {
+            let (state, started_ms) = list.listed(&Site::id(server))?;
             let state = match state {
                 EndpointState::Up => State::Serving,
                 EndpointState::Draining => State::Draining,
@@ -142,80 +146,82 @@
             };
             Some((state, started_ms as Micros))
         };
-        let mut truth = locked(&self.truth);
-        let took = truth.acted(node, now, acted.version, acted.servers(), has);
-        drop(truth);
-        let mut all = locked(&self.took);
-        took.into_iter().for_each(|took| all.saturating_record(took));
+        let mut checker = locked(&self.checker);
+        let times = checker.list_applied(node, now, list.version, list.servers(), status_of);
+        drop(checker);
+        let mut node_times = locked(&self.node_times);
+        times.into_iter().for_each(|time| node_times.saturating_record(time));
     }
 }
 
-/// A configuration as the platform would state it.
-struct Stated(Value);
+/// The configuration of a node as the platform's document.
+struct ConfigDocument(Value);
 
-impl Document for Stated {
+impl Document for ConfigDocument {
     fn read(&self) -> Result<Value, DocumentError> {
         Ok(self.0.clone())
     }
 }
 
-/// A fleet at work. Dropped, it ends, and nothing of it is left.
+/// A running fleet. When it is dropped, all its nodes, listeners and tasks end.
 pub struct Fleet {
-    plan: Plan,
-    hollows: Arc<Hollows>,
+    plan: FleetPlan,
+    registry: Arc<FleetRegistry>,
     service: Arc<Service>,
     clock: Clock,
-    /// Where discovery answers each node.
-    discovery: Vec<SocketAddr>,
-    /// What each node is started with.
-    known: Value,
+    /// The address of discovery for each node.
+    discovery_addrs: Vec<SocketAddr>,
+    /// The list that each node is started with.
+    initial_list: Value,
     nodes: Vec<Option<AbortOnDropHandle<()>>>,
-    /// Where nodes run, dealt over them in turn.
+    /// The runtimes of the nodes, which are assigned to them round-robin.
     runtimes: Vec<Handle>,
     _stop: DropGuard,
 }
 
 impl Fleet {
-    /// Starts discovery in the current runtime; no node yet. They will be dealt over these runtimes.
+    /// Starts discovery in the current runtime, but no node yet. `runtimes` are those of the nodes, which are assigned
+    /// to them round-robin.
     ///
     /// # Errors
-    /// If a listener can't be had, or there are more servers than addresses.
-    pub async fn start(plan: Plan, runtimes: Vec<Handle>) -> Result<Fleet, FleetError> {
+    /// If a listener can't be created, or there are more servers than addresses.
+    pub async fn start(plan: FleetPlan, runtimes: Vec<Handle>) -> Result<Fleet, FleetError> {
         if plan.servers > 65_000 {
-            return Err(FleetError::Servers(plan.servers));
+            return Err(FleetError::TooManyServers(plan.servers));
         }
         let stop = CancellationToken::new();
         let clock = Clock::start();
         let nodes = plan.nodes + plan.others;
         let service = Service::new(&plan.discovery, plan.seed, 0..plan.servers, nodes, clock, stop.clone());
         let first = service.listing();
-        let longest = Histogram::new_with_max(LONGEST, 3).expect("bounds that a histogram can hold");
-        let hollows = Arc::new(Hollows {
+        let node_times =
+            Histogram::new_with_max(MAX_RECORDED_US, 3).expect("bounds that a histogram can hold");
+        let registry = Arc::new(FleetRegistry {
             clock,
-            truth: Mutex::new(Truth::new(first.version, first.servers.iter().copied(), plan.nodes)),
-            took: Mutex::new(longest),
+            checker: Mutex::new(ListChecker::new(first.version, first.servers.iter().copied(), plan.nodes)),
+            node_times: Mutex::new(node_times),
             injected_fault: Mutex::default(),
         });
-        let known = document(&*hollows, 0, &first);
+        let initial_list = document(&*registry, 0, &first);
         let service = Arc::new(service);
         let mut listeners = Vec::with_capacity(nodes);
         for _ in 0..nodes {
-            listeners.push(TcpListener::bind(ANY).await?);
+            listeners.push(TcpListener::bind(LOOPBACK).await?);
         }
-        let discovery = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
-        service.serve(listeners, hollows.clone());
+        let discovery_addrs = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
+        service.serve(listeners, registry.clone());
         let nodes = (0..plan.nodes).map(|_| None).collect();
         let _stop = stop.drop_guard();
-        Ok(Fleet { plan, hollows, service, clock, discovery, known, nodes, runtimes, _stop })
+        Ok(Fleet { plan, registry, service, clock, discovery_addrs, initial_list, nodes, runtimes, _stop })
     }
 
-    /// The configuration of a node, as the platform would state it.
+    /// The configuration of a node, in the form of the platform's document.
     pub fn config(&self, node: usize) -> Value {
         let config = tree::Config {
             node: tree::Node {
                 name: format!("n{node}"),
-                listen: Some(ANY),
-                discovery: Some(self.discovery[node]),
+                listen: Some(LOOPBACK),
+                discovery: Some(self.discovery_addrs[node]),
                 zone: Some(zone(node)),
                 node_count: Count::new((self.plan.nodes + self.plan.others) as u64),
                 node_index: Some(Count::new(node as u64)),
@@ -238,60 +244,60 @@
             }],
             ..tree::Config::default()
         };
-        let mut stated = config.to_platform(self.plan.seed << 16 | node as u64);
-        stated["known"] = self.known.clone();
-        stated
+        let mut document = config.to_platform(self.plan.seed << 16 | node as u64);
+        document["known"] = self.initial_list.clone();
+        document
     }
 
-    /// Starts a node, or starts it anew: it knows what it was configured with.
+    /// Starts or restarts a node with its configuration, which contains the initial list.
     ///
     /// # Errors
-    /// If its configuration can't be used.
+    /// If its configuration is invalid.
     pub fn start_node(&mut self, node: usize) -> Result<(), FleetError> {
         self.nodes[node] = None;
-        let config = Config::from_source(Source::Document(Box::new(Stated(self.config(node)))))?;
-        locked(&self.hollows.truth).started(node, self.clock.now());
-        let hollows = self.hollows.clone();
-        let running = hollow::run(config, move |acted| hollows.acted(node, &acted));
+        let config = Config::from_source(Source::Document(Box::new(ConfigDocument(self.config(node)))))?;
+        locked(&self.registry.checker).node_started(node, self.clock.now());
+        let registry = self.registry.clone();
+        let running = hollow::run(config, move |list| registry.list_applied(node, &list));
         let runtime = &self.runtimes[node % self.runtimes.len()];
         self.nodes[node] = Some(AbortOnDropHandle::new(runtime.spawn(running)));
         Ok(())
     }
 
-    /// Ends a node.
+    /// Stops a node.
     pub fn stop_node(&mut self, node: usize) {
         self.nodes[node] = None;
     }
 
-    /// The clock of all.
+    /// The clock of the fleet.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Discovery answers nobody for so long.
-    pub fn away(&self, lasts: Duration) {
+    /// Makes discovery unavailable for a duration.
+    pub fn make_discovery_unavailable(&self, duration: Duration) {
         let now = self.clock.now();
-        let until = now + lasts.as_micros() as Micros;
-        locked(&self.hollows.truth).away(now..until);
+        let until = now + duration.as_micros() as Micros;
+        locked(&self.registry.checker).discovery_unavailable(now..until);
         self.service.away(until);
     }
 
-    /// Discovery.
+    /// The discovery service.
     pub fn service(&self) -> &Service {
         &self.service
     }
 
-    /// What it is made of.
-    pub fn plan(&self) -> &Plan {
+    /// The size and the settings of the fleet.
+    pub fn plan(&self) -> &FleetPlan {
         &self.plan
     }
 
-    /// Something wrong is told to whoever calls next.
+    /// Injects a fault into the answer to the next suitable call.
     pub fn inject_fault(&self, fault: InjectedFault) {
-        *locked(&self.hollows.injected_fault) = Some(fault);
+        *locked(&self.registry.injected_fault) = Some(fault);
     }
 
-    /// What the calls of some nodes came to, together.
+    /// The calls and the traffic of these nodes to discovery, summed.
     pub fn counts(&self, nodes: std::ops::Range<usize>) -> Counts {
         nodes.map(|node| self.service.counts(node)).fold(Counts::default(), |sum, one| Counts {
             answered: sum.answered + one.answered,
@@ -302,35 +308,38 @@
         })
     }
 
-    /// Nodes that have not acted on the latest list.
-    pub fn behind(&self) -> Vec<(usize, Option<u64>)> {
-        locked(&self.hollows.truth).behind().collect()
+    /// Nodes that have not applied the latest list, each with the version that it last applied.
+    pub fn lagging_nodes(&self) -> Vec<(usize, Option<u64>)> {
+        locked(&self.registry.checker).lagging_nodes().collect()
     }
 
-    /// Waits until every node has acted on the latest list, and discovery has nothing more to learn; false if that
-    /// takes too long.
-    pub async fn settled(&self, within: Duration) -> bool {
-        let look = async {
-            while self.service.is_learning() || !self.behind().is_empty() {
-                tokio::time::sleep(LOOK).await;
+    /// Waits until discovery has published all changes and every node has applied the latest list. Returns false after
+    /// `timeout`.
+    pub async fn wait_until_settled(&self, timeout: Duration) -> bool {
+        let settled = async {
+            while self.service.is_learning() || !self.lagging_nodes().is_empty() {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(within, look).await.is_ok()
+        tokio::time::timeout(timeout, settled).await.is_ok()
     }
 
-    /// What was found so far.
-    pub fn found(&self) -> Found {
-        locked(&self.hollows.truth).found().clone()
+    /// The findings so far.
+    pub fn findings(&self) -> Findings {
+        locked(&self.registry.checker).findings().clone()
     }
 
-    /// How long changes took to single nodes, and how long until each was everywhere; in microseconds.
-    pub fn took(&self) -> (Histogram<u64>, Histogram<u64>) {
-        let took = locked(&self.hollows.took).clone();
-        let mut everywhere = Histogram::new_from(&took);
-        locked(&self.hollows.truth).everywhere().for_each(|took| everywhere.saturating_record(took));
-        (took, everywhere)
+    /// Two histograms in microseconds: the time that each change took to reach each node, and the time that each change
+    /// took to reach the last node.
+    pub fn propagation_times(&self) -> (Histogram<u64>, Histogram<u64>) {
+        let node_times = locked(&self.registry.node_times).clone();
+        let mut last_node_times = Histogram::new_from(&node_times);
+        locked(&self.registry.checker)
+            .propagation_times()
+            .for_each(|time| last_node_times.saturating_record(time));
+        (node_times, last_node_times)
     }
 }
 
-/// How often it is looked whether all is settled.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which [`Fleet::wait_until_settled`] checks the nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/lab/src/hollow/list_checker.rs
+++ b/crates/lab/src/hollow/list_checker.rs
@@ -1,192 +1,222 @@
-//! What discovery has come to know, and what each node has made of it: pure. A change that a node skips or applies
-//! backwards is found here.
+//! Compares the lists that nodes apply with the versions that discovery has published: finds changes that a node
+//! skipped and lists that are older than the one before. Pure: it reads no clock and does no I/O.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
 
 use stonefold_model::{Listed, Micros, State};
 
-/// How a server stands, as a node has it, and since when it runs, in ms of Unix time; nothing if it is not listed.
-pub type Standing = Option<(State, u64)>;
-/// So many findings are told in words; all are counted.
-const TOLD: usize = 20;
+/// State of a server and its start in milliseconds of Unix time, as a node knows them; `None` if the node does not list
+/// it.
+pub type ServerStatus = Option<(State, u64)>;
+/// Number of findings that are described; all are counted.
+const MAX_DESCRIPTIONS: usize = 20;
 
-/// The list's history, and how far each node has come.
+/// The versions of the list that discovery has published, and the version that each node has applied.
 #[derive(Debug)]
-pub struct Truth {
+pub struct ListChecker {
     /// The list at the first version.
-    first: BTreeMap<usize, Listed>,
-    version: u64,
-    /// The changes that made the versions after the first, when each was learned, and how many servers were listed.
+    first_list: BTreeMap<usize, Listed>,
+    /// The first version.
+    first_version: u64,
+    /// The changes that made the versions after the first, one each, in order.
     changes: Vec<Change>,
-    nodes: Vec<Node>,
-    /// When discovery last answered nobody.
-    away: Range<Micros>,
-    found: Found,
+    nodes: Vec<NodeProgress>,
+    /// When discovery was last unavailable.
+    unavailable: Range<Micros>,
+    findings: Findings,
 }
 
+/// A change of the list, which makes a version.
 #[derive(Debug)]
 struct Change {
-    at: Micros,
+    /// When discovery published it.
+    published_at: Micros,
     listed: Listed,
+    /// Number of listed servers after the change.
     servers: usize,
-    /// How long it took until the last node had it, of those that have it.
-    everywhere: Micros,
+    /// Longest time until a node applied it, over the nodes that have done so.
+    propagation_time: Micros,
 }
 
+/// How far a node has followed the list.
 #[derive(Clone, Debug)]
-struct Node {
-    /// The version that it has acted on since its start; nothing before the first.
-    acted: Option<u64>,
+struct NodeProgress {
+    /// The version that it last applied since its start; `None` before it applies the first.
+    applied: Option<u64>,
     /// The version that it was started with.
-    known: u64,
-    since: Micros,
+    initial: u64,
+    started_at: Micros,
 }
 
-/// What was found.
+/// Skipped changes and outdated lists that were found.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Found {
-    /// Entries that a node had otherwise than the list that it acted on.
+pub struct Findings {
+    /// Entries in which a node differed from the list that it applied, and lists with a wrong number of servers.
     pub skipped: u64,
-    /// Lists older than the one acted on before.
+    /// Lists that were older than the one applied before, or newer than the latest one published.
     pub backwards: u64,
-    /// The first of them in words.
-    pub words: Vec<String>,
+    /// Descriptions of the first findings.
+    pub descriptions: Vec<String>,
 }
 
-impl Found {
-    fn skip(&mut self, words: impl FnOnce() -> String) {
+impl Findings {
+    fn record_skipped(&mut self, describe: impl FnOnce() -> String) {
         self.skipped += 1;
-        self.tell(words);
+        self.add_description(describe);
     }
 
-    fn back(&mut self, words: impl FnOnce() -> String) {
+    fn record_backwards(&mut self, describe: impl FnOnce() -> String) {
         self.backwards += 1;
-        self.tell(words);
+        self.add_description(describe);
     }
 
-    fn tell(&mut self, words: impl FnOnce() -> String) {
-        if self.words.len() < TOLD {
-            self.words.push(words());
+    fn add_description(&mut self, describe: impl FnOnce() -> String) {
+        if self.descriptions.len() < MAX_DESCRIPTIONS {
+            self.descriptions.push(describe());
         }
     }
 }
 
-impl Truth {
-    /// A list of these servers at a version, which so many nodes are started with.
-    pub fn new(version: u64, servers: impl IntoIterator<Item = Listed>, nodes: usize) -> Truth {
-        let first = servers.into_iter().map(|listed| (listed.server, listed)).collect();
-        let node = Node { acted: None, known: version, since: 0 };
-        let (changes, found) = Default::default();
-        Truth { first, version, changes, nodes: vec![node; nodes], away: 0..0, found }
+impl ListChecker {
+    /// Creates a checker for this number of nodes, which are started with a list of these servers at this version.
+    pub fn new(version: u64, servers: impl IntoIterator<Item = Listed>, nodes: usize) -> ListChecker {
+        let first_list = servers.into_iter().map(|listed| (listed.server, listed)).collect();
+        let node = NodeProgress { applied: None, initial: version, started_at: 0 };
+        let (changes, findings) = Default::default();
+        ListChecker {
+            first_list,
+            first_version: version,
+            changes,
+            nodes: vec![node; nodes],
+            unavailable: 0..0,
+            findings,
+        }
     }
 
-    /// The latest version.
-    pub fn latest(&self) -> u64 {
-        self.version + self.changes.len() as u64
+    /// The latest version that discovery has published.
+    pub fn latest_version(&self) -> u64 {
+        self.first_version + self.changes.len() as u64
     }
 
-    /// Discovery has learned these changes, each of which made a version. They started in ms of Unix time.
-    pub fn learned(&mut self, now: Micros, changes: &[Listed]) {
+    /// Discovery has published these changes, each of which made a version. Their start times are in milliseconds of
+    /// Unix time.
+    pub fn changes_published(&mut self, now: Micros, changes: &[Listed]) {
         for &listed in changes {
-            let mut servers = self.changes.last().map_or(self.first.len(), |change| change.servers);
-            let was = self.changes.iter().rev().find(|change| change.listed.server == listed.server);
-            let was = was.map_or(self.first.get(&listed.server), |change| Some(&change.listed));
-            let was = was.is_some_and(|listed| listed.state != State::Deleted);
-            let is = listed.state != State::Deleted;
-            servers = servers + usize::from(is && !was) - usize::from(was && !is);
-            self.changes.push(Change { at: now, listed, servers, everywhere: 0 });
+            let mut servers = self.changes.last().map_or(self.first_list.len(), |change| change.servers);
+            let before = self.changes.iter().rev().find(|change| change.listed.server == listed.server);
+            let before = before.map_or(self.first_list.get(&listed.server), |change| Some(&change.listed));
+            let was_listed = before.is_some_and(|listed| listed.state != State::Deleted);
+            let is_listed = listed.state != State::Deleted;
+            servers = servers + usize::from(is_listed && !was_listed) - usize::from(was_listed && !is_listed);
+            self.changes.push(Change { published_at: now, listed, servers, propagation_time: 0 });
         }
     }
 
-    /// Discovery answers nobody in this time: what it knows then could be told from its end on.
-    pub fn away(&mut self, time: Range<Micros>) {
-        self.away = time;
+    /// Discovery answers no calls in this time, so that a change in it can reach a node only after its end.
+    pub fn discovery_unavailable(&mut self, time: Range<Micros>) {
+        self.unavailable = time;
     }
 
-    /// A node has started, knowing the first list.
-    pub fn started(&mut self, node: usize, now: Micros) {
-        self.nodes[node] = Node { acted: None, known: self.version, since: now };
+    /// A node has started with the first list.
+    pub fn node_started(&mut self, node: usize, now: Micros) {
+        self.nodes[node] = NodeProgress { applied: None, initial: self.first_version, started_at: now };
     }
 
-    /// A node has acted on a list; `has` tells how a server stands with it, `servers` how many it and its module have.
-    /// Gives the times after which changes reached it.
-    pub fn acted(
+    /// A node has applied a list. `servers` is the number of servers that the node and its balancer have; `status_of`
+    /// returns the status of a server at the node. Returns the time that each newly applied change took to reach the
+    /// node.
+    pub fn list_applied(
         &mut self,
         node: usize,
         now: Micros,
         version: u64,
         servers: (usize, usize),
-        has: impl Fn(usize) -> Standing,
+        status_of: impl Fn(usize) -> ServerStatus,
     ) -> Vec<Micros> {
-        let Node { acted, known, since } = self.nodes[node];
-        let before = acted.unwrap_or(known);
-        if version < before || version > self.latest() {
-            let latest = self.latest();
-            self.found.back(|| format!("node {node} went from version {before} to {version} of {latest}"));
+        let NodeProgress { applied, initial, started_at } = self.nodes[node];
+        let before = applied.unwrap_or(initial);
+        if version < before || version > self.latest_version() {
+            let latest = self.latest_version();
+            self.findings.record_backwards(|| {
+                format!("node {node} went from version {before} to {version} of {latest}")
+            });
             return Vec::new();
         }
-        // What it had before was compared then, but for what it was started with.
-        let from = if acted.is_some() { before } else { self.version };
-        for (server, listed) in self.as_of(from, version, acted.is_none()) {
-            let is = Some((listed.state, listed.started)).filter(|(state, _)| *state != State::Deleted);
-            let had = has(server);
-            if had != is {
-                self.found.skip(|| {
-                    format!("node {node} at version {version} has server {server} as {had:?}, not {is:?}")
+        // Entries of earlier versions were compared when they were applied, except for the list that the node started
+        // with.
+        let from = if applied.is_some() { before } else { self.first_version };
+        for (server, listed) in self.changed_servers(from, version, applied.is_none()) {
+            let expected = Some((listed.state, listed.started)).filter(|(state, _)| *state != State::Deleted);
+            let actual = status_of(server);
+            if actual != expected {
+                self.findings.record_skipped(|| {
+                    format!(
+                        "node {node} at version {version} has server {server} as {actual:?}, not {expected:?}"
+                    )
                 });
             }
         }
-        let listed = self.place(version).map_or(self.first.len(), |place| self.changes[place].servers);
+        let listed =
+            self.change_index(version).map_or(self.first_list.len(), |index| self.changes[index].servers);
         if servers != (listed, listed) {
-            self.found
-                .skip(|| format!("node {node} at version {version} has {servers:?} servers, not {listed}"));
+            self.findings.record_skipped(|| {
+                format!("node {node} at version {version} has {servers:?} servers, not {listed}")
+            });
         }
-        self.nodes[node].acted = Some(version);
-        self.reached(before, version, since, now)
+        self.nodes[node].applied = Some(version);
+        self.record_propagation(before, version, started_at, now)
     }
 
-    /// The last change of each server in these versions; all servers where a node is looked at whole.
-    fn as_of(&self, from: u64, version: u64, whole: bool) -> BTreeMap<usize, Listed> {
-        let mut servers = if whole { self.first.clone() } else { BTreeMap::new() };
-        let (from, to) = ((from - self.version) as usize, (version - self.version) as usize);
+    /// The last change of each server after version `from` up to `version`; all servers at `version` if `all` is set.
+    fn changed_servers(&self, from: u64, version: u64, all: bool) -> BTreeMap<usize, Listed> {
+        let mut servers = if all { self.first_list.clone() } else { BTreeMap::new() };
+        let (from, to) = ((from - self.first_version) as usize, (version - self.first_version) as usize);
         servers.extend(self.changes[from..to].iter().map(|change| (change.listed.server, change.listed)));
         servers
     }
 
-    /// Where the change that made a version is kept; nothing for the first.
-    fn place(&self, version: u64) -> Option<usize> {
-        ((version - self.version) as usize).checked_sub(1)
+    /// Index of the change that made a version; `None` for the first version.
+    fn change_index(&self, version: u64) -> Option<usize> {
+        ((version - self.first_version) as usize).checked_sub(1)
     }
 
-    fn reached(&mut self, before: u64, version: u64, since: Micros, now: Micros) -> Vec<Micros> {
-        let (from, to) = ((before - self.version) as usize, (version - self.version) as usize);
-        let away = self.away.clone();
-        let took = |change: &mut Change| {
-            // Nobody can have it before its start, or from a discovery that is away.
-            let since = change.at.max(since);
-            let since = if away.contains(&since) { away.end } else { since };
-            let took = now.saturating_sub(since);
-            change.everywhere = change.everywhere.max(took);
-            took
+    /// Records that a node applied the changes after version `before` up to `version`. Returns how long each took.
+    fn record_propagation(
+        &mut self,
+        before: u64,
+        version: u64,
+        started_at: Micros,
+        now: Micros,
+    ) -> Vec<Micros> {
+        let (from, to) = ((before - self.first_version) as usize, (version - self.first_version) as usize);
+        let unavailable = self.unavailable.clone();
+        let record = |change: &mut Change| {
+            // A node can't get a change before its own start or while discovery is unavailable.
+            let available_at = change.published_at.max(started_at);
+            let available_at =
+                if unavailable.contains(&available_at) { unavailable.end } else { available_at };
+            let elapsed = now.saturating_sub(available_at);
+            change.propagation_time = change.propagation_time.max(elapsed);
+            elapsed
         };
-        self.changes[from..to].iter_mut().map(took).collect()
+        self.changes[from..to].iter_mut().map(record).collect()
     }
 
-    /// Nodes that have not acted on the latest list, with what they have acted on.
-    pub fn behind(&self) -> impl Iterator<Item = (usize, Option<u64>)> {
-        let latest = self.latest();
-        let nodes = self.nodes.iter().enumerate().map(|(node, of)| (node, of.acted));
-        nodes.filter(move |(_, acted)| *acted != Some(latest))
+    /// Nodes that have not applied the latest list, each with the version that it last applied.
+    pub fn lagging_nodes(&self) -> impl Iterator<Item = (usize, Option<u64>)> {
+        let latest = self.latest_version();
+        let nodes = self.nodes.iter().enumerate().map(|(node, progress)| (node, progress.applied));
+        nodes.filter(move |(_, applied)| *applied != Some(latest))
     }
 
-    /// For each change, how long it took until it was everywhere.
-    pub fn everywhere(&self) -> impl Iterator<Item = Micros> {
-        self.changes.iter().map(|change| change.everywhere)
+    /// For each change, the longest time until a node applied it.
+    pub fn propagation_times(&self) -> impl Iterator<Item = Micros> {
+        self.changes.iter().map(|change| change.propagation_time)
     }
 
-    /// What was found so far.
-    pub fn found(&self) -> &Found {
-        &self.found
+    /// The findings so far.
+    pub fn findings(&self) -> &Findings {
+        &self.findings
     }
 }
--- a/crates/lab/src/hollow/mod.rs
+++ b/crates/lab/src/hollow/mod.rs
@@ -1,7 +1,8 @@
-//! Hollow nodes: the node's own control code, many in one process, before a discovery that is the emulator's.
+//! Hollow nodes: the node's control code without traffic, many nodes in one process, with the emulator's discovery.
 //!
-//! [`truth`] is what discovery has come to know and what each node has made of it, [`fleet`] the nodes and their
-//! discovery, [`play`] what befalls them, [`real`] nodes as processes beside them.
+//! [`fleet`] runs the nodes and their discovery, [`scenario`] the changes and restarts that they go through, [`real`]
+//! additional nodes as processes. [`list_checker`] compares the lists that nodes apply with those that discovery
+//! published.
 
 pub mod fleet;
 pub mod list_checker;
--- a/crates/lab/src/hollow/scenario.rs
+++ b/crates/lab/src/hollow/scenario.rs
@@ -1,4 +1,4 @@
-//! What befalls a fleet: changes of its list, restarts, a zone or discovery that goes and returns.
+//! Scenarios of a fleet: changes of its list, restarts, and the temporary absence of a zone or of discovery.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 
 use super::fleet::{Fleet, FleetError, ZONES};
 
-/// What befalls it, beside the changes.
+/// What happens to a fleet in addition to the changes of its list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Scenario {
     /// Nothing.
     #[default]
     Calm,
-    /// So many nodes are restarted, evenly over the time.
+    /// This number of nodes are restarted, evenly distributed over the duration.
     Restarts(Count<1, 100_000>),
-    /// All nodes are restarted at once, a third of the time in.
+    /// All nodes are restarted at once, after a third of the duration.
     RestartAll,
-    /// A zone's servers are gone from the start, and all return a third of the time in.
+    /// The servers of one zone are removed at the start and all return after a third of the duration.
     ZoneReturns,
-    /// Discovery answers nobody in the middle third of the time.
+    /// Discovery is unavailable during the middle third of the duration.
     #[serde(rename = "discovery-away")]
     DiscoveryUnavailable,
 }
 
-/// Plays it over a time, with so many changes of the list; returns when the time is over.
+/// Runs a scenario of the duration `lasts` with this number of changes of the list. Returns when the duration is over.
 ///
 /// # Errors
 /// If a node can't be restarted.
@@ -39,35 +39,42 @@
     lasts: Duration,
 ) -> Result<(), FleetError> {
     let start = Instant::now();
-    let mut steps = steps(fleet, scenario, changes, lasts);
+    let mut steps = scenario_steps(fleet, scenario, changes, lasts);
     steps.sort_by_key(|(after, _)| *after);
-    let mut dealt = Deal::new(fleet);
+    let mut servers = ServerStates::new(fleet);
     for (after, step) in steps {
         sleep_until(start + after).await;
-        yield_now().await; // where many are due at once
+        yield_now().await; // lets other tasks run when many steps are due at once
         match step {
-            Step::Change => dealt.change(fleet),
+            Step::Change => servers.change_one(fleet),
             Step::Restart(node) => fleet.start_node(node)?,
-            Step::ZoneGone => dealt.zone(fleet, State::Deleted),
-            Step::ZoneBack => dealt.zone(fleet, State::Serving),
-            Step::Away(lasts) => fleet.away(lasts),
+            Step::RemoveZone => servers.change_zone(fleet, State::Deleted),
+            Step::RestoreZone => servers.change_zone(fleet, State::Serving),
+            Step::DiscoveryUnavailable(duration) => fleet.make_discovery_unavailable(duration),
         }
     }
     sleep_until(start + lasts).await;
-    // What was noted last is on its way.
+    // Gives discovery the time to take in the last changes.
     sleep(Duration::from_millis(1)).await;
     Ok(())
 }
 
+/// A step of a scenario.
 enum Step {
     Change,
     Restart(usize),
-    ZoneGone,
-    ZoneBack,
-    Away(Duration),
+    RemoveZone,
+    RestoreZone,
+    DiscoveryUnavailable(Duration),
 }
 
-fn steps(fleet: &Fleet, scenario: Scenario, changes: usize, lasts: Duration) -> Vec<(Duration, Step)> {
+/// The steps of a scenario, each with the time from the start after which it is due.
+fn scenario_steps(
+    fleet: &Fleet,
+    scenario: Scenario,
+    changes: usize,
+    lasts: Duration,
+) -> Vec<(Duration, Step)> {
     let evenly = |n: usize, of: usize| lasts.mul_f64((n as f64 + 0.5) / of as f64);
     let mut steps: Vec<(Duration, Step)> = (0..changes).map(|n| (evenly(n, changes), Step::Change)).collect();
     let nodes = fleet.plan().nodes;
@@ -75,38 +82,40 @@
         Scenario::Calm => {}
         Scenario::Restarts(count) => {
             let count = count.get();
-            // Spread over all nodes: 7919 is prime, and no two follow each other.
+            // 7919 is prime, so the restarts spread over all nodes, and consecutive restarts skip neighbours.
             steps.extend((0..count).map(|n| (evenly(n, count), Step::Restart(n * 7919 % nodes))));
         }
         Scenario::RestartAll => steps.extend((0..nodes).map(|node| (lasts / 3, Step::Restart(node)))),
         Scenario::ZoneReturns => {
-            steps.extend([(Duration::ZERO, Step::ZoneGone), (lasts / 3, Step::ZoneBack)])
+            steps.extend([(Duration::ZERO, Step::RemoveZone), (lasts / 3, Step::RestoreZone)])
         }
-        Scenario::DiscoveryUnavailable => steps.push((lasts / 3, Step::Away(lasts / 3))),
+        Scenario::DiscoveryUnavailable => steps.push((lasts / 3, Step::DiscoveryUnavailable(lasts / 3))),
     }
     steps
 }
 
-/// Random choices of the fleet have numbers of their own beside the models'.
-const STREAM: u64 = 1 << 32;
+/// Base of the stream numbers of the fleet's random choices, which are distinct from those of the models.
+const RANDOM_STREAM_BASE: u64 = 1 << 32;
 
-/// Which servers serve and which drain.
-struct Deal {
+/// The states of all servers, from which changes are chosen at random.
+struct ServerStates {
     random: Random,
     servers: Vec<Listed>,
 }
 
-impl Deal {
-    fn new(fleet: &Fleet) -> Deal {
+impl ServerStates {
+    fn new(fleet: &Fleet) -> ServerStates {
         let listing = fleet.service().listing();
-        let gone = |server| Listed { server, state: State::Deleted, started: 0 };
-        let mut servers: Vec<Listed> = (0..fleet.plan().servers).map(gone).collect();
+        let deleted = |server| Listed { server, state: State::Deleted, started: 0 };
+        let mut servers: Vec<Listed> = (0..fleet.plan().servers).map(deleted).collect();
         listing.servers.iter().for_each(|listed| servers[listed.server] = *listed);
-        Deal { random: Random::new(fleet.plan().seed, STREAM + listing.version), servers }
+        ServerStates { random: Random::new(fleet.plan().seed, RANDOM_STREAM_BASE + listing.version), servers }
     }
 
-    /// A server drains, or is back; a third of those that drain have gone instead and come back new.
-    fn change(&mut self, fleet: &Fleet) {
+    /// Changes the state of a random server. A serving one starts to drain; a draining one serves again, or is deleted
+    /// if its number is a multiple of 3; a deleted one serves again. A server with such a number has restarted when it
+    /// serves again.
+    fn change_one(&mut self, fleet: &Fleet) {
         let server = self.random.below(self.servers.len() as u64) as usize;
         let listed = &mut self.servers[server];
         listed.state = match listed.state {
@@ -120,7 +129,8 @@
         fleet.service().note(*listed);
     }
 
-    fn zone(&mut self, fleet: &Fleet, state: State) {
+    /// Sets the state of all servers of one zone.
+    fn change_zone(&mut self, fleet: &Fleet, state: State) {
         for listed in self.servers.iter_mut().filter(|listed| listed.server % ZONES == 0) {
             listed.state = state;
             if state == State::Serving {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,9 +1,9 @@
-//! Scale experiments: what the node's own code costs against the size of what stands round it.
+//! Scale experiments: how the cost of the node's code grows with the number of nodes, servers and store members.
 //!
-//! An [`experiment`] is a file, checked whole before anything starts. The [`runner`] takes each of its samples in a
-//! process of its own, so that none finds the memory or the threads of another; [`fit`] tells the slope, [`report`]
-//! and [`plot`] write both down. What is measured is in [`measure`], over the nodes of [`hollow`]; [`machine`]
-//! reads what the machine allows and counts.
+//! The plan of an [`experiment`] is a file that is checked completely before anything starts. The [`runner`] takes each
+//! sample in its own process, so that no sample is affected by the memory or the threads of another. [`fit`] computes
+//! the slope; [`report`] and [`plot`] write the results. The measurements are in [`measure`]; those of the nodes'
+//! control code run the nodes of [`hollow`]. [`machine`] reads the limits and the usage counters of the machine.
 #![allow(unreachable_pub, clippy::pedantic, rustdoc::all)] // not yet at the workspace's standard
 
 pub mod experiment;
--- a/crates/lab/src/measure/mod.rs
+++ b/crates/lab/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! What can be measured.
+//! The measurements: decisions and memory of a balancer, hollow nodes, and the members of a store.
 
 pub mod decision;
 pub mod hollow;
--- a/crates/lab/src/measure/store.rs
+++ b/crates/lab/src/measure/store.rs
@@ -1,4 +1,5 @@
-//! What the store's members say to each other: all of them voters, in one process, over loopback and on disks.
+//! The traffic and the processor time of the members of a store. All are voters in one process, with real disks and
+//! connections over loopback.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,188 +13,209 @@
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-use crate::experiment::Store;
-use crate::machine::{Carried, own_time};
+use crate::experiment::StorePlan;
+use crate::machine::{LoopbackTraffic, own_processor_s};
 use crate::sample::Figures;
 
+/// Cluster identifier of the measured store.
 const CLUSTER: u128 = 1;
-/// A leader of one, a member that is added.
-const IN_TIME: Duration = Duration::from_secs(60);
-/// After the last member was added, until nothing is left to catch up with.
-const SETTLE: Duration = Duration::from_millis(1_500);
-/// What the machine's loopback carries without us is counted for so long.
-const BACKGROUND: Duration = Duration::from_secs(1);
-/// Each member asks so often, and gives up an answer after so long, as a node does.
-const ASK: Duration = Duration::from_secs(1);
-
-/// Why a store can't be measured.
+/// Time within which the first member must lead, and within which each further member must be added.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time after the last member is added, in which all members catch up.
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
+/// Time over which the loopback traffic of other processes is measured before the members start.
+const BACKGROUND_TIME: Duration = Duration::from_secs(1);
+/// Interval between the requests of a member, and the timeout of a request; both as in a node.
+const ASK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Why a store could not be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A member's disk.
+    /// The disk of a member failed.
     #[error("{0}")]
     Disk(#[from] DiskError),
-    /// A member's start.
+    /// A member could not be started.
     #[error("{0}")]
     Start(#[from] StartError),
-    /// A socket, a folder.
+    /// A runtime, a folder or a socket could not be created.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// A member that can't be added.
-    #[error("member {member} is not added: {why}")]
+    /// A member could not be added in time.
+    #[error("member {member} could not be added: {reason}")]
     Add {
-        /// Its number.
+        /// Number of the member.
         member: u64,
-        /// Why.
-        why: RequestError,
+        /// The last error.
+        reason: RequestError,
     },
-    /// An answer to something else.
-    #[error("an answer to another question: {0}")]
-    Other(String),
-    /// Somebody wanted it to end.
-    #[error("told to stop")]
+    /// The response is not one to the request that was sent.
+    #[error("unexpected response: {0}")]
+    UnexpectedResponse(String),
+    /// The measurement was stopped.
+    #[error("stopped before the end")]
     Stopped,
-    /// Nobody leads a store of one.
+    /// The first member did not become the leader.
     #[error("no leader: {0}")]
-    Leader(RequestError),
+    NoLeader(RequestError),
 }
 
-struct Member {
+/// A running member of the store.
+struct RunningMember {
     replica: Replica<TcpTransport>,
     addr: String,
 }
 
-/// Starts so many members and counts what they say, unless it is told to stop.
+/// Starts this number of members and measures their traffic and processor time.
 ///
 /// # Errors
-/// If one can't be started or added, or it is told to stop. Nothing is left on the disk.
-pub fn measure(of: &Store, members: usize, stop: &CancellationToken) -> Result<Figures, StoreError> {
+/// If a member can't be started or added, or `stop` is cancelled. Nothing is left on the disk.
+pub fn measure(plan: &StorePlan, members: usize, stop: &CancellationToken) -> Result<Figures, StoreError> {
     let folder = tempfile::tempdir()?;
-    // Dropped before the folder: nobody writes to it any more when it goes.
+    // The runtime is dropped before the folder, so that no task writes to the folder when it is removed.
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     runtime.block_on(async {
         tokio::select! {
-            done = play(of, members, folder.path()) => done,
+            done = run_members(plan, members, folder.path()) => done,
             () = stop.cancelled() => Err(StoreError::Stopped),
         }
     })
 }
 
-async fn play(of: &Store, number: usize, folder: &Path) -> Result<Figures, StoreError> {
-    let background = carried_over(BACKGROUND).await;
+/// Starts the members and measures both phases of the plan.
+async fn run_members(plan: &StorePlan, member_count: usize, folder: &Path) -> Result<Figures, StoreError> {
+    let background = loopback_rates(BACKGROUND_TIME).await;
     let stop = CancellationToken::new();
     let _stop: DropGuard = stop.clone().drop_guard();
-    let began = Instant::now();
-    let members = voters(number, folder, &stop).await?;
-    let started = began.elapsed();
-    sleep(SETTLE).await;
+    let started_at = Instant::now();
+    let members = start_voters(member_count, folder, &stop).await?;
+    let start_time = started_at.elapsed();
+    sleep(SETTLE_TIME).await;
     let mut figures = Figures::default();
-    figures.put("start_s", started.as_secs_f64());
+    figures.put("start_s", start_time.as_secs_f64());
     figures.put("background_bytes_per_s", background.0);
 
-    let time = own_time();
-    let idle = carried_over(of.idle.duration()).await;
-    put(
+    let processor_before = own_processor_s();
+    let idle = loopback_rates(plan.idle.duration()).await;
+    put_costs(
         &mut figures,
         "idle",
-        number,
+        member_count,
         idle,
         background,
-        (own_time() - time) / of.idle.duration().as_secs_f64(),
+        (own_processor_s() - processor_before) / plan.idle.duration().as_secs_f64(),
     );
 
-    let (time, before, began) = (own_time(), Carried::now(), Instant::now());
-    let asked = ask_all(&members, of.asking.duration()).await;
-    let seconds = began.elapsed().as_secs_f64();
-    let asking = Carried::now().rates_since(before, seconds);
-    put(&mut figures, "asking", number, asking, background, (own_time() - time) / seconds);
-    figures.put("asks", asked.0 as f64);
-    figures.put("asks_failed", asked.1 as f64);
-    figures.put("asks_failed_share", asked.1 as f64 / asked.0.max(1) as f64);
+    let (processor_before, loopback_before, started_at) =
+        (own_processor_s(), LoopbackTraffic::now(), Instant::now());
+    let asks = ask_all(&members, plan.asking.duration()).await; // the number sent and the number that failed
+    let seconds = started_at.elapsed().as_secs_f64();
+    let asking = LoopbackTraffic::now().rates_since(loopback_before, seconds);
+    put_costs(
+        &mut figures,
+        "asking",
+        member_count,
+        asking,
+        background,
+        (own_processor_s() - processor_before) / seconds,
+    );
+    figures.put("asks", asks.0 as f64);
+    figures.put("asks_failed", asks.1 as f64);
+    figures.put("asks_failed_share", asks.1 as f64 / asks.0.max(1) as f64);
     for member in &members {
         member.replica.stop().await;
     }
     Ok(figures)
 }
 
-/// What each member takes, of what was carried less what is carried without us.
-fn put(
+/// Adds the traffic of each member, without that of other processes, and its processor time.
+fn put_costs(
     figures: &mut Figures,
-    when: &str,
+    phase: &str,
     members: usize,
-    carried: (f64, f64),
-    without: (f64, f64),
+    loopback: (f64, f64),
+    background: (f64, f64),
     cores: f64,
 ) {
-    let each = |now: f64, without: f64| (now - without).max(0.0) / members as f64;
-    figures.put(&format!("{when}_each_bytes_per_s"), each(carried.0, without.0));
-    figures.put(&format!("{when}_each_packets_per_s"), each(carried.1, without.1));
-    figures.put(&format!("{when}_each_core_percent"), cores * 100.0 / members as f64);
+    let each = |total: f64, background: f64| (total - background).max(0.0) / members as f64;
+    figures.put(&format!("{phase}_each_bytes_per_s"), each(loopback.0, background.0));
+    figures.put(&format!("{phase}_each_packets_per_s"), each(loopback.1, background.1));
+    figures.put(&format!("{phase}_each_core_percent"), cores * 100.0 / members as f64);
 }
 
-/// What the loopback carries, in bytes and packets a second.
-async fn carried_over(time: Duration) -> (f64, f64) {
-    let (before, began) = (Carried::now(), Instant::now());
+/// Measures the traffic over loopback for a time, in bytes and packets per second.
+async fn loopback_rates(time: Duration) -> (f64, f64) {
+    let (before, started_at) = (LoopbackTraffic::now(), Instant::now());
     sleep(time).await;
-    Carried::now().rates_since(before, began.elapsed().as_secs_f64())
+    LoopbackTraffic::now().rates_since(before, started_at.elapsed().as_secs_f64())
 }
 
-async fn voters(number: usize, folder: &Path, stop: &CancellationToken) -> Result<Vec<Member>, StoreError> {
-    let mut members = vec![start(folder, 1, stop).await?];
+/// Starts the members of a store; the first one leads it and adds the others as voters.
+async fn start_voters(
+    member_count: usize,
+    folder: &Path,
+    stop: &CancellationToken,
+) -> Result<Vec<RunningMember>, StoreError> {
+    let mut members = vec![start_member(folder, 1, stop).await?];
     let first = members[0].replica.clone();
-    first.bootstrap().await.map_err(StoreError::Leader)?;
-    first.confirm(Instant::now() + IN_TIME).await.map_err(StoreError::Leader)?;
-    for member in 2..=number as u64 {
-        let new = start(folder, member, stop).await?;
-        add(&first, member, &new.addr).await?;
+    first.bootstrap().await.map_err(StoreError::NoLeader)?;
+    first.confirm(Instant::now() + START_TIMEOUT).await.map_err(StoreError::NoLeader)?;
+    for member in 2..=member_count as u64 {
+        let new = start_member(folder, member, stop).await?;
+        add_member(&first, member, &new.addr).await?;
         members.push(new);
     }
     Ok(members)
 }
 
-async fn start(folder: &Path, member: u64, stop: &CancellationToken) -> Result<Member, StoreError> {
+async fn start_member(
+    folder: &Path,
+    member: u64,
+    stop: &CancellationToken,
+) -> Result<RunningMember, StoreError> {
     let disk = Disk::create(&folder.join(member.to_string()), Identity { cluster: CLUSTER, member })?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?.to_string();
     let tcp = TcpTransport::member(Keys::new(Key::new([7; 32]), None), CLUSTER, member, addr.clone());
     let replica = Replica::start(disk, ReplicaOptions::new(addr.clone()), tcp.clone()).await?;
     tokio::spawn(serve(listener, replica.clone(), tcp, stop.clone()));
-    Ok(Member { replica, addr })
+    Ok(RunningMember { replica, addr })
 }
 
-/// Adds a member, again while there is no quorum that could: it is busy with the one before.
-async fn add(first: &Replica<TcpTransport>, member: u64, addr: &str) -> Result<(), StoreError> {
-    let until = Instant::now() + IN_TIME;
+/// Adds a member. Retries until the timeout, as there may be no quorum while the member before is still being added.
+async fn add_member(first: &Replica<TcpTransport>, member: u64, addr: &str) -> Result<(), StoreError> {
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
         match first.answer(Caller::Client, Request::AddMember { member, addr: addr.into() }).await {
             Response::MembersChanged(Ok(())) => return Ok(()),
-            Response::MembersChanged(Err(why)) if Instant::now() > until => {
-                return Err(StoreError::Add { member, why });
+            Response::MembersChanged(Err(reason)) if Instant::now() > deadline => {
+                return Err(StoreError::Add { member, reason });
             }
-            Response::MembersChanged(Err(_)) => sleep(ASK / 10).await,
-            other => return Err(StoreError::Other(format!("{other:?}"))),
+            Response::MembersChanged(Err(_)) => sleep(ASK_INTERVAL / 10).await,
+            other => return Err(StoreError::UnexpectedResponse(format!("{other:?}"))),
         }
     }
 }
 
-/// Each member asks once a second, all of them spread over it; tells how many asks there were and how many failed.
-async fn ask_all(members: &[Member], time: Duration) -> (u64, u64) {
-    let (start, mut asking) = (Instant::now(), JoinSet::new());
+/// Each member asks the leader once a second, at times that are spread over the second. Returns the number of requests
+/// and how many failed.
+async fn ask_all(members: &[RunningMember], time: Duration) -> (u64, u64) {
+    let (start, mut tasks) = (Instant::now(), JoinSet::new());
     for (n, member) in members.iter().enumerate() {
         let replica = member.replica.clone();
-        let first = start + ASK.mul_f64(n as f64 / members.len() as f64);
-        asking.spawn(async move {
-            let mut due = interval_at(first, ASK);
+        let first = start + ASK_INTERVAL.mul_f64(n as f64 / members.len() as f64);
+        tasks.spawn(async move {
+            let mut due = interval_at(first, ASK_INTERVAL);
             due.set_missed_tick_behavior(MissedTickBehavior::Skip);
             let (mut asked, mut failed) = (0, 0);
             while due.tick().await < first + time {
                 asked += 1;
-                failed += u64::from(replica.confirm(Instant::now() + ASK).await.is_err());
+                failed += u64::from(replica.confirm(Instant::now() + ASK_INTERVAL).await.is_err());
             }
             (asked, failed)
         });
     }
     let mut sum = (0, 0);
-    while let Some(done) = asking.join_next().await {
+    while let Some(done) = tasks.join_next().await {
         let (asked, failed) = done.unwrap_or((0, 0));
         sum = (sum.0 + asked, sum.1 + failed);
     }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! The results of an experiment, as they are kept.
+//! The report of an experiment: samples, fits and conditions, written as JSON with a plot.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Write};
@@ -12,50 +12,52 @@
 use crate::fit::{Fit, fit};
 use crate::sample::Sample;
 
-/// Others that use more of the machine than so many cores disturb what is measured.
-const DISTURBED: f64 = 0.25;
+/// Processor time of other processes, in cores, above which measured times are not reliable.
+const MAX_OTHERS_CORES: f64 = 0.25;
 
-/// All that an experiment gave.
+/// The results of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// What was asked for.
+    /// The plan.
     pub experiment: Experiment,
     /// Whether all samples were taken.
     pub complete: bool,
-    /// Why not.
+    /// Why the experiment stopped before all samples were taken.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub stopped: Option<String>,
-    /// Where it was measured.
+    /// The conditions of the measurement.
     pub conditions: Conditions,
-    /// What must not be, and was, with the size and repeat where.
+    /// Violations: conditions that must not occur and did, with the size and repeat of each.
     pub broken: Vec<String>,
-    /// How each figure grows with size.
+    /// How each figure grows with the size.
     pub fits: BTreeMap<String, Fit>,
-    /// Each run.
+    /// The samples in the order in which they were taken.
     pub samples: Vec<Sample>,
 }
 
-/// Where something was measured.
+/// The machine and the program on which an experiment ran.
 #[derive(Clone, Debug, Serialize)]
 pub struct Conditions {
-    /// The program's version.
+    /// Version of the program.
     pub version: &'static str,
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub cores: usize,
-    /// Processor time that others used at most during a sample, in cores.
+    /// Highest processor time that other processes used during a sample, in cores.
     pub others_cores: f64,
-    /// Whether that is so much that times are not to be relied on.
+    /// Whether other processes used so much processor time that measured times are not reliable.
     pub beside_other_work: bool,
 }
 
 impl Report {
-    /// What these samples show.
+    /// Creates the report of these samples; `stopped` is the reason if they are not complete.
     pub fn new(experiment: Experiment, samples: Vec<Sample>, stopped: Option<String>) -> Report {
         let others_cores = samples.iter().map(|sample| sample.others_cores).fold(0.0, f64::max);
-        let place = |sample: &Sample, what: &String| {
-            format!("size {}, repeat {}: {what}", sample.size, sample.repeat)
+        let describe = |sample: &Sample, violation: &String| {
+            format!("size {}, repeat {}: {violation}", sample.size, sample.repeat)
         };
-        let broken = samples.iter().flat_map(|sample| sample.broken.iter().map(|what| place(sample, what)));
+        let broken = samples
+            .iter()
+            .flat_map(|sample| sample.broken.iter().map(|violation| describe(sample, violation)));
         Report {
             complete: stopped.is_none(),
             stopped,
@@ -63,7 +65,7 @@
                 version: env!("CARGO_PKG_VERSION"),
                 cores: thread::available_parallelism().map_or(0, usize::from),
                 others_cores,
-                beside_other_work: others_cores > DISTURBED,
+                beside_other_work: others_cores > MAX_OTHERS_CORES,
             },
             broken: broken.collect(),
             fits: names(&samples)
@@ -80,47 +82,51 @@
         names(&self.samples)
     }
 
-    /// A figure's values, by size.
+    /// The size and the value of a figure in each sample.
     pub fn points(&self, name: &str) -> Vec<(f64, f64)> {
         points(&self.samples, name)
     }
 
-    /// A table for people: the median of each figure at each size, and how it grows.
-    pub fn text(&self) -> String {
-        let mut text = String::new();
+    /// Formats a table for people: the median of each figure at each size, and how it grows.
+    pub fn table(&self) -> String {
+        let mut table = String::new();
         for name in self.names() {
             let by_size = medians(&self.points(&name));
-            let each: Vec<String> =
-                by_size.iter().map(|(size, value)| format!("{size}: {}", short(*value))).collect();
-            text += &format!("{name:32} {}", each.join("  "));
+            let values: Vec<String> =
+                by_size.iter().map(|(size, value)| format!("{size}: {}", format_short(*value))).collect();
+            table += &format!("{name:32} {}", values.join("  "));
             if let Some(fit) = self.fits.get(&name) {
-                text += &format!("  | {} a unit, off {:.0}%", short(fit.slope), fit.residual * 100.0);
-                if let Some((exponent, off)) = fit.exponent.zip(fit.exponent_residual) {
-                    text += &format!("; power {exponent:.2}, off {off:.2}");
+                table += &format!(
+                    "  | {} per unit, residual {:.0}%",
+                    format_short(fit.slope),
+                    fit.residual * 100.0
+                );
+                if let Some((exponent, residual)) = fit.exponent.zip(fit.exponent_residual) {
+                    table += &format!("; exponent {exponent:.2}, residual {residual:.2}");
                 }
             }
-            text += "\n";
+            table += "\n";
         }
-        text
+        table
     }
 
-    /// Whether there is more than one size, over which something can grow.
-    pub fn is_slope(&self) -> bool {
+    /// Whether the samples have more than one size, so that growth can be plotted.
+    pub fn has_several_sizes(&self) -> bool {
         self.samples.iter().any(|sample| sample.size != self.samples[0].size)
     }
 
-    /// Writes the results, and their plot beside them, each whole or not at all; tells where.
+    /// Writes the results and their plot to a folder, each file atomically. Returns the paths of the files.
     ///
     /// # Errors
-    /// If one can't be written.
+    /// If the folder can't be created or a file can't be written.
     pub fn write(&self, folder: &Path, plot: Option<&str>) -> io::Result<Vec<PathBuf>> {
         fs::create_dir_all(folder)?;
         let json = serde_json::to_string_pretty(self)? + "\n";
         let mut written = Vec::new();
-        for (kind, text) in [("json", Some(json.as_str())), ("svg", plot)] {
+        for (extension, text) in [("json", Some(json.as_str())), ("svg", plot)] {
             let Some(text) = text else { continue };
-            let path = folder.join(format!("{}.{kind}", self.experiment.name));
-            whole(&path, text)?;
+            let path = folder.join(format!("{}.{extension}", self.experiment.name));
+            write_atomically(&path, text)?;
             written.push(path);
         }
         Ok(written)
@@ -131,15 +137,15 @@
 pub fn medians(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let mut points = points.to_vec();
     points.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
-    points.chunk_by(|a, b| a.0 == b.0).map(|same| same[same.len() / 2]).collect()
+    points.chunk_by(|a, b| a.0 == b.0).map(|group| group[group.len() / 2]).collect()
 }
 
-/// Three digits are enough for people.
-pub fn short(value: f64) -> String {
+/// Formats a value for people, with about three significant digits.
+pub fn format_short(value: f64) -> String {
     match value.abs() {
         0.0 => "0".into(),
-        size if size >= 100.0 => format!("{value:.0}"),
-        size if size >= 1.0 => format!("{value:.2}"),
+        magnitude if magnitude >= 100.0 => format!("{value:.0}"),
+        magnitude if magnitude >= 1.0 => format!("{value:.2}"),
         _ => format!("{value:.3e}"),
     }
 }
@@ -152,7 +158,8 @@
     samples.iter().filter_map(|sample| Some((sample.size as f64, *sample.figures.get(name)?))).collect()
 }
 
-fn whole(path: &Path, text: &str) -> io::Result<()> {
+/// Writes a file under a temporary name and renames it.
+fn write_atomically(path: &Path, text: &str) -> io::Result<()> {
     let folder = path.parent().unwrap_or(Path::new("."));
     let mut file = NamedTempFile::new_in(folder)?;
     file.write_all(text.as_bytes())?;
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs an experiment: its samples one after the other, each in a process of its own.
+//! Runs an experiment: takes its samples one after the other, each in its own process.
 
 use std::io;
 use std::path::PathBuf;
@@ -14,117 +14,121 @@
 use crate::report::Report;
 use crate::sample::Sample;
 
-/// A sample that is told to end has so long for it.
-const END: Duration = Duration::from_secs(5);
-/// A sample's answer is no longer than this, in bytes.
-const ANSWER: u64 = 16 << 20;
+/// Time that a sample has to exit after its standard input is closed, before it is killed.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest output that is read from a sample, in bytes.
+const MAX_OUTPUT_BYTES: u64 = 16 << 20;
 
-/// How samples are started.
+/// The command that takes a sample.
 #[derive(Clone, Debug)]
-pub struct Program {
-    /// The program, and what it is called with before `--size N --repeat N`. It must end when its standard input does.
+pub struct SampleProgram {
+    /// Path of the program. It must exit when its standard input is closed.
     pub path: PathBuf,
-    /// See `path`.
+    /// Arguments before `--size N --repeat N`.
     pub args: Vec<String>,
 }
 
-/// Why an experiment gave nothing.
+/// Why an experiment has no report.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A sample can't be started, or not be read.
+    /// A sample could not be started or its output could not be read.
     #[error("size {size}, repeat {repeat}: {source}")]
     Start {
-        /// The sample's size.
+        /// Size of the sample.
         size: usize,
-        /// Its repeat.
+        /// Number of the repeat.
         repeat: usize,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// A sample failed; it has said why.
+    /// A sample failed; it has written the reason to standard error.
     #[error("size {size}, repeat {repeat}: the sample ended with {status}")]
     Failed {
-        /// The sample's size.
+        /// Size of the sample.
         size: usize,
-        /// Its repeat.
+        /// Number of the repeat.
         repeat: usize,
-        /// How it ended.
+        /// Exit status of its process.
         status: ExitStatus,
     },
-    /// What a sample said can't be read.
-    #[error("size {size}, repeat {repeat}: {source}")]
-    Unreadable {
-        /// The sample's size.
+    /// The output of a sample is not valid.
+    #[error("size {size}, repeat {repeat}: invalid output: {source}")]
+    InvalidOutput {
+        /// Size of the sample.
         size: usize,
-        /// Its repeat.
+        /// Number of the repeat.
         repeat: usize,
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// Somebody ended it.
-    #[error("interrupted: nothing is written")]
+    /// SIGINT or SIGTERM was received.
+    #[error("interrupted: no results are written")]
     Interrupted,
-    /// Signals can't be waited for.
-    #[error("{0}")]
+    /// The signal handlers could not be installed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
 }
 
-enum Taken {
-    Sample(Sample),
-    /// The time is over.
-    Late,
+/// How the run of a sample's process ended without an error.
+enum SampleOutcome {
+    /// It printed its sample.
+    Completed(Sample),
+    /// The time limit of the experiment passed first.
+    TimeLimitReached,
 }
 
-/// Takes all samples, until the experiment's time limit: the report then holds those that were taken, and says so.
+/// Takes all samples and calls `on_sample` for each. At the time limit of the experiment it stops: the report then has
+/// the samples taken so far and the reason why it is not complete.
 ///
 /// # Errors
-/// If a sample fails, or on SIGINT and SIGTERM. No process is left then.
+/// If a sample fails, or on SIGINT or SIGTERM. No process is left running then.
 pub async fn run(
     experiment: Experiment,
-    program: &Program,
-    told: impl Fn(&Sample),
+    program: &SampleProgram,
+    on_sample: impl Fn(&Sample),
 ) -> Result<Report, RunError> {
     let mut interrupted = signal(SignalKind::interrupt()).map_err(RunError::Signals)?;
     let mut terminated = signal(SignalKind::terminate()).map_err(RunError::Signals)?;
-    let until = Instant::now() + experiment.time_limit.duration();
+    let deadline = Instant::now() + experiment.time_limit.duration();
     let mut samples = Vec::new();
-    let mut stopped = None;
-    // Repeats outside: what changes with time befalls all sizes alike.
-    let all =
+    let mut stop_reason = None;
+    // The repeats are the outer loop, so that conditions that change with time affect all sizes alike.
+    let runs =
         (0..experiment.repeats.get()).flat_map(|repeat| experiment.sizes().map(move |size| (size, repeat)));
-    for (size, repeat) in all.collect::<Vec<_>>() {
+    for (size, repeat) in runs.collect::<Vec<_>>() {
         let mut child =
-            start(program, size, repeat).map_err(|source| RunError::Start { size, repeat, source })?;
-        let taken = tokio::select! {
-            taken = take(&mut child, size, repeat, until) => Some(taken),
+            start_sample(program, size, repeat).map_err(|source| RunError::Start { size, repeat, source })?;
+        let outcome = tokio::select! {
+            outcome = read_sample(&mut child, size, repeat, deadline) => Some(outcome),
             _ = interrupted.recv() => None,
             _ = terminated.recv() => None,
         };
-        match taken {
-            Some(Ok(Taken::Sample(sample))) => {
-                told(&sample);
+        match outcome {
+            Some(Ok(SampleOutcome::Completed(sample))) => {
+                on_sample(&sample);
                 samples.push(sample);
             }
-            Some(Ok(Taken::Late)) => {
-                end(child).await;
+            Some(Ok(SampleOutcome::TimeLimitReached)) => {
+                stop_sample(child).await;
                 let limit = experiment.time_limit.duration();
-                stopped = Some(format!("time limit of {limit:?}: stopped in size {size}, repeat {repeat}"));
+                stop_reason =
+                    Some(format!("time limit of {limit:?} reached at size {size}, repeat {repeat}"));
                 break;
             }
             Some(Err(error)) => {
-                end(child).await;
+                stop_sample(child).await;
                 return Err(error);
             }
             None => {
-                end(child).await;
+                stop_sample(child).await;
                 return Err(RunError::Interrupted);
             }
         }
     }
-    Ok(Report::new(experiment, samples, stopped))
+    Ok(Report::new(experiment, samples, stop_reason))
 }
 
-fn start(program: &Program, size: usize, repeat: usize) -> io::Result<Child> {
+fn start_sample(program: &SampleProgram, size: usize, repeat: usize) -> io::Result<Child> {
     Command::new(&program.path)
         .args(&program.args)
         .args(["--size", &size.to_string(), "--repeat", &repeat.to_string()])
@@ -134,35 +138,42 @@
         .spawn()
 }
 
-async fn take(child: &mut Child, size: usize, repeat: usize, until: Instant) -> Result<Taken, RunError> {
-    let failed = |source| RunError::Start { size, repeat, source };
-    let mut said = Vec::new();
-    let out = child.stdout.take().ok_or_else(|| failed(io::ErrorKind::BrokenPipe.into()))?;
-    let ending = async {
-        out.take(ANSWER).read_to_end(&mut said).await?;
-        // Its standard input stays open meanwhile.
+/// Reads the output of a sample until it exits or the deadline passes.
+async fn read_sample(
+    child: &mut Child,
+    size: usize,
+    repeat: usize,
+    deadline: Instant,
+) -> Result<SampleOutcome, RunError> {
+    let read_error = |source| RunError::Start { size, repeat, source };
+    let mut output = Vec::new();
+    let stdout = child.stdout.take().ok_or_else(|| read_error(io::ErrorKind::BrokenPipe.into()))?;
+    let reading = async {
+        stdout.take(MAX_OUTPUT_BYTES).read_to_end(&mut output).await?;
+        // The standard input stays open while the sample runs: closing it would stop the sample.
         let _input = &child.stdin;
         Ok::<_, io::Error>(())
     };
-    match timeout_at(until, ending).await {
-        Ok(read) => read.map_err(failed)?,
-        Err(_) => return Ok(Taken::Late),
+    match timeout_at(deadline, reading).await {
+        Ok(result) => result.map_err(read_error)?,
+        Err(_) => return Ok(SampleOutcome::TimeLimitReached),
     }
-    let status = child.wait().await.map_err(failed)?;
+    let status = child.wait().await.map_err(read_error)?;
     if !status.success() {
         return Err(RunError::Failed { size, repeat, status });
     }
-    serde_json::from_slice(&said).map(Taken::Sample).map_err(|source| RunError::Unreadable {
+    serde_json::from_slice(&output).map(SampleOutcome::Completed).map_err(|source| RunError::InvalidOutput {
         size,
         repeat,
         source,
     })
 }
 
-/// Ends a sample: by its input's end, so that it can end what it has started; by its id if it doesn't.
-async fn end(mut child: Child) {
+/// Stops a sample: closes its standard input, so that it can clean up what it has started, and kills its process if it
+/// does not exit in time.
+async fn stop_sample(mut child: Child) {
     drop(child.stdin.take());
-    if timeout(END, child.wait()).await.is_err() {
-        let _ = child.kill().await; // it has ended meanwhile
+    if timeout(EXIT_TIMEOUT, child.wait()).await.is_err() {
+        let _ = child.kill().await; // fails only if it has exited meanwhile
     }
 }
--- a/crates/lab/src/sample.rs
+++ b/crates/lab/src/sample.rs
@@ -1,4 +1,4 @@
-//! One sample: what one run at one size gave.
+//! One sample: the figures of one run at one size.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -7,78 +7,82 @@
 use serde::{Deserialize, Serialize};
 use tokio_util::sync::CancellationToken;
 
-use crate::experiment::{Experiment, Measure};
+use crate::experiment::{Experiment, Measurement};
 use crate::machine;
 use crate::measure::{decision, hollow, memory, store};
 
-/// What one run at one size gave.
+/// The results of one run at one size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     /// The size.
     pub size: usize,
-    /// Which of the repeats, from 0.
+    /// Number of the repeat, from 0.
     pub repeat: usize,
-    /// Figures by their names, which end in their unit.
+    /// Figures by name; a name ends in the unit.
     pub figures: BTreeMap<String, f64>,
-    /// What must not be, and was.
+    /// Violations: conditions that must not occur and did.
     pub broken: Vec<String>,
-    /// Processor time that others used meanwhile, in cores.
+    /// Processor time that other processes used during the sample, in cores.
     pub others_cores: f64,
-    /// How long it took, in seconds.
+    /// Duration of the run, in seconds.
     pub took_s: f64,
 }
 
-/// Why there is no sample.
+/// Why a sample failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SampleError {
-    /// The store that is measured.
+    /// Measuring the store failed.
     #[error("store: {0}")]
     Store(#[from] store::StoreError),
-    /// The fleet that is measured.
+    /// Measuring the fleet failed.
     #[error("fleet: {0}")]
     Hollow(#[from] hollow::HollowError),
-    /// The runtime, or a socket.
+    /// A runtime or a socket could not be created.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
 
-/// The figures of one run, as each measure gives them.
+/// The figures and violations that one measurement returns.
 #[derive(Debug, Default)]
 pub struct Figures {
-    /// By their names, which end in their unit.
+    /// Figures by name; a name ends in the unit.
     pub figures: BTreeMap<String, f64>,
-    /// What must not be, and was.
+    /// Violations: conditions that must not occur and did.
     pub broken: Vec<String>,
 }
 
 impl Figures {
-    /// Adds a figure.
+    /// Sets a figure.
     pub fn put(&mut self, name: &str, value: f64) {
         self.figures.insert(name.to_owned(), value);
     }
 }
 
-/// Takes one sample, in this process; `node` is the node's program, `stop` ends what would leave something behind.
+/// Takes one sample in this process. `node_program` is the path of the node's program. Cancelling `stop` ends a
+/// measurement that would otherwise leave processes or files behind.
 ///
 /// # Errors
-/// If something that it needs can't be had, or it is told to stop.
-pub fn take(
+/// If a runtime, a socket, a file or a process that it needs can't be created, or if it is stopped.
+pub fn take_sample(
     experiment: &Experiment,
     size: usize,
     repeat: usize,
-    node: &Path,
+    node_program: &Path,
     stop: &CancellationToken,
 ) -> Result<Sample, SampleError> {
     let seed = (experiment.seed.get() as u64) << 8 | repeat as u64;
-    let (began, own, busy) = (Instant::now(), machine::own_time(), machine::busy_time());
+    let (started_at, own_before, busy_before) =
+        (Instant::now(), machine::own_processor_s(), machine::busy_processor_s());
     let Figures { figures, broken } = match &experiment.measure {
-        Measure::Decision(of) => decision::measure(of, size, seed),
-        Measure::Memory(of) => memory::measure(of, size, seed),
-        Measure::Store(of) => store::measure(of, size, stop)?,
-        Measure::Hollow(of) | Measure::Scenario(of) => hollow::measure(&of.at(size), seed, node, stop)?,
+        Measurement::Decision(plan) => decision::measure(plan, size, seed),
+        Measurement::Memory(plan) => memory::measure(plan, size, seed),
+        Measurement::Store(plan) => store::measure(plan, size, stop)?,
+        Measurement::Hollow(plan) | Measurement::Scenario(plan) => {
+            hollow::measure(&plan.with_size(size), seed, node_program, stop)?
+        }
     };
-    let took_s = began.elapsed().as_secs_f64();
-    let others = (machine::busy_time() - busy) - (machine::own_time() - own);
-    let others_cores = (others / took_s.max(0.01)).max(0.0);
+    let took_s = started_at.elapsed().as_secs_f64();
+    let others_s = (machine::busy_processor_s() - busy_before) - (machine::own_processor_s() - own_before);
+    let others_cores = (others_s / took_s.max(0.01)).max(0.0);
     Ok(Sample { size, repeat, figures, broken, others_cores, took_s })
 }
--- a/crates/lab/tests/plans.rs
+++ b/crates/lab/tests/plans.rs
@@ -1,9 +1,9 @@
-//! A plan is checked whole before anything starts: what it can't be is refused with its place.
+//! Tests of the checks of a plan, which come before anything starts: an error names its place and the reason.
 
 use std::path::Path;
 
 use stonefold_config::{Check, Layers, load};
-use stonefold_lab::experiment::{Experiment, Measure};
+use stonefold_lab::experiment::{Experiment, Measurement};
 
 const PLAN: &str = r#"
 name = "some-plan"
@@ -16,23 +16,23 @@
 requests = 100
 "#;
 
-/// What is said of a plan with something replaced; nothing if it is taken.
-fn refusal(from: &str, to: &str) -> Option<String> {
+/// Returns the error of the plan with `from` replaced by `to`; `None` if the plan is valid.
+fn error_after_replacing(from: &str, to: &str) -> Option<String> {
     let file = tempfile::NamedTempFile::new().unwrap();
     assert!(PLAN.contains(from));
     std::fs::write(file.path(), PLAN.replace(from, to)).unwrap();
-    read(file.path()).err()
+    read_plan(file.path()).err()
 }
 
-fn read(path: &Path) -> Result<Experiment, String> {
+fn read_plan(path: &Path) -> Result<Experiment, String> {
     let layers = Layers { file: Some(path.to_owned()), ..Layers::default() };
     load::<Experiment>(&layers).map(|loaded| loaded.tree).map_err(|error| error.to_string())
 }
 
 #[test]
-fn what_cannot_be_used_is_refused_with_its_place_and_what_would_do() {
-    assert_eq!(refusal("repeats = 3", "repeats = 3"), None);
-    for (from, to, place, words) in [
+fn an_invalid_plan_is_rejected_with_place_and_expected_value() {
+    assert_eq!(error_after_replacing("repeats = 3", "repeats = 3"), None);
+    for (from, to, place, reason) in [
         ("repeats = 3", "repeat = 3", ":5:1: repeat", "did you mean `repeats`"),
         ("requests = 100", "requests = 100\nwarm = 1", ":10:1: measure.decision.warm", "unknown key"),
         ("[measure.decision]", "[measure.decisions]", "measure", "decision"),
@@ -45,16 +45,16 @@
         ("\"1m\"", "\"1\"", ":6:1: time_limit", "unit"),
         ("repeats = 3", "", "repeats", "missing"),
     ] {
-        let said = refusal(from, to).unwrap_or_else(|| panic!("{to:?} is taken"));
-        assert!(said.contains(place) && said.contains(words), "{to:?}: {said}");
+        let error = error_after_replacing(from, to).unwrap_or_else(|| panic!("{to:?} is accepted"));
+        assert!(error.contains(place) && error.contains(reason), "{to:?}: {error}");
     }
 }
 
 #[test]
-fn a_plan_beyond_the_bounds_is_refused_before_anything_starts() {
+fn a_plan_that_exceeds_memory_or_time_is_rejected() {
     let memory =
         PLAN.replace("[measure.decision]\nrequests = 100", "[measure.memory]\ncopies = 10000\nrequests = 0");
-    for (plan, words) in [
+    for (plan, reason) in [
         (memory.replace("16]", "2000]"), "at most 12288 MiB"),
         (
             PLAN.replace(
@@ -66,18 +66,18 @@
     ] {
         let file = tempfile::NamedTempFile::new().unwrap();
         std::fs::write(file.path(), plan).unwrap();
-        let said = read(file.path()).unwrap_err();
-        assert!(said.contains(words), "{said}");
+        let error = read_plan(file.path()).unwrap_err();
+        assert!(error.contains(reason), "{error}");
     }
 }
 
 #[test]
-fn a_plan_that_needs_more_descriptors_than_the_machine_allows_is_refused() {
+fn a_plan_that_needs_more_descriptors_than_allowed_is_rejected() {
     let file = tempfile::NamedTempFile::new().unwrap();
     let store = "[measure.store]\nidle = \"100ms\"\nasking = \"1s\"";
     std::fs::write(file.path(), PLAN.replace("[measure.decision]\nrequests = 100", store)).unwrap();
-    let plan = read(file.path()).unwrap();
-    assert!(matches!(plan.measure, Measure::Store(_)));
+    let plan = read_plan(file.path()).unwrap();
+    assert!(matches!(plan.measure, Measurement::Store(_)));
     plan.check_bounds(1_000).unwrap();
     let error = plan.check_bounds(100).unwrap_err();
     assert_eq!(error.key, "sizes");
@@ -85,34 +85,34 @@
 }
 
 #[test]
-fn the_plans_that_are_kept_can_all_be_used() {
+fn all_plans_in_deploy_experiments_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/experiments");
     let files: Vec<_> = std::fs::read_dir(folder).unwrap().map(|file| file.unwrap().path()).collect();
     assert!(!files.is_empty());
     for file in files {
-        let plan = read(&file).unwrap();
+        let plan = read_plan(&file).unwrap();
         plan.check().unwrap();
         assert_eq!(Some(plan.name.as_str()), file.file_stem().and_then(|name| name.to_str()));
     }
 }
 
 #[test]
-fn more_processes_or_threads_of_nodes_than_the_bound_are_refused() {
+fn a_plan_with_too_many_processes_or_node_threads_is_rejected() {
     let file = tempfile::NamedTempFile::new().unwrap();
     let hollow =
         "[measure.hollow]\nvary = \"nodes\"\nnodes = 4\nservers = 4\nchanges_per_min = 1\nlasts = \"1s\"\n";
-    for (more, sizes, words) in [
+    for (settings, sizes, expected_error) in [
         ("real_nodes = 200", "16]", Some("201 processes at once: at most 200")),
         ("real_nodes = 199", "16]", None),
         ("apart = true", "201]", Some("threads: at most 200")),
         ("apart = true", "200]", None),
     ] {
-        let plan = PLAN.replace("[measure.decision]\nrequests = 100", &format!("{hollow}{more}"));
+        let plan = PLAN.replace("[measure.decision]\nrequests = 100", &format!("{hollow}{settings}"));
         std::fs::write(file.path(), plan.replace("16]", sizes)).unwrap();
-        match (read(file.path()), words) {
+        match (read_plan(file.path()), expected_error) {
             (Ok(_), None) => {}
-            (Err(said), Some(words)) => assert!(said.contains(words), "{said}"),
-            (plan, _) => panic!("{more}, {sizes}: {plan:?}"),
+            (Err(error), Some(reason)) => assert!(error.contains(reason), "{error}"),
+            (plan, _) => panic!("{settings}, {sizes}: {plan:?}"),
         }
     }
 }
--- a/crates/model/src/rule_checker.rs
+++ b/crates/model/src/rule_checker.rs
@@ -22,7 +22,8 @@
     Wrong,
 }
 
-/// Counts of requests, answers and rule violations so far. All but the first four and `origin_stops` are rule violations.
+/// Counts of requests, answers and rule violations so far. All but the first four and `origin_stops` are rule
+/// violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     /// Requests that nodes accepted.
@@ -41,7 +42,8 @@
     pub duplicate_answers: u64,
     /// Requests answered with a value that no server produced for them.
     pub wrong: u64,
-    /// Requests sent to a server after the grace period that follows the node's notification of its draining or removal.
+    /// Requests sent to a server after the grace period that follows the node's notification of its draining or
+    /// removal.
     pub sent_after_grace: u64,
     /// Servers that collapsed while warming up.
     #[serde(rename = "cold_pushed_over")]
