--- a/crates/lab/tests/list_checker.rs
+++ b/crates/lab/tests/list_checker.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_restarted_node_may_begin_with_the_first_list_and_times_count_from_its_start() {
+fn a_restarted_node_begins_with_the_first_list_and_counts_from_its_start() {
     let mut checker = list_checker(1);
     checker.changes_published(20, &[listed(1, State::Draining)]);
     let draining = [(1, Some((State::Draining, 0)))];
--- a/crates/model/src/retry/tests.rs
+++ b/crates/model/src/retry/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn retries_honour_retry_after_back_off_exponentially_with_jitter_and_stop_at_the_deadline() {
+fn retries_follow_retry_after_exponential_backoff_with_jitter_and_the_deadline() {
     for seed in 0..50 {
         let mut retries = retries(4, seed);
         for (attempts, longest) in [(1, 10_000), (2, 20_000), (3, 30_000)] {
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -442,7 +442,7 @@
             }
             prop_assert!(server.in_service() <= 4 && server.queued() <= 3);
             prop_assert!(server.bytes() <= 1000);
-            prop_assert!(server.in_service() == 4 || server.queued() == 0, "a slot is free beside a queued request");
+            prop_assert!(server.in_service() == 4 || server.queued() == 0, "a slot is free while a request is queued");
         }
         server.set_slowdown(now, 1.0, &mut done);
         server.advance(now + 10_000 * MS, &mut done);
