--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use stonefold_config::CheckError;
 use stonefold_model::site::{Fault, Site};
-use stonefold_model::{Cache, Judge, LateSend, Listed, Listing, Micros, Network, State, Verdict};
+use stonefold_model::{Cache, LateSend, Listed, Listing, Micros, Network, RuleChecker, State, Verdict};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use crate::cache::CacheEndpoint;
@@ -58,7 +58,7 @@
     pub site: Site,
     pub ip: IpAddr,
     pub clock: Clock,
-    pub rule_checker: Mutex<Judge>,
+    pub rule_checker: Mutex<RuleChecker>,
     pub network: Mutex<Network>,
     /// Servers by their numbers; those that were replaced stay in the list.
     pub servers: RwLock<Vec<Arc<CacheServer>>>,
@@ -88,7 +88,7 @@
         self.clock.unix_ms(at)
     }
 
-    pub fn rule_checker(&self) -> MutexGuard<'_, Judge> {
+    pub fn rule_checker(&self) -> MutexGuard<'_, RuleChecker> {
         lock(&self.rule_checker)
     }
 
@@ -251,7 +251,7 @@
         let world = Arc::new(World {
             ip: options.ip,
             clock,
-            rule_checker: Mutex::new(Judge::new(&site.rules)),
+            rule_checker: Mutex::new(RuleChecker::new(&site.rules)),
             network: Mutex::new(Network::new(&site.network, seed)),
             servers: RwLock::default(),
             origin,
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/rule_checker.rs
@@ -1,4 +1,4 @@
-//! The judge: counts answers and rule violations of the nodes from events observed outside them.
+//! Counts the answers and the rule violations of the nodes, from events observed outside them.
 
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::Micros;
-use crate::site::Rules;
+use crate::site::RuleThresholds;
 
 /// The answer that a client got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,8 @@
     Wrong,
 }
 
-/// Counts so far. All but the first four and `origin_stops` are rule violations.
+/// Counts of requests, answers and rule violations so far. All but the first four and `origin_stops` are rule
+/// violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     /// Requests that nodes accepted.
@@ -41,7 +42,8 @@
     pub duplicate_answers: u64,
     /// Requests answered with a value that no server produced for them.
     pub wrong: u64,
-    /// Requests sent to a server after the grace period that follows the node's notification of its draining or removal.
+    /// Requests sent to a server after the grace period that follows the node's notification of its draining or
+    /// removal.
     pub sent_after_grace: u64,
     /// Servers that collapsed while warming up.
     #[serde(rename = "cold_pushed_over")]
@@ -85,8 +87,8 @@
 
 /// Finds violations of the four rules of the protocol in the events that it is given.
 #[derive(Debug)]
-pub struct Judge {
-    rules: Rules,
+pub struct RuleChecker {
+    rules: RuleThresholds,
     /// Deadlines of the requests that are not answered yet.
     open: HashMap<u64, Micros>,
     /// By node and server: since when the node knows that the server drains or is removed.
@@ -105,11 +107,11 @@
 /// Number of runs that are remembered.
 const MAX_RUNS: NonZeroUsize = NonZeroUsize::new(100_000).unwrap();
 
-impl Judge {
-    /// Creates a judge with these thresholds.
+impl RuleChecker {
+    /// Creates a rule checker with these thresholds.
     #[must_use]
-    pub fn new(rules: &Rules) -> Judge {
-        Judge {
+    pub fn new(rules: &RuleThresholds) -> RuleChecker {
+        RuleChecker {
             rules: rules.clone(),
             open: HashMap::new(),
             not_serving_since: HashMap::new(),
