--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -75,7 +75,9 @@
         let status = server.in_flight.finish(end.attempt, self.now);
         let was_abandoned = matches!(end.outcome, Outcome::TimedOut | Outcome::Canceled);
         if status.was_written_off && was_abandoned {
-            return; // a written-off attempt that ends without an answer shows nothing
+            // Nothing is learned from a written-off attempt that ends without an answer. Its place within the
+            // concurrency limit was released when it was written off.
+            return;
         }
         if !status.was_written_off {
             self.tiers[server.tier()].limit.release(1);
--- a/crates/balancer/src/retry_budget.rs
+++ b/crates/balancer/src/retry_budget.rs
@@ -47,8 +47,8 @@
         self.tokens >= ATTEMPT_COST
     }
 
-    /// Counts a retry or a hedged request. Retries of writes are counted but not limited, since writes take
-    /// precedence over reads: the budget may become negative, and reads then have fewer retries.
+    /// Counts a retry or a hedged request. Retries of writes are counted but not limited: the budget may
+    /// become negative, and reads then have fewer retries.
     pub(crate) fn spend(&mut self) {
         self.tokens -= ATTEMPT_COST;
     }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Helpers for tests that drive the balancer through its public interface.
-#![allow(dead_code, unreachable_pub)] // each test file uses its own part
+#![allow(dead_code, unreachable_pub)] // each test file uses only some of the helpers
 
 use stonefold_balancer::*;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A balancer with the caches 1..=n and, in aside mode, the origin 99.
+/// A balancer that knows the caches 1 to n and, in cache-aside mode, the origin 99, with a virtual clock.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Micros,
@@ -62,10 +62,12 @@
         self.handle(Event::Endpoints { update, endpoints })
     }
 
+    /// A read of class 0 with a time limit of one second.
     pub fn read(&mut self, id: u32, key: &str) -> Vec<Action> {
         self.request(id, key, 0, false)
     }
 
+    /// A request with a time limit of one second.
     pub fn request(&mut self, id: u32, key: &str, class: usize, write: bool) -> Vec<Action> {
         self.handle(Event::Request(Request {
             class: Some(class),
@@ -76,6 +78,7 @@
         }))
     }
 
+    /// Ends an attempt; one that succeeds settles its request.
     pub fn finish(&mut self, id: u32, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
         let settled = outcome == Outcome::Success;
         let end = AttemptEnd::new(AttemptId::new(RequestId(id), attempt), outcome);
@@ -102,7 +105,7 @@
     }
 }
 
-/// The server of the first send.
+/// The server that the first attempt is sent to, if any.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
@@ -110,7 +113,7 @@
     })
 }
 
-/// The first timer that is set.
+/// The delay and the token of the first timer that is set, if any.
 pub fn first_timer(actions: &[Action]) -> Option<(Micros, TimerToken)> {
     actions.iter().find_map(|a| match a {
         Action::SetTimer { after, token } => Some((*after, *token)),
@@ -118,20 +121,22 @@
     })
 }
 
+/// Whether the balancer gives a final answer: a rejection or a failure.
 pub fn is_answered(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
 }
 
+/// The numbers of the attempts that are cancelled.
 pub fn cancelled_attempts(actions: &[Action]) -> Vec<usize> {
-    let attempt = |a: &Action| match a {
+    let number = |a: &Action| match a {
         Action::Cancel(attempt) => Some(attempt.number),
         _ => None,
     };
-    actions.iter().filter_map(attempt).collect()
+    actions.iter().filter_map(number).collect()
 }
 
-/// A node with this many caches, spread in turn over this many zones.
-pub fn zoned(settings: Settings, caches: u32, zones: u32) -> Node {
+/// A node with the caches 0 to `caches` - 1, where cache `id` is in zone `id % zones`.
+pub fn node_with_zones(settings: Settings, caches: u32, zones: u32) -> Node {
     let mut node = Node::new(settings, 0);
     let endpoint = |id| Endpoint { zone: id % zones, ..Endpoint::up(ServerId(id)) };
     node.update_endpoints(EndpointUpdate::Full, (0..caches).map(endpoint).collect());
--- a/crates/balancer/tests/drain.rs
+++ b/crates/balancer/tests/drain.rs
@@ -5,9 +5,12 @@
 use stonefold_balancer::*;
 
 #[test]
-fn requests_open_at_the_stop_event_are_answered_before_the_process_ends() {
+fn requests_open_at_shutdown_are_answered_before_the_process_ends() {
     let mut node = Node::new(settings(CacheMode::Aside), 3);
-    assert!(sent_to(&node.request(1, "a", 1, true)).is_some(), "a write, with a second to go");
+    assert!(
+        sent_to(&node.request(1, "a", 1, true)).is_some(),
+        "a write is sent, with a time limit of one second"
+    );
     assert!(sent_to(&node.read(2, "b")).is_some());
     let (after, token) = first_timer(&node.handle(Event::Shutdown { deadline: 300_000 }))
         .expect("a timer for the last answers");
--- a/crates/balancer/tests/endpoint_updates.rs
+++ b/crates/balancer/tests/endpoint_updates.rs
@@ -1,11 +1,11 @@
-//! How the endpoint list is followed and watched.
+//! Updates of the endpoint list, and the watch that delivers them.
 
 mod common;
 use common::*;
 use stonefold_balancer::*;
 
 #[test]
-fn draining_and_removed_servers_get_nothing_from_the_event_on() {
+fn draining_and_removed_servers_get_nothing_once_they_are_reported() {
     let mut node = Node::new(settings(CacheMode::Through), 4);
     node.update_endpoints(
         EndpointUpdate::Delta,
@@ -18,7 +18,7 @@
     );
     for n in 0..100 {
         let to = node.serve(n, &format!("k{n}"), 20_000);
-        assert!(to == ServerId(1) || to == ServerId(3), "{to:?} is draining, or a full list omits it");
+        assert!(to == ServerId(1) || to == ServerId(3), "{to:?} is draining or was omitted from a full list");
     }
 }
 
@@ -32,8 +32,8 @@
     assert!(first.contains(&Action::WatchEndpoints));
     for _ in 0..8 {
         let failed = node.update_endpoints(EndpointUpdate::Failed, Vec::new());
-        let (after, token) = first_timer(&failed).expect("a timer for the next attempt");
-        assert!(after > 0 && after <= 10 * SECOND, "before the list is stale");
+        let (after, token) = first_timer(&failed).expect("a timer for the next watch");
+        assert!(after > 0 && after <= 10 * SECOND, "the watch starts again before the list is stale");
         node.now += after;
         assert_eq!(node.timer(token), [Action::WatchEndpoints]);
     }
@@ -43,7 +43,7 @@
 fn the_backoff_of_a_failed_watch_grows_with_the_number_of_nodes() {
     let mean = |nodes| {
         let settings = Settings { watch_required: true, node_count: nodes, ..settings(CacheMode::Through) };
-        let wait = |seed| {
+        let backoff = |seed| {
             let mut balancer = Balancer::new(settings.clone(), seed, 0);
             let mut actions = Vec::new();
             let endpoints = Vec::new();
@@ -52,24 +52,24 @@
                 Event::Endpoints { update: EndpointUpdate::Failed, endpoints },
                 &mut actions,
             );
-            first_timer(&actions).expect("a timer for the next attempt").0
+            first_timer(&actions).expect("a timer for the next watch").0
         };
-        (0..200).map(wait).sum::<Micros>() / 200
+        (0..200).map(backoff).sum::<Micros>() / 200
     };
     let (few, many) = (mean(4), mean(48));
-    assert!(many > 3 * few, "{few} and {many}");
+    assert!(many > 3 * few, "{few} us for few nodes, {many} us for many");
     assert!(mean(100_000) <= settings(CacheMode::Through).max_poll_interval);
 }
 
 #[test]
-fn the_backoff_leaves_several_attempts_before_the_list_is_stale() {
+fn the_backoff_leaves_several_watches_before_the_list_is_stale() {
     let settings = Settings { watch_required: true, node_count: 300, ..settings(CacheMode::Through) };
-    let longest = settings.max_poll_interval * 6 / 10; // 6 s, where a list is stale after 10 s
-    let attempts = |seed| {
+    let end = settings.max_poll_interval * 6 / 10; // 6 s; a list is stale after 10 s
+    let watches = |seed| {
         let mut node = Node { balancer: Balancer::new(settings.clone(), seed, 0), now: 0 };
         let mut fail = || {
             first_timer(&node.update_endpoints(EndpointUpdate::Failed, Vec::new()))
-                .expect("a timer for the next attempt")
+                .expect("a timer for the next watch")
                 .0
         };
         let waits: Vec<Micros> = (0..20).map(|_| fail()).collect();
@@ -78,8 +78,8 @@
             at += wait;
             at
         });
-        times.filter(|&at| at <= longest).count()
+        times.filter(|&at| at <= end).count()
     };
-    let few = (0..200).filter(|&seed| attempts(seed) < 3).count();
-    assert!(few < 20, "{few} of 200 nodes try less than three times");
+    let few = (0..200).filter(|&seed| watches(seed) < 3).count();
+    assert!(few < 20, "{few} of 200 nodes start fewer than three watches in that time");
 }
--- a/crates/balancer/tests/idempotency.rs
+++ b/crates/balancer/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! What may be sent again after an attempt that may have taken effect.
+//! Which requests may be sent again after an attempt that may have taken effect.
 
 mod common;
 use common::*;
@@ -25,7 +25,7 @@
 
 #[test]
 fn an_attempt_with_an_idempotency_key_may_use_all_the_time_left() {
-    // An attempt that is cut short fails, though its effect may have happened.
+    // An attempt that is cut off early fails although it may have taken effect.
     let mut node = Node::new(settings(CacheMode::Through), 6);
     for id in 0..100 {
         node.request(id, &format!("k{id}"), 1, true);
@@ -33,14 +33,14 @@
         node.finish(id, 0, Outcome::Success, 50_000);
     }
     let actions = node.request(1000, "k", 1, true);
-    let has_all_the_time =
+    let has_all_time_left =
         |a: &Action| matches!(a, Action::Send { timeout, .. } if *timeout == 0 || *timeout >= SECOND);
-    assert!(actions.iter().any(has_all_the_time), "{actions:?}");
+    assert!(actions.iter().any(has_all_time_left), "{actions:?}");
 }
 
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_it_had_no_effect() {
-    for (outcome, again) in [
+    for (outcome, is_retried) in [
         (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
         (Outcome::ServerError, false),
@@ -50,35 +50,36 @@
         let mut node = Node::new(settings(CacheMode::Through), 4);
         node.request(1, "k", 2, true);
         let actions = node.finish(1, 0, outcome, 10_000);
-        assert_eq!(sent_to(&actions).is_some(), again, "{outcome:?}");
+        assert_eq!(sent_to(&actions).is_some(), is_retried, "{outcome:?}");
         let failed = actions.contains(&Action::Fail(RequestId(1)));
-        assert_eq!(failed, !again, "failed where it may have taken effect: {outcome:?}");
+        assert_eq!(failed, !is_retried, "it fails if it may have taken effect: {outcome:?}");
     }
 }
 
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_only_within_its_scope() {
-    let mut s = settings(CacheMode::Through);
-    s.classes[1].idempotency = Idempotency::Keyed { scope: DeduplicationScope::Zone, window: 2 * SECOND };
-    let member = |id| Endpoint { zone: id % 2, ..Endpoint::up(ServerId(id)) };
-    let mut again = 0;
+    let mut settings = settings(CacheMode::Through);
+    settings.classes[1].idempotency =
+        Idempotency::Keyed { scope: DeduplicationScope::Zone, window: 2 * SECOND };
+    let endpoint = |id| Endpoint { zone: id % 2, ..Endpoint::up(ServerId(id)) };
+    let mut retried = 0;
     for n in 0..40 {
-        let mut node = Node::new(s.clone(), 0);
-        node.update_endpoints(EndpointUpdate::Full, (1..=6).map(member).collect());
+        let mut node = Node::new(settings.clone(), 0);
+        node.update_endpoints(EndpointUpdate::Full, (1..=6).map(endpoint).collect());
         let first = sent_to(&node.request(n, &format!("k{n}"), 1, true)).unwrap();
         if let Some(second) = sent_to(&node.finish(n, 0, Outcome::ConnectionReset, 1_000)) {
-            assert_eq!(first.0 % 2, second.0 % 2, "same zone");
-            again += 1;
+            assert_eq!(first.0 % 2, second.0 % 2, "retried in another zone");
+            retried += 1;
         }
     }
-    assert!(again > 0);
+    assert!(retried > 0);
 }
 
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_only_within_its_window() {
-    let mut s = settings(CacheMode::Through);
-    s.classes[1].idempotency = Idempotency::Keyed { scope: DeduplicationScope::All, window: 200_000 };
-    let mut node = Node::new(s, 4);
+    let mut settings = settings(CacheMode::Through);
+    settings.classes[1].idempotency = Idempotency::Keyed { scope: DeduplicationScope::All, window: 200_000 };
+    let mut node = Node::new(settings, 4);
     node.request(1, "k", 1, true);
     node.now += 250_000;
     let actions = node.finish(1, 0, Outcome::ConnectionReset, 250_000);
--- a/crates/balancer/tests/idle_connections.rs
+++ b/crates/balancer/tests/idle_connections.rs
@@ -6,35 +6,37 @@
 use common::*;
 use stonefold_balancer::*;
 
+/// The servers whose idle connections are closed.
 fn closed_connections(actions: &[Action]) -> Vec<ServerId> {
-    let of = |a: &Action| match a {
+    let server = |a: &Action| match a {
         Action::CloseIdleConnections(server) => Some(*server),
         _ => None,
     };
-    actions.iter().filter_map(of).collect()
+    actions.iter().filter_map(server).collect()
 }
 
-/// The timer for idle connections.
-const IDLE: TimerToken = TimerToken(u64::MAX - 1);
+/// The timer of the check of idle connections.
+const IDLE_CHECK: TimerToken = TimerToken(u64::MAX - 1);
 
-/// When idle connections are to be checked.
+/// When idle connections are to be checked, by the timers that are set.
 fn check_times(now: Micros, actions: &[Action]) -> Vec<Micros> {
     let at = |a: &Action| match a {
-        Action::SetTimer { after, token: IDLE } => Some(now + after),
+        Action::SetTimer { after, token: IDLE_CHECK } => Some(now + after),
         _ => None,
     };
     actions.iter().filter_map(at).collect()
 }
 
-/// After how long the connection of a served read is closed, after this many failed connects.
-fn idle_time(nodes: usize, failed: u32) -> Micros {
+/// How long the connection of a served read stays open while it is idle, at one of `nodes` nodes and after
+/// `failed_connects`.
+fn idle_time(nodes: usize, failed_connects: u32) -> Micros {
     let mut node = Node::new(
         Settings { node_count: nodes, idle_timeout: 40 * SECOND, ..settings(CacheMode::Through) },
         1,
     );
     let mut due = BTreeSet::new();
-    for id in 100..100 + failed {
-        node.now += 20 * SECOND; // probed although it is suspected
+    for id in 100..100 + failed_connects {
+        node.now += 20 * SECOND; // the cache is probed although it is suspected
         let mut to = sent_to(&node.read(id, "k"));
         for attempt in 0.. {
             let Some(_) = to.take() else { break };
@@ -46,29 +48,29 @@
     node.now += 20 * SECOND;
     let to = sent_to(&node.read(1, "k")).unwrap();
     node.now += 20_000;
-    let served = node.now;
-    due.extend(check_times(served, &node.finish(1, 0, Outcome::Success, 20_000)));
+    let served_at = node.now;
+    due.extend(check_times(served_at, &node.finish(1, 0, Outcome::Success, 20_000)));
     while let Some(at) = due.pop_first() {
         node.now = node.now.max(at);
-        let actions = node.timer(IDLE);
+        let actions = node.timer(IDLE_CHECK);
         if !closed_connections(&actions).is_empty() {
             assert_eq!(closed_connections(&actions), [to]);
-            assert!(closed_connections(&node.timer(IDLE)).is_empty(), "only once");
-            return node.now - served;
+            assert!(closed_connections(&node.timer(IDLE_CHECK)).is_empty(), "it is closed only once");
+            return node.now - served_at;
         }
         due.extend(check_times(node.now, &actions));
     }
-    panic!("it is never closed");
+    panic!("the connection is never closed");
 }
 
 #[test]
-fn idle_connections_are_kept_unless_connects_fail_and_then_shorter_with_more_nodes() {
-    // Many nodes with idle connections to all caches fill their connection tables; closing them early costs a
-    // handshake per request.
+fn failed_connects_shorten_the_idle_time_more_with_more_nodes() {
+    // Idle connections from many nodes fill the connection tables of the caches, but closing connections
+    // early costs a handshake per request.
     assert_eq!(idle_time(3, 0), 40 * SECOND);
     assert_eq!(idle_time(300, 0), 40 * SECOND, "no connect fails");
     assert!(idle_time(300, 2) <= 12 * SECOND);
-    assert_eq!(idle_time(3, 20), 40 * SECOND, "few nodes keep theirs");
+    assert_eq!(idle_time(3, 20), 40 * SECOND, "few nodes keep their connections");
     assert!(idle_time(80, 20) <= 5 * SECOND);
     assert!(idle_time(800, 20) <= SECOND / 2);
 }
--- a/crates/balancer/tests/outlier_detection.rs
+++ b/crates/balancer/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Caches and zones that do not answer are avoided and probed.
+//! Caches that do not answer and zones that cannot be reached are avoided, and probed.
 
 mod common;
 use common::*;
@@ -19,15 +19,16 @@
     node.finish(1001, 1, Outcome::Canceled, 1_000);
     let probe = sent_to(&node.read(1002, key));
     let next = sent_to(&node.read(1003, key));
-    assert!(probe != Some(first) || next != Some(first), "probed by one request at a time");
+    assert!(probe != Some(first) || next != Some(first), "at most one request at a time probes it");
     node.finish(1002, 0, Outcome::ConnectFailed, 150_000);
     node.finish(1003, 0, Outcome::Canceled, 1_000);
     node.now += 30 * SECOND;
     let again = (1100..1140).any(|id| sent_to(&node.read(id, key)) == Some(first));
-    assert!(again, "probed later");
+    assert!(again, "probed again later");
 }
 
-/// Reads whose connections fail at the caches for which `fails` holds; returns where all attempts were sent.
+/// Runs reads whose connects fail, after `pause` each, at the caches for which `fails` holds. Returns the
+/// caches that all attempts were sent to.
 fn run_reads(
     node: &mut Node,
     ids: std::ops::Range<u32>,
@@ -50,8 +51,8 @@
 
 #[test]
 fn an_unreachable_zone_is_probed_by_one_request_at_a_time() {
-    // A node with little traffic meets each cache rarely, so single caches never seem to fail.
-    let mut node = zoned(settings(CacheMode::Through), 20, 2);
+    // A node with little traffic sends to each cache so rarely that no single cache seems to fail.
+    let mut node = node_with_zones(settings(CacheMode::Through), 20, 2);
     node.serve_many();
     let unreachable = |to: u32| to % 2 == 1;
     let probes = run_reads(&mut node, 1000..1060, 1_000, unreachable)
@@ -59,20 +60,20 @@
         .filter(|&to| unreachable(to))
         .count();
     assert!((3..12).contains(&probes), "{probes} attempts at an unreachable zone");
-    // It can be reached again: one probe finds out, and it is used.
-    let mut back = 0;
+    // The zone can be reached again: one probe shows that, and the zone is used.
+    let mut served_there = 0;
     for id in 2000..2100 {
-        back += node.serve(id, &format!("k{id}"), 60_000).0 % 2;
+        served_there += node.serve(id, &format!("k{id}"), 60_000).0 % 2;
     }
-    assert!(back > 20, "{back} of 100 reads");
+    assert!(served_there > 20, "the zone served {served_there} of 100 reads");
 }
 
 #[test]
 fn failed_caches_do_not_make_their_zone_unreachable() {
-    let mut node = zoned(settings(CacheMode::Through), 20, 2);
+    let mut node = node_with_zones(settings(CacheMode::Through), 20, 2);
     node.serve_many();
     let failed = |to: u32| to == 1 || to == 3;
     let attempts_sent = run_reads(&mut node, 1001..1101, 20_000, failed);
     let attempts_sent = attempts_sent.into_iter().filter(|&to| to % 2 == 1 && !failed(to)).count();
-    assert!(attempts_sent > 30, "the others of the zone got {attempts_sent} attempts");
+    assert!(attempts_sent > 30, "the other caches of the zone got {attempts_sent} attempts");
 }
--- a/crates/balancer/tests/overrides.rs
+++ b/crates/balancer/tests/overrides.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_disabled_server_gets_nothing_whatever_the_list_has_until_it_is_enabled() {
+fn a_disabled_server_gets_nothing_until_enabled_whatever_the_list_says() {
     let mut node = Node::new(settings(CacheMode::Through), 3);
     node.serve_many();
     let disabled = ServerId(2);
@@ -18,7 +18,7 @@
     node.handle(Event::Disable(disabled));
     assert!(!servers_used(&mut node, 1000).contains(&disabled));
     assert_eq!(node.balancer.cache_counts(), CacheCounts { listed: 3, avoided: 1 });
-    // Removed from the list, listed again, and reported as restarted.
+    // The server is removed from the list, listed again, and reported as restarted.
     node.update_endpoints(
         EndpointUpdate::Delta,
         vec![Endpoint { state: EndpointState::Removed, ..Endpoint::up(disabled) }],
@@ -42,18 +42,18 @@
     let mut node = Node::new(settings(CacheMode::Through), 3);
     node.serve_many();
     let server = ServerId(2);
-    let share = |node: &mut Node, from: u32| {
+    let served_by_it = |node: &mut Node, from: u32| {
         (from..from + 300).filter(|n| node.serve(*n, &format!("k{n}"), 10_000) == server).count()
     };
-    let before = share(&mut node, 1000);
+    let before = served_by_it(&mut node, 1000);
     node.handle(Event::Disable(server));
     node.handle(Event::Enable { server, since: node.now });
-    let slow_start = share(&mut node, 1000 + 300);
-    assert!(slow_start > 0 && slow_start < before / 2, "{before} before, {slow_start} after");
+    let slow_start = served_by_it(&mut node, 1000 + 300);
+    assert!(slow_start > 0 && slow_start < before / 2, "{before} reads before, {slow_start} in slow start");
     // A list without a start time does not end its slow start.
     node.update_endpoints(EndpointUpdate::Full, (1..=3).map(|id| Endpoint::up(ServerId(id))).collect());
-    let still = share(&mut node, 2000);
-    assert!(still < before / 2, "{before} before, {still} after a list");
+    let still = served_by_it(&mut node, 2000);
+    assert!(still < before / 2, "{before} reads before, {still} after a list without a start time");
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let old = settings(CacheMode::Through);
     let mut node = Node::new(old.clone(), 3);
     node.serve_many();
-    // Class 0 is idempotent, with five attempts. Then it becomes non-idempotent, with one.
+    // At first class 0 is idempotent with five attempts, then it is non-idempotent with one.
     assert!(sent_to(&node.read(1000, "k")).is_some());
     let mut new = Settings { max_attempts: 1, ..old };
     new.classes[0].idempotency = Idempotency::NonIdempotent;
@@ -82,7 +82,7 @@
     node.handle(Event::Settings(Box::new(new)));
     assert!(
         sent_to(&node.finish(1000, 0, Outcome::ServerError, 10_000)).is_some(),
-        "retried by the former rules"
+        "retried by the rules at its arrival"
     );
     assert!(sent_to(&node.read(1001, "k")).is_some());
     let ended = node.finish(1001, 0, Outcome::ServerError, 10_000);
--- a/crates/balancer/tests/property.rs
+++ b/crates/balancer/tests/property.rs
@@ -1,5 +1,5 @@
 //! Long random but legal event sequences, with the balancer's actions checked against an independent
-//! statement of the rules. The world below is a list of what is due, not a model of servers.
+//! statement of the rules. The simulation is a list of scheduled events, not a model of servers.
 
 mod common;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -7,30 +7,35 @@
 use common::SECOND;
 use stonefold_balancer::*;
 
+/// An attempt that the balancer sent.
 struct Attempt {
     server: ServerId,
-    sent: Micros,
-    /// How it ended, once the balancer knows.
+    sent_at: Micros,
+    /// How the attempt ended, once the balancer knows.
     end: Option<Outcome>,
 }
 
-struct Expected {
+/// A request and what the rules allow for it.
+struct ExpectedRequest {
     idempotency: Idempotency,
-    write: bool,
+    is_write: bool,
     deadline: Micros,
-    answered: bool,
+    /// Whether it has its final answer, or its client disconnected.
+    is_answered: bool,
     attempts: Vec<Attempt>,
-    /// What the settings allowed when it arrived.
+    /// The number of attempts that the settings allowed when it arrived.
     max_attempts: usize,
+    /// Whether the settings allowed hedged requests when it arrived.
     may_hedge: bool,
 }
 
-enum Due {
+/// A scheduled event.
+enum ScheduledEvent {
     Outcome(RequestId, usize, Outcome),
     Timer(TimerToken),
 }
 
-/// How attempts end; four of ten are served.
+/// The outcomes of attempts, of which four in ten are successes.
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Success,
     Outcome::Success,
@@ -44,23 +49,28 @@
     Outcome::TimedOut,
 ];
 
-struct World {
+struct Simulation {
     balancer: Balancer,
     settings: Settings,
     rng: fastrand::Rng,
     now: Micros,
-    due: BTreeMap<(Micros, u64), Due>,
-    count: u64,
-    requests: HashMap<RequestId, Expected>,
+    /// The scheduled events, by their time and a sequence number.
+    scheduled: BTreeMap<(Micros, u64), ScheduledEvent>,
+    /// The number of events scheduled so far, the sequence number of the latest.
+    events_scheduled: u64,
+    requests: HashMap<RequestId, ExpectedRequest>,
     /// The latest entry of each server in the endpoint list.
     listed: BTreeMap<ServerId, Endpoint>,
     disabled: BTreeSet<ServerId>,
+    /// Requests with a final answer.
     answers: usize,
+    /// Repetitions that the servers had to discard, from [`check_repeats`].
     repeats: usize,
+    /// Timers set.
     timers: usize,
 }
 
-/// Settings drawn at random, among them absurd ones.
+/// Random settings, some of them with values that make no sense, such as a negative or infinite price.
 fn random_settings(rng: &mut fastrand::Rng) -> Settings {
     let scope = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell][rng.usize(..3)];
     let class = |idempotency| RequestClass { latency_objective: 300_000, priority_weight: 1.0, idempotency };
@@ -89,18 +99,18 @@
     }
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = random_settings(&mut rng);
         let now = rng.u64(0..1 << 50);
-        let mut world = World {
+        let mut simulation = Simulation {
             balancer: Balancer::new(settings.clone(), seed, now),
             settings,
             rng,
             now,
-            due: BTreeMap::new(),
-            count: 0,
+            scheduled: BTreeMap::new(),
+            events_scheduled: 0,
             requests: HashMap::new(),
             listed: BTreeMap::new(),
             disabled: BTreeSet::new(),
@@ -108,55 +118,62 @@
             repeats: 0,
             timers: 0,
         };
-        world.update_endpoints(EndpointUpdate::Full);
-        world
+        simulation.update_endpoints(EndpointUpdate::Full);
+        simulation
     }
 
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.on_event(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.apply(action);
         }
     }
 
-    fn schedule(&mut self, when: Micros, what: Due) {
-        self.count += 1;
-        self.due.insert((when, self.count), what);
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
+        self.events_scheduled += 1;
+        self.scheduled.insert((at, self.events_scheduled), event);
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Send { request: id, server, timeout, .. } => self.attempt_sent(id, server, timeout),
             Action::Cancel(AttemptId { request: id, number: attempt }) => {
-                assert!(self.settings.cancellation, "cancels are forbidden");
+                assert!(self.settings.cancellation, "attempts are cancelled though the settings forbid it");
                 assert!(attempt < self.requests[&id].attempts.len(), "no such attempt");
+                // A cancellation that is late has no effect.
                 let late = self.rng.bool();
                 if !late {
-                    self.due.retain(|_, d| !matches!(d, Due::Outcome(i, n, _) if (*i, *n) == (id, attempt)));
+                    self.scheduled.retain(|_, event| {
+                        !matches!(event, ScheduledEvent::Outcome(i, n, _) if (*i, *n) == (id, attempt))
+                    });
                     if self.requests[&id].attempts[attempt].end.is_none() {
-                        self.schedule(self.now + 5_000, Due::Outcome(id, attempt, Outcome::Canceled));
+                        self.schedule(
+                            self.now + 5_000,
+                            ScheduledEvent::Outcome(id, attempt, Outcome::Canceled),
+                        );
                     }
                 }
             }
             Action::Reject { request: id, retry_after } => {
                 assert!(retry_after <= self.settings.max_retry_after);
                 let request = &self.requests[&id];
-                let proved = |a: &Attempt| a.end.is_some_and(|o| !o.may_have_run());
-                let harmless = match request.idempotency {
+                let had_no_effect =
+                    |attempt: &Attempt| attempt.end.is_some_and(|outcome| !outcome.may_have_run());
+                let may_reject = match request.idempotency {
                     Idempotency::Idempotent | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => {
                         true
                     }
-                    _ => request.attempts.iter().all(proved),
+                    _ => request.attempts.iter().all(had_no_effect),
                 };
-                assert!(harmless, "a rejection of a request that may have taken effect");
+                assert!(may_reject, "a request that may have taken effect is rejected");
                 self.answer(id);
             }
             Action::Fail(id) => self.answer(id),
             Action::SetTimer { after, token } => {
                 self.timers += 1;
-                assert!(self.timers < 100 * (self.requests.len() + 100), "a timer that is set forever");
-                self.schedule(self.now + after, Due::Timer(token));
+                assert!(self.timers < 100 * (self.requests.len() + 100), "timers are set without end");
+                self.schedule(self.now + after, ScheduledEvent::Timer(token));
             }
             Action::WatchEndpoints => assert!(self.settings.watch_required),
             Action::CloseIdleConnections(server) => {
@@ -167,36 +184,38 @@
 
     fn answer(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.answered, "two final answers");
-        assert!(self.now <= request.deadline + 20_000, "answered too late");
-        request.answered = true;
+        assert!(!request.is_answered, "a request gets two final answers");
+        assert!(self.now <= request.deadline + 20_000, "a request is answered too late");
+        request.is_answered = true;
         self.answers += 1;
     }
 
     fn attempt_sent(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
         let request = self.requests.get_mut(&id).expect("a known request");
-        assert!(!request.answered, "nothing is sent after the final answer");
+        assert!(!request.is_answered, "nothing is sent after the final answer");
         assert!(request.attempts.len() < request.max_attempts);
-        let to = &self.listed[&server];
-        assert_eq!(to.state, EndpointState::Up, "draining servers get nothing");
+        let endpoint = &self.listed[&server];
+        assert_eq!(endpoint.state, EndpointState::Up, "draining servers get nothing");
         assert!(!self.disabled.contains(&server), "disabled servers get nothing");
         let aside = self.settings.cache_mode == CacheMode::Aside;
-        assert!(!(aside && request.write) || to.is_origin, "writes go to the origin");
-        let out = request.attempts.iter().filter(|a| a.end.is_none()).count();
-        let may_hedge = request.may_hedge && !request.write && request.idempotency == Idempotency::Idempotent;
-        assert!(out == 0 || may_hedge, "a hedged request that is not allowed");
-        self.repeats += check_repeats(request, to, &self.listed, self.now);
+        assert!(!(aside && request.is_write) || endpoint.is_origin, "writes go to the origin");
+        let in_flight = request.attempts.iter().filter(|attempt| attempt.end.is_none()).count();
+        let may_hedge =
+            request.may_hedge && !request.is_write && request.idempotency == Idempotency::Idempotent;
+        assert!(in_flight == 0 || may_hedge, "a hedged request is sent that is not allowed");
+        self.repeats += check_repeats(request, endpoint, &self.listed, self.now);
         let attempt = request.attempts.len();
-        request.attempts.push(Attempt { server, sent: self.now, end: None });
+        request.attempts.push(Attempt { server, sent_at: self.now, end: None });
         let left = request.deadline - self.now;
-        let limit = if timeout == 0 { left } else { timeout.min(left) };
+        let cut_off_after = if timeout == 0 { left } else { timeout.min(left) };
         let outcome = OUTCOMES[self.rng.usize(..OUTCOMES.len())];
-        let may_miss = aside && !to.is_origin;
+        let may_miss = aside && !endpoint.is_origin;
         let outcome = if outcome == Outcome::CacheMiss && !may_miss { Outcome::Success } else { outcome };
         let elapsed = self.rng.u64(1_000..400_000);
-        let cut = outcome == Outcome::TimedOut || elapsed >= limit;
-        let (when, outcome) = if cut { (limit, Outcome::TimedOut) } else { (elapsed, outcome) };
-        self.schedule(self.now + when, Due::Outcome(id, attempt, outcome));
+        let is_cut_off = outcome == Outcome::TimedOut || elapsed >= cut_off_after;
+        let (ends_after, outcome) =
+            if is_cut_off { (cut_off_after, Outcome::TimedOut) } else { (elapsed, outcome) };
+        self.schedule(self.now + ends_after, ScheduledEvent::Outcome(id, attempt, outcome));
     }
 
     fn update_endpoints(&mut self, update: EndpointUpdate) {
@@ -225,10 +244,12 @@
         }
         match update {
             EndpointUpdate::Failed => endpoints.clear(),
-            EndpointUpdate::Full => self.listed.values_mut().for_each(|m| m.state = EndpointState::Removed),
+            EndpointUpdate::Full => {
+                self.listed.values_mut().for_each(|endpoint| endpoint.state = EndpointState::Removed);
+            }
             EndpointUpdate::Delta => {}
         }
-        self.listed.extend(endpoints.iter().map(|m| (m.id, m.clone())));
+        self.listed.extend(endpoints.iter().map(|endpoint| (endpoint.id, endpoint.clone())));
         self.handle(Event::Endpoints { update, endpoints });
     }
 
@@ -246,7 +267,15 @@
         let attempts = Vec::new();
         self.requests.insert(
             id,
-            Expected { idempotency, write, deadline, answered: false, attempts, max_attempts, may_hedge },
+            ExpectedRequest {
+                idempotency,
+                is_write: write,
+                deadline,
+                is_answered: false,
+                attempts,
+                max_attempts,
+                may_hedge,
+            },
         );
         let key = (self.rng.u8(..8) != 0).then(|| format!("k{}", self.rng.u8(..20)));
         let tenant = Some(self.rng.usize(..3));
@@ -255,17 +284,17 @@
 
     fn finish_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         let request = self.requests.get_mut(&id).unwrap();
-        let a = &mut request.attempts[attempt];
-        if a.end.is_some() {
+        let attempt_sent = &mut request.attempts[attempt];
+        if attempt_sent.end.is_some() {
             return;
         }
-        a.end = Some(outcome);
-        let elapsed = self.now - a.sent;
-        if outcome == Outcome::Success && !request.answered {
-            request.answered = true;
+        attempt_sent.end = Some(outcome);
+        let elapsed = self.now - attempt_sent.sent_at;
+        if outcome == Outcome::Success && !request.is_answered {
+            request.is_answered = true;
             self.answers += 1;
         }
-        let settled = request.answered;
+        let settled = request.is_answered;
         let cache_hit = [None, Some(true), Some(false)][self.rng.usize(..3)];
         let utilization = [None, Some(0.5), Some(0.99)][self.rng.usize(..3)];
         let end = AttemptEnd {
@@ -280,7 +309,7 @@
         self.handle(Event::AttemptEnded(end));
     }
 
-    /// Runs requests and other events; every request must be answered by its deadline and the grace period.
+    /// Runs requests and other events. Every request must be answered by 20 ms after its deadline.
     fn run(&mut self, requests: u32) {
         for n in 0..requests {
             let pause = 5_000 * self.rng.u64(0..6);
@@ -290,13 +319,13 @@
                 1 => self.update_endpoints(EndpointUpdate::Full),
                 2 => self.update_endpoints(EndpointUpdate::Failed),
                 3 => {
-                    let stray = TimerToken(self.rng.u64(..));
-                    self.handle(Event::Timer(stray));
+                    let unknown = TimerToken(self.rng.u64(..));
+                    self.handle(Event::Timer(unknown));
                 }
                 4 if n > 0 => {
                     let id = RequestId(self.rng.u32(..n));
-                    if self.requests[&id].answered || self.now < self.requests[&id].deadline {
-                        self.requests.get_mut(&id).unwrap().answered = true;
+                    if self.requests[&id].is_answered || self.now < self.requests[&id].deadline {
+                        self.requests.get_mut(&id).unwrap().is_answered = true;
                         self.handle(Event::ClientDisconnected(id));
                     }
                 }
@@ -321,34 +350,38 @@
             self.request(RequestId(n));
         }
         self.step(3 * SECOND);
-        let lost: Vec<&RequestId> =
-            self.requests.iter().filter(|(_, a)| !a.answered).map(|(id, _)| id).collect();
-        assert!(lost.is_empty(), "requests without an answer: {lost:?}");
+        let unanswered: Vec<&RequestId> =
+            self.requests.iter().filter(|(_, request)| !request.is_answered).map(|(id, _)| id).collect();
+        assert!(unanswered.is_empty(), "requests without a final answer: {unanswered:?}");
     }
 
+    /// Handles the events of the next `time`.
     fn step(&mut self, time: Micros) {
         let end = self.now + time;
-        while let Some((&(when, count), _)) = self.due.first_key_value().filter(|((when, _), _)| *when <= end)
+        while let Some((&(at, sequence), _)) =
+            self.scheduled.first_key_value().filter(|((at, _), _)| *at <= end)
         {
-            self.now = self.now.max(when);
-            match self.due.remove(&(when, count)).unwrap() {
-                Due::Outcome(id, attempt, outcome) => self.finish_attempt(id, attempt, outcome),
-                Due::Timer(token) => self.handle(Event::Timer(token)),
+            self.now = self.now.max(at);
+            match self.scheduled.remove(&(at, sequence)).unwrap() {
+                ScheduledEvent::Outcome(id, attempt, outcome) => self.finish_attempt(id, attempt, outcome),
+                ScheduledEvent::Timer(token) => self.handle(Event::Timer(token)),
             }
-            let overdue = |a: &&Expected| !a.answered && self.now > a.deadline + 20_000;
+            let is_overdue =
+                |request: &&ExpectedRequest| !request.is_answered && self.now > request.deadline + 20_000;
             assert!(
-                !self.count.is_multiple_of(64) || !self.requests.values().any(|a| overdue(&a)),
-                "an answer is overdue"
+                !self.events_scheduled.is_multiple_of(64)
+                    || !self.requests.values().any(|request| is_overdue(&request)),
+                "a final answer is overdue"
             );
         }
         self.now = end;
     }
 }
 
-/// Checks an attempt at `to` against the former attempts that may have taken effect, and counts the repeats
-/// that the servers have to discard.
+/// Checks an attempt at `to` against the earlier attempts that may have taken effect. Returns how many
+/// of these it repeats; the servers have to discard such repetitions.
 fn check_repeats(
-    request: &Expected,
+    request: &ExpectedRequest,
     to: &Endpoint,
     listed: &BTreeMap<ServerId, Endpoint>,
     now: Micros,
@@ -362,7 +395,10 @@
                 panic!("a non-idempotent request that may have taken effect is sent again")
             }
             Idempotency::Keyed { scope, window } => {
-                assert!(now <= earlier.sent + window, "outside its deduplication window");
+                assert!(
+                    now <= earlier.sent_at + window,
+                    "a request is sent again after its deduplication window"
+                );
                 match scope {
                     DeduplicationScope::All => {}
                     DeduplicationScope::Zone => assert_eq!(first.zone, to.zone),
@@ -379,10 +415,10 @@
 fn random_legal_events_break_no_rule() {
     let (mut answers, mut repeats) = (0, 0);
     for seed in 0..400 {
-        let mut world = World::new(seed);
-        world.run(400);
-        answers += world.answers;
-        repeats += world.repeats;
+        let mut simulation = Simulation::new(seed);
+        simulation.run(400);
+        answers += simulation.answers;
+        repeats += simulation.repeats;
     }
     assert!(answers > 20_000 && repeats > 100, "the sequences must exercise the rules: {answers}, {repeats}");
 }
@@ -390,12 +426,14 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let trace = |seed| {
-        let mut world = World::new(seed);
-        world.run(200);
-        let mut sends: Vec<_> = world.requests.iter().collect();
-        sends.sort_by_key(|(id, _)| **id);
-        let of = |a: &Expected| a.attempts.iter().map(|t| (t.server, t.sent)).collect::<Vec<_>>();
-        sends.into_iter().map(|(_, a)| of(a)).collect::<Vec<_>>()
+        let mut simulation = Simulation::new(seed);
+        simulation.run(200);
+        let mut requests: Vec<_> = simulation.requests.iter().collect();
+        requests.sort_by_key(|(id, _)| **id);
+        let attempts = |request: &ExpectedRequest| {
+            request.attempts.iter().map(|attempt| (attempt.server, attempt.sent_at)).collect::<Vec<_>>()
+        };
+        requests.into_iter().map(|(_, request)| attempts(request)).collect::<Vec<_>>()
     };
     assert_eq!(trace(7), trace(7));
 }
--- a/crates/balancer/tests/single_flight.rs
+++ b/crates/balancer/tests/single_flight.rs
@@ -11,9 +11,9 @@
     node.read(2, "k");
     assert_eq!(sent_to(&node.finish(1, 0, Outcome::CacheMiss, 5_000)), Some(ServerId(99)));
     let waiting = node.finish(2, 0, Outcome::CacheMiss, 5_000);
-    assert_eq!(sent_to(&waiting), None, "waits for the fetch in progress");
+    assert_eq!(sent_to(&waiting), None, "it waits for the fetch in progress");
     let fetched = node.finish(1, 1, Outcome::Success, 30_000);
-    assert_eq!(sent_to(&fetched), Some(first), "reads what the fetch stored");
+    assert_eq!(sent_to(&fetched), Some(first), "it reads what the fetch stored");
 }
 
 #[test]
@@ -38,7 +38,7 @@
     assert_eq!(sent_to(&fetch), Some(ServerId(99)));
     let disconnected = node.handle(Event::ClientDisconnected(RequestId(1000)));
     assert!(cancelled_attempts(&disconnected).is_empty(), "the origin completes it in any case");
-    // The same client repeats its read.
+    // The client sends its read again.
     node.read(1001, "rare");
     let second = node.finish(1001, 0, Outcome::CacheMiss, 5_000);
     assert_eq!(sent_to(&second), None, "it waits for the fetch in progress");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_fetch_that_is_handed_over_wakes_one_waiter_however_many_there_are() {
+fn a_fetch_that_is_handed_over_wakes_only_one_waiter() {
     for succeeds in [true, false] {
         let mut node = Node::new(settings(CacheMode::Aside), 3);
         node.serve_many();
@@ -59,7 +59,7 @@
             node.read(id, "rare");
             node.finish(id, 0, Outcome::CacheMiss, 5_000);
         }
-        // Each client in turn disconnects before its fetch is sent.
+        // One client after the other disconnects before its fetch is sent; the next read takes it over.
         for id in 1000..1500 {
             node.handle(Event::ClientDisconnected(RequestId(id)));
             let handed_over = node.finish(id, 1, Outcome::NotSent, 0);
@@ -68,10 +68,16 @@
         }
         if succeeds {
             let fetched = node.finish(1500, 1, Outcome::Success, 100_000);
-            assert!(sent_to(&fetched).is_some_and(|to| to != ServerId(99)), "the others read what it stored");
+            assert!(
+                sent_to(&fetched).is_some_and(|to| to != ServerId(99)),
+                "the waiting reads get what it stored"
+            );
         } else {
             node.now += SECOND - 5_000;
-            assert!(is_answered(&node.timer(TimerToken(1999))), "they are answered by their deadline");
+            assert!(
+                is_answered(&node.timer(TimerToken(1999))),
+                "waiting reads are answered by their deadline"
+            );
         }
     }
 }
@@ -87,8 +93,8 @@
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
     });
-    assert!(wait >= Some(300_000), "long enough to serve others: {wait:?}");
-    let (after, token) = first_timer(&fetch).expect("a timer for its own deadline");
+    assert!(wait >= Some(300_000), "the fetch may last long enough to serve other reads: {wait:?}");
+    let (after, token) = first_timer(&fetch).expect("a timer for the deadline of the read");
     node.now += after;
     let end = node.timer(token);
     assert!(matches!(end[..], [Action::Reject { .. }]), "{end:?}");
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What one node sends caches that have restarted.
+//! What one node sends to caches that have restarted.
 
 mod common;
 use common::*;
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_restarted_cache_gets_no_more_than_its_reduced_capacity() {
-    // In any second the cache gets less than its overload factor of 3 times its reduced capacity.
+    // In any second the cache must get less than 3 times its reduced capacity; 3 is the overload factor.
     let mut node = Node::new(settings(CacheMode::Through), 5);
     let mut id = 0;
     let mut run = |node: &mut Node, seconds: u64| {
@@ -14,7 +14,7 @@
         let end = node.now + seconds * SECOND;
         while node.now < end {
             id += 1;
-            // 100 requests a second, 20 for each of the five caches.
+            // 100 requests per second, 20 for each of the five caches.
             let to = sent_to(&node.read(id, &format!("k{}", id % 997))).unwrap();
             to_restarted.extend((to == ServerId(5)).then_some(node.now));
             node.now += 10_000;
@@ -26,22 +26,29 @@
     let restarted = Endpoint { started_at: Some(node.now), ..Endpoint::up(ServerId(5)) };
     node.update_endpoints(EndpointUpdate::Delta, vec![restarted]);
     let sends = run(&mut node, 10);
-    assert!(!sends.is_empty(), "it gets requests");
+    assert!(!sends.is_empty(), "the restarted cache gets requests");
     for &start in &sends {
         let within = sends.iter().filter(|&&t| t >= start && t < start + SECOND).count() as f64;
         let fraction = 0.2 + 0.8 * (start - sends[0] + 2 * SECOND) as f64 / (20 * SECOND) as f64;
-        assert!(within <= 3.0 * fraction * before, "{within} sends in a second at {fraction} of {before}");
+        assert!(
+            within <= 3.0 * fraction * before,
+            "{within} attempts in a second with {fraction} of the capacity and {before} per second before"
+        );
     }
     let early = sends.iter().filter(|&&t| t < sends[0] + 2 * SECOND).count() as f64 / 2.0;
-    assert!(early < 0.6 * before, "in proportion to its warm-up: {early} of {before} a second");
+    assert!(
+        early < 0.6 * before,
+        "it gets load in proportion to its capacity: {early} of {before} per second"
+    );
 }
 
 #[test]
 fn caches_that_all_restarted_get_their_share_of_the_former_load() {
-    // Caches that warm up mostly miss: the capacity estimate must count misses, and what was handled before.
+    // Most reads miss at warming caches, so the capacity estimate must count misses, and what the caches
+    // handled before their restart.
     let mut node = Node::new(settings(CacheMode::Aside), 5);
     let mut id = 0;
-    // A hundred reads a second, nearly all of which miss; returns how many were sent to caches.
+    // 100 reads per second, of which nine in ten miss; returns how many per second were sent to caches.
     let mut run = |node: &mut Node, seconds: u64| {
         let end = node.now + seconds * SECOND;
         let mut attempts_sent = 0;
@@ -49,14 +56,14 @@
             id += 1;
             let mut to = sent_to(&node.read(id, &format!("k{id}")));
             node.now += 10_000;
-            let cached = to.is_some_and(|to| to != ServerId(99));
-            if cached {
+            let is_at_cache = to.is_some_and(|to| to != ServerId(99));
+            if is_at_cache {
                 attempts_sent += 1;
                 let outcome = if id % 10 == 0 { Outcome::Success } else { Outcome::CacheMiss };
                 to = sent_to(&node.finish(id, 0, outcome, 10_000));
             }
             if to.is_some() {
-                node.finish(id, usize::from(cached), Outcome::Success, 10_000);
+                node.finish(id, usize::from(is_at_cache), Outcome::Success, 10_000);
             }
             node.handle(Event::ClientDisconnected(RequestId(id)));
         }
@@ -68,7 +75,8 @@
     node.update_endpoints(EndpointUpdate::Delta, restarted);
     run(&mut node, 2);
     let share = run(&mut node, 4) / before;
-    // They have 0.28 to 0.44 of their capacity, and handle 3 times that.
+    // In these seconds the caches have 0.28 to 0.44 of their capacity, and are overloaded only by 3 times
+    // that.
     assert!(share > 0.5, "warming caches got {share} of their former load");
 }
 
@@ -94,7 +102,8 @@
 fn client_retries_do_not_raise_the_quota_of_a_warming_cache() {
     let mut node = Node::new(Settings { overload_factor: 3.0, ..settings(CacheMode::Through) }, 4);
     let mut id = 1000;
-    // Reads at this rate per second; returns how many attempts the first cache got.
+    // Runs reads at this rate per second, whose attempts all end alike. Returns how many attempts the warming
+    // cache got.
     let mut run = |node: &mut Node, seconds: u64, rate: u64, outcome: Outcome| {
         let end = node.now + seconds * SECOND;
         let mut attempts_sent = 0;
@@ -117,13 +126,14 @@
     );
     run(&mut node, 2, 2_000, Outcome::Rejected);
     let retried = f64::from(run(&mut node, 3, 2_000, Outcome::Rejected)) / 3.0;
-    // Five seconds of twenty after its start it has 0.4 of its capacity, and handles 3 times that.
-    assert!(retried < before * 0.4 * 3.0, "{retried} a second, and {before} before");
+    // Five seconds after its start, in a slow start of 20 s, the cache has 0.4 of its capacity, and is
+    // overloaded only by 3 times that.
+    assert!(retried < before * 0.4 * 3.0, "{retried} per second, and {before} before the restart");
 }
 
 #[test]
-fn nodes_do_not_start_sending_to_a_warming_cache_in_step() {
-    // Quotas that all open at the same moment would hit the cache with one burst.
+fn nodes_start_sending_to_a_warming_cache_at_different_times() {
+    // If the quotas of all nodes opened at the same time, the cache would get one burst.
     let mut first_sent = Vec::new();
     for seed in 0..40 {
         let mut node = Node { balancer: Balancer::new(settings(CacheMode::Through), seed, 0), now: 0 };
@@ -140,9 +150,9 @@
             node.now += SECOND / 4;
             sent_to(&node.read(id, "k")).is_some()
         });
-        first_sent.push(first.expect("sent to within seconds"));
+        first_sent.push(first.expect("a read is sent to the cache within seconds"));
     }
-    let at_once = |n| first_sent.iter().filter(|&&first| first == n).count();
-    let most = (0..10).map(at_once).max().unwrap();
-    assert!(most <= 20, "{most} of 40 nodes at the same time: {first_sent:?}");
+    let starting_at = |n| first_sent.iter().filter(|&&first| first == n).count();
+    let most = (0..10).map(starting_at).max().unwrap();
+    assert!(most <= 20, "{most} of 40 nodes start at the same time: {first_sent:?}");
 }
