--- a/crates/balancer/tests/idle_connections.rs
+++ b/crates/balancer/tests/idle_connections.rs
@@ -27,8 +27,8 @@
     actions.iter().filter_map(at).collect()
 }
 
-/// How long the connection of a served read stays open while it is idle, at one of `nodes` nodes and after
-/// `failed_connects`.
+/// How long the connection of a served read stays open while it is idle, at one of `nodes` nodes, after this
+/// many failed connects.
 fn idle_time(nodes: usize, failed_connects: u32) -> Micros {
     let mut node = Node::new(
         Settings { node_count: nodes, idle_timeout: 40 * SECOND, ..settings(CacheMode::Through) },
--- a/crates/balancer/tests/property.rs
+++ b/crates/balancer/tests/property.rs
@@ -29,7 +29,7 @@
     may_hedge: bool,
 }
 
-/// A scheduled event.
+/// What happens at a scheduled time: an attempt ends, or a timer expires.
 enum ScheduledEvent {
     Outcome(RequestId, usize, Outcome),
     Timer(TimerToken),
@@ -49,6 +49,7 @@
     Outcome::TimedOut,
 ];
 
+/// A balancer, the events scheduled for it, and the requests with what the rules allow for them.
 struct Simulation {
     balancer: Balancer,
     settings: Settings,
