--- a/crates/cli/tests/common/addresses.rs
+++ b/crates/cli/tests/common/addresses.rs
@@ -1,8 +1,10 @@
 //! Addresses for processes that are told where to listen.
 
-use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU16, Ordering};
 
+use socket2::{Domain, Socket, Type};
+
 /// Ports from here on are given out: below those that the kernel gives to sockets which ask for any, so that nobody
 /// takes one between this and the process that is told of it.
 const FIRST: u16 = 12_000;
@@ -18,8 +20,16 @@
     loop {
         let offset = (first + GIVEN.fetch_add(1, Ordering::Relaxed) % PORTS) % PORTS;
         let address = SocketAddr::from(([127, 0, 0, 1], FIRST + offset));
-        if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
+        if can_listen(address) && UdpSocket::bind(address).is_ok() {
             return address;
         }
     }
 }
+
+/// Whether a process can listen at this TCP address. The socket is bound and never listens: a child process that another
+/// thread spawns at that moment inherits it until its exec, and a listening one would still accept connections by then.
+fn can_listen(address: SocketAddr) -> bool {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    socket.set_reuse_address(true).unwrap(); // as listeners have it: connections of the past don't keep the port
+    socket.bind(&address.into()).is_ok()
+}
