--- a/crates/cli/tests/client_ends.rs
+++ b/crates/cli/tests/client_ends.rs
@@ -49,19 +49,23 @@
 }
 
 struct Scene {
-    cache: Fake,
-    origin: Late,
+    cache: FakeServer,
+    origin: BackloggedServer,
     node: Node,
 }
 
 impl Scene {
     /// A node with one cache, and an origin to which connections don't come up yet.
     fn new(settings: &str) -> Scene {
-        let (cache, origin) = (Fake::cache(), Late::http());
-        let known = list(41, &[(CACHE, cache.addr)], origin.addr);
-        let node =
-            Start { settings, sockets: 4_096, operator: true, ..Start::new(&known, Fake::http().addr) };
-        Scene { cache, origin, node: node.node() }
+        let (cache, origin) = (FakeServer::cache(), BackloggedServer::http());
+        let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
+        let node = NodeOptions {
+            settings,
+            sockets: 4_096,
+            operator: true,
+            ..NodeOptions::new(&known, FakeServer::http().addr)
+        };
+        Scene { cache, origin, node: node.start() }
     }
 
     /// Lets the time pass after which nothing may begin, and the node have its turn after it.
@@ -76,23 +80,23 @@
     fn only_the_next_is_asked_for(&self) {
         let mut client = self.node.client();
         client.send(&["CACHE.GET", "k", "the-next", "c=read,d=60000"]);
-        let call = self.cache.call();
+        let call = self.cache.next_call();
         assert_eq!(call.words[2], "the-next", "begun late");
-        call.value("w");
-        assert_eq!(client.answer().as_deref(), Some("w"));
-        assert!(self.cache.called().is_none(), "begun late");
+        call.reply_value("w");
+        assert_eq!(client.read_reply().as_deref(), Some("w"));
+        assert!(self.cache.try_next_call().is_none(), "begun late");
     }
 
     /// From here on connections to the origin come up; nothing may come on them but for who comes now.
     fn only_the_next_is_sent_on(self) {
-        let origin = self.origin.let_in();
+        let origin = self.origin.accept_connections();
         let mut client = self.node.client();
         client.send(&["CACHE.SET", "k", "the-next", "c=put,d=60000,k=9", "v"]);
-        let call = origin.call();
+        let call = origin.next_call();
         assert!(call.words.contains(&"x-correlation-id: the-next".into()), "begun late: {:?}", call.words);
-        call.http("200 OK", "v");
-        assert_eq!(client.answer().as_deref(), Some("v"));
-        assert!(origin.called().is_none(), "begun late");
+        call.reply_http("200 OK", "v");
+        assert_eq!(client.read_reply().as_deref(), Some("v"));
+        assert!(origin.try_next_call().is_none(), "begun late");
     }
 }
 
@@ -101,12 +105,12 @@
     for how in ENDS {
         let scene = Scene::new(&patient());
         let mut client = scene.node.client();
-        client.set("k", "c=put,d=60000,k=1", "v");
-        scene.origin.awaited_by(1);
+        client.send_set("k", "c=put,d=60000,k=1", "v");
+        scene.origin.wait_for_connecting(1);
         let _half = end(client, how);
         scene.late();
-        assert_eq!(scene.node.figure("svc_leave_seen_seconds_count"), 1.0);
-        assert_eq!(scene.node.figure("svc_attempts_after_leave_total"), 0.0);
+        assert_eq!(scene.node.metric("svc_leave_seen_seconds_count"), 1.0);
+        assert_eq!(scene.node.metric("svc_attempts_after_leave_total"), 0.0);
         scene.only_the_next_is_sent_on();
     }
 }
@@ -116,9 +120,9 @@
     for how in ENDS {
         let scene = Scene::new(&patient());
         let mut client = scene.node.client();
-        client.set("k", "c=put,d=60000,k=1", "v");
-        scene.origin.awaited_by(1);
-        client.write(words(&["PING"]).repeat(6_000));
+        client.send_set("k", "c=put,d=60000,k=1", "v");
+        scene.origin.wait_for_connecting(1);
+        client.write(encode_command(&["PING"]).repeat(6_000));
         let _half = end(client, how);
         scene.late();
         scene.only_the_next_is_sent_on();
@@ -127,18 +131,18 @@
 
 #[test]
 fn who_does_not_take_the_long_value_that_is_written_to_it() {
-    const LONG: usize = UNTAKEN_BYTES;
+    const LONG: usize = BYTES_BEYOND_BUFFERS;
     for how in ENDS {
         let scene = Scene::new(&patient());
-        let mut client = scene.node.client_that_takes_little();
-        client.get("k", "c=read,d=60000");
+        let mut client = scene.node.client_with_small_receive_buffer();
+        client.send_get("k", "c=read,d=60000");
         client.send(&["CACHE.SET", "l", "behind-it", "c=put,d=60000,k=1", "v"]);
-        let mut call = scene.cache.call();
-        scene.origin.awaited_by(1);
+        let mut call = scene.cache.next_call();
+        scene.origin.wait_for_connecting(1);
         let value = thread::spawn(move || {
-            call.try_answer(&format!("*3\r\n${LONG}\r\n{}\r\n$3\r\nhit\r\n$-1\r\n", "x".repeat(LONG)));
+            call.try_reply(&format!("*3\r\n${LONG}\r\n{}\r\n$3\r\nhit\r\n$-1\r\n", "x".repeat(LONG)));
         });
-        assert_eq!(client.line(), format!("${LONG}"));
+        assert_eq!(client.read_line(), format!("${LONG}"));
         let _half = end(client, how);
         scene.late();
         scene.only_the_next_is_sent_on();
@@ -156,16 +160,16 @@
         for n in 0..PLACES {
             all.send(&["CACHE.GET", &format!("k-{n}"), &format!("out-{n}"), "c=read,d=60000"]);
         }
-        let calls: Vec<Call> = (0..PLACES).map(|_| scene.cache.call()).collect();
+        let calls: Vec<Call> = (0..PLACES).map(|_| scene.cache.next_call()).collect();
         let mut client = scene.node.client();
         client.send(&["CACHE.GET", "k", "waits", "c=read,d=60000"]);
         let _half = end(client, how);
         scene.late();
         for call in calls {
-            call.value("v");
+            call.reply_value("v");
         }
         for _ in 0..PLACES {
-            assert_eq!(all.answer().as_deref(), Some("v"));
+            assert_eq!(all.read_reply().as_deref(), Some("v"));
         }
         scene.only_the_next_is_asked_for();
     }
@@ -178,10 +182,10 @@
         let scene = Scene::new(&settings);
         let mut client = scene.node.client();
         client.send(&["CACHE.GET", "k", "gone", "c=read,d=60000"]);
-        let mut call = scene.cache.call();
+        let mut call = scene.cache.next_call();
         drop(client);
         scene.late();
-        call.try_answer("-BUSY 1\r\n");
+        call.try_reply("-BUSY 1\r\n");
         scene.only_the_next_is_asked_for();
     }
 }
@@ -193,11 +197,11 @@
         .map(|n| {
             let mut client = scene.node.client();
             client.send(&["CACHE.GET", "k", &format!("id-{n}"), "c=read,d=60000"]);
-            scene.cache.call().miss();
+            scene.cache.next_call().reply_miss();
             client
         })
         .collect();
-    scene.origin.awaited_by(1);
+    scene.origin.wait_for_connecting(1);
     drop(clients);
     scene.late();
     scene.only_the_next_is_sent_on();
@@ -215,15 +219,20 @@
                 client
             })
             .collect();
-        scene.node.freeze();
+        scene.node.pause();
         for (n, mut client) in clients.into_iter().enumerate() {
             let reads = (0..open).map(|m| {
-                words(&["CACHE.GET", &format!("{key}-{n}-{m}"), &format!("id-{n}-{m}"), "c=read,d=60000"])
+                encode_command(&[
+                    "CACHE.GET",
+                    &format!("{key}-{n}-{m}"),
+                    &format!("id-{n}-{m}"),
+                    "c=read,d=60000",
+                ])
             });
             client.write(reads.collect::<String>());
         }
         thread::sleep(LATE);
-        scene.node.thaw();
+        scene.node.resume();
         scene.only_the_next_is_asked_for();
     }
 }
--- a/crates/cli/tests/clocks.rs
+++ b/crates/cli/tests/clocks.rs
@@ -45,11 +45,11 @@
 }
 
 /// A cache that answers whatever it is asked, and tells of each call.
-fn answering(cache: Fake) -> Receiver<Arrival> {
+fn answering(cache: FakeServer) -> Receiver<Arrival> {
     let (to, calls) = channel();
     thread::spawn(move || {
         loop {
-            let Some(mut call) = cache.called() else {
+            let Some(mut call) = cache.try_next_call() else {
                 thread::sleep(Duration::from_micros(100));
                 continue;
             };
@@ -58,7 +58,7 @@
             if to.send(arrived).is_err() {
                 return;
             }
-            call.try_answer("*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n");
+            call.try_reply("*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n");
         }
     });
     calls
@@ -80,7 +80,7 @@
     for n in 0..READS {
         sent.push(Instant::now());
         client.send(&["CACHE.GET", &format!("k{n}"), &n.to_string(), "c=read,d=2000"]);
-        assert_eq!(client.answer().as_deref(), Some("v"));
+        assert_eq!(client.read_reply().as_deref(), Some("v"));
     }
     Round { sent, calls: started.try_iter().collect() }
 }
@@ -88,7 +88,7 @@
 fn read_one(node: &Node) {
     let mut client = node.client();
     client.send(&["CACHE.GET", "one", "one", "c=read,d=2000"]);
-    assert_eq!(client.answer().as_deref(), Some("v"));
+    assert_eq!(client.read_reply().as_deref(), Some("v"));
 }
 
 /// When something happened: not before the first, and not after the second.
@@ -100,12 +100,12 @@
 
 /// Answers discovery's caller with this change of the list until the node has read it; returns its next call, which waits
 /// for the next change. A call that it has given up in the meantime is answered too, to nobody.
-fn tell(discovery: &Fake, waiting: Call, version: u64, servers: &str) -> Call {
+fn tell(discovery: &FakeServer, waiting: Call, version: u64, servers: &str) -> Call {
     let list = format!(r#"{{"version":{version},"full":false,"servers":[{servers}]}}"#);
     let mut call = waiting;
     while !call.words[1].contains(&format!("after={version}&")) {
-        call.http_or_closed("200 OK", &list);
-        call = discovery.call();
+        call.try_reply_http("200 OK", &list);
+        call = discovery.next_call();
     }
     call
 }
@@ -131,7 +131,7 @@
     for call in round.calls.iter().filter(|call| call.at < started.earliest + cold) {
         // A thread of its own writes the log: a line may come after its answer.
         while !ages.contains_key(&call.id) {
-            let line = events.recv_timeout(PATIENCE);
+            let line = events.recv_timeout(TEST_TIMEOUT);
             let line =
                 line.unwrap_or_else(|_| panic!("{what}: read {} went to a server taken for warm", call.id));
             ages.extend([logged_age(&line)]);
@@ -186,18 +186,23 @@
     let plan = FaultPlan::new(1).unwrap();
     plan.step_clock(ahead_ms).unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
-    let (warm, started, origin, discovery) = (Fake::cache(), Fake::cache(), Fake::http(), Fake::http());
+    let (warm, started, origin, discovery) =
+        (FakeServer::cache(), FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let (warm_at, started_at) = (warm.addr, started.addr);
     let cold = format!(r#""Cold":{}.0"#, COLD.as_millis());
     let settings = SETTINGS.replace(r#""Cold":20000.0"#, &cold);
-    let known = list(41, &[(WARM, warm_at)], origin.addr);
-    let start =
-        Start { settings: &settings, shell: TRACED, unread: true, ..Start::new(&known, discovery.addr) };
-    let mut node = Start { environment: plan.environment(&library).into(), ..start }.node();
-    let events = node.events("attempt_to_warming_server");
+    let known = server_list(41, &[(WARM, warm_at)], origin.addr);
+    let start = NodeOptions {
+        settings: &settings,
+        shell: TRACED,
+        keep_log_open: true,
+        ..NodeOptions::new(&known, discovery.addr)
+    };
+    let mut node = NodeOptions { environment: plan.environment(&library).into(), ..start }.start();
+    let events = node.logged_events("attempt_to_warming_server");
     let (_warm, started) = (answering(warm), answering(started));
     // What it missed before it ran; and its own load tells a node what servers stand.
-    let watch = tell(&discovery, discovery.call(), 42, "");
+    let watch = tell(&discovery, discovery.next_call(), 42, "");
     assert_eq!(read_all(&node, &started).calls.len(), 0);
     // Then a start while it runs.
     let earliest = Instant::now();
@@ -209,7 +214,7 @@
     assert_spared(&what, &round, told, told.earliest, COLD, OVERLOAD_WINDOW);
     // Alone it gets all reads, as no server does that is taken for cold.
     thread::sleep((told.latest + COLD).saturating_duration_since(Instant::now()));
-    let _watch = tell(&discovery, watch, 44, &entry(WARM, warm_at, "m", "DRAINING"));
+    let _watch = tell(&discovery, watch, 44, &server_entry(WARM, warm_at, "m", "DRAINING"));
     read_one(&node);
     events.try_iter().for_each(drop);
     let round = read_all(&node, &started);
@@ -240,23 +245,24 @@
     let plan = FaultPlan::new(2).unwrap();
     plan.step_clock(HOUR_MS).unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
-    let (warm, started, next) = (Fake::cache(), Fake::cache(), Fake::cache());
-    let (origin, discovery) = (Fake::http(), Fake::http());
+    let (warm, started, next) = (FakeServer::cache(), FakeServer::cache(), FakeServer::cache());
+    let (origin, discovery) = (FakeServer::http(), FakeServer::http());
     // One has started right before the node, another starts while it runs.
     let started_earliest = Instant::now();
     let entries = [
-        entry(WARM, warm.addr, "m", "SERVING"),
+        server_entry(WARM, warm.addr, "m", "SERVING"),
         started_now(STARTED, started.addr),
-        entry("o", origin.addr, "origin", "SERVING"),
+        server_entry("o", origin.addr, "origin", "SERVING"),
     ];
     let started_latest = Instant::now();
     let known = format!(r#"{{"version":41,"full":true,"servers":[{}]}}"#, entries.join(","));
-    let start = Start { shell: TRACED, unread: true, ..Start::new(&known, discovery.addr) };
-    let mut node = Start { environment: plan.environment(&library).into(), ..start }.node();
-    let events = node.events("attempt_to_warming_server");
+    let start =
+        NodeOptions { shell: TRACED, keep_log_open: true, ..NodeOptions::new(&known, discovery.addr) };
+    let mut node = NodeOptions { environment: plan.environment(&library).into(), ..start }.start();
+    let events = node.logged_events("attempt_to_warming_server");
     let next_at = next.addr;
     let (_warm, started, _next) = (answering(warm), answering(started), answering(next));
-    let watch = tell(&discovery, discovery.call(), 42, "");
+    let watch = tell(&discovery, discovery.next_call(), 42, "");
     let taken_for_warm = read_all(&node, &started);
     assert!(taken_for_warm.calls.len() * 3 > READS, "{} of {READS}", taken_for_warm.calls.len());
     let earliest = Instant::now();
@@ -276,5 +282,6 @@
 /// The entry of a server that has started now, by the true time.
 fn started_now(id: &str, server: SocketAddr) -> String {
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
-    entry(id, server, "m", "SERVING").replace(r#""started_ms":0"#, &format!(r#""started_ms":{now_ms}"#))
+    server_entry(id, server, "m", "SERVING")
+        .replace(r#""started_ms":0"#, &format!(r#""started_ms":{now_ms}"#))
 }
--- a/crates/cli/tests/common/addresses.rs
+++ b/crates/cli/tests/common/addresses.rs
@@ -1,25 +1,25 @@
-//! Addresses for processes that are told where to listen.
+//! Free addresses for processes that a test tells where to listen.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU16, Ordering};
 
 use socket2::{Domain, Socket, Type};
 
-/// Ports from here on are given out: below those that the kernel gives to sockets which ask for any, so that nobody
-/// takes one between this and the process that is told of it.
-const FIRST: u16 = 12_000;
-/// So many ports are tried.
-const PORTS: u16 = 16_000;
-/// Test programs that run at once begin so far apart.
-const APART: u32 = 97;
+/// The first port that is given out. The range lies below the kernel's ephemeral ports, so that no other socket is given
+/// a port between its choice here and the start of the process that listens at it.
+const FIRST_PORT: u16 = 12_000;
+/// The number of ports in the range.
+const PORT_COUNT: u16 = 16_000;
+/// The distance, in ports, between the first ports that test programs with successive process ids try.
+const PORTS_BETWEEN_PROGRAMS: u32 = 97;
 
-/// A loopback address at which nobody listens, for TCP and UDP. No other call of this program gets it.
+/// A loopback address at which nobody listens, for TCP and UDP. Each call of this program returns another one.
 pub(crate) fn free_address() -> SocketAddr {
-    static GIVEN: AtomicU16 = AtomicU16::new(0);
-    let first = (std::process::id() * APART % u32::from(PORTS)) as u16;
+    static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
+    let first = (std::process::id() * PORTS_BETWEEN_PROGRAMS % u32::from(PORT_COUNT)) as u16;
     loop {
-        let offset = (first + GIVEN.fetch_add(1, Ordering::Relaxed) % PORTS) % PORTS;
-        let address = SocketAddr::from(([127, 0, 0, 1], FIRST + offset));
+        let offset = (first + NEXT_OFFSET.fetch_add(1, Ordering::Relaxed) % PORT_COUNT) % PORT_COUNT;
+        let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + offset));
         if can_listen(address) && UdpSocket::bind(address).is_ok() {
             return address;
         }
@@ -27,9 +27,9 @@
 }
 
 /// Whether a process can listen at this TCP address. The socket is bound and never listens: a child process that another
-/// thread spawns at that moment inherits it until its exec, and a listening one would still accept connections by then.
+/// thread spawns at that moment holds it until its exec, and a listening socket would accept connections until then.
 fn can_listen(address: SocketAddr) -> bool {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.set_reuse_address(true).unwrap(); // as listeners have it: connections of the past don't keep the port
+    socket.set_reuse_address(true).unwrap(); // as `TcpListener::bind` does: connections in TIME_WAIT don't occupy the port
     socket.bind(&address.into()).is_ok()
 }
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -63,46 +63,47 @@
 
 /// One case: lists pushed or asked for, and how many descriptors the node may have.
 fn followed_and_served(mode: &str, sockets: usize) {
-    let (caches, origin, discovery) = ([Fake::cache(), Fake::cache()], Fake::http(), Late::http());
+    let (caches, origin, discovery) =
+        ([FakeServer::cache(), FakeServer::cache()], FakeServer::http(), BackloggedServer::http());
     let servers: Vec<_> = NAMES.into_iter().zip(&caches).map(|(name, cache)| (name, cache.addr)).collect();
-    let known = list(41, &servers, origin.addr);
+    let known = server_list(41, &servers, origin.addr);
     let settings = SETTINGS.replace("automatic", mode);
     let shell = format!("ulimit -n {sockets}; exec \"$0\" node");
-    let start = Start::new(&known, discovery.addr);
-    let node = Start { sockets, settings: &settings, shell: &shell, operator: true, ..start }.node();
+    let start = NodeOptions::new(&known, discovery.addr);
+    let node = NodeOptions { sockets, settings: &settings, shell: &shell, operator: true, ..start }.start();
     let mut owed = node.client();
     owed.send(&["CACHE.SET", "w", "an-id-of-its-own", "c=put,d=15000", "v"]);
-    let open = origin.call();
+    let open = origin.next_call();
 
     let crowd = Crowd::new(3 * sockets, node.addr());
     let full = Instant::now();
     while crowd.came.load(Ordering::Relaxed) < 6 * sockets || full.elapsed() < Duration::from_secs(3) {
-        assert!(full.elapsed() < PATIENCE, "{} came", crowd.came.load(Ordering::Relaxed));
-        assert_eq!(node.call("READY\n"), "ok\n");
-        assert!(node.descriptors() <= sockets, "{}", node.descriptors());
+        assert!(full.elapsed() < TEST_TIMEOUT, "{} came", crowd.came.load(Ordering::Relaxed));
+        assert_eq!(node.operator_call("READY\n"), "ok\n");
+        assert!(node.open_descriptors() <= sockets, "{}", node.open_descriptors());
     }
 
     // Discovery is back, with a drain.
-    let (back, draining) = (Instant::now(), entry(NAMES[0], caches[0].addr, "m", "DRAINING"));
-    let discovery = discovery.let_in();
+    let (back, draining) = (Instant::now(), server_entry(NAMES[0], caches[0].addr, "m", "DRAINING"));
+    let discovery = discovery.accept_connections();
     let body = format!(r#"{{"version":42,"full":false,"servers":[{draining}]}}"#);
-    discovery.call().http("200 OK", &body);
+    discovery.next_call().reply_http("200 OK", &body);
     let told = back.elapsed();
     assert!(told < TOLD, "{told:?}");
-    assert!(discovery.call().words[1].contains("after=42"), "and is watched from there on");
+    assert!(discovery.next_call().words[1].contains("after=42"), "and is watched from there on");
     for key in ["a", "b", "c", "d", "e", "f", "g", "h"] {
         let (mut new, since) = (node.client(), Instant::now());
-        new.get(key, "c=read,d=1900");
-        caches[1].call().value("v");
-        assert_eq!(new.answer().as_deref(), Some("v"), "{key}");
+        new.send_get(key, "c=read,d=1900");
+        caches[1].next_call().reply_value("v");
+        assert_eq!(new.read_reply().as_deref(), Some("v"), "{key}");
         assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
     }
-    assert!(caches[0].called().is_none(), "it drains");
-    assert_eq!(node.call("READY\n"), "ok\n");
-    assert!(node.descriptors() <= sockets, "{}", node.descriptors());
+    assert!(caches[0].try_next_call().is_none(), "it drains");
+    assert_eq!(node.operator_call("READY\n"), "ok\n");
+    assert!(node.open_descriptors() <= sockets, "{}", node.open_descriptors());
 
-    open.http("200 OK", "v");
-    assert_eq!(owed.answer().as_deref(), Some("v"), "nobody with an open request is closed");
+    open.reply_http("200 OK", "v");
+    assert_eq!(owed.read_reply().as_deref(), Some("v"), "nobody with an open request is closed");
     crowd.ends();
 }
 
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -33,13 +33,13 @@
 }
 
 impl Answering {
-    fn with(fake: Fake, answer: &'static str) -> Answering {
+    fn with(fake: FakeServer, answer: &'static str) -> Answering {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
         let answering = move || {
             while !stopped.load(Ordering::Relaxed) {
-                match fake.called() {
-                    Some(mut call) => call.try_answer(answer),
+                match fake.try_next_call() {
+                    Some(mut call) => call.try_reply(answer),
                     None => thread::sleep(Duration::from_micros(200)),
                 }
             }
@@ -89,13 +89,13 @@
             client
         });
         let id = format!("id-{client}-{n}");
-        connected.try_write(&words(&["CACHE.GET", &format!("k{n}"), &id, "c=read,d=2000"]));
-        match connected.outcome() {
-            Outcome::Answer(answer) if answer == "v" => ended.served += 1,
-            Outcome::Answer(answer) if answer.starts_with("-BUSY") => ended.refused += 1,
-            Outcome::Answer(_) => ended.failed += 1,
+        connected.try_write(&encode_command(&["CACHE.GET", &format!("k{n}"), &id, "c=read,d=2000"]));
+        match connected.read_outcome() {
+            Outcome::Reply(answer) if answer == "v" => ended.served += 1,
+            Outcome::Reply(answer) if answer.starts_with("-BUSY") => ended.refused += 1,
+            Outcome::Reply(_) => ended.failed += 1,
             Outcome::Closed => (ended.closed, connection) = (ended.closed + 1, None),
-            Outcome::Nothing => (ended.never, connection) = (ended.never + 1, None),
+            Outcome::TimedOut => (ended.never, connection) = (ended.never + 1, None),
         }
     }
     ended
@@ -104,10 +104,10 @@
 /// Reads under these faults, after some without.
 fn under(faults: &[(Fault, f64)]) -> (Ended, FaultPlan, Node) {
     let plan = FaultPlan::new(7).unwrap();
-    let (cache, origin) = (Fake::cache(), Fake::http());
-    let known = list(41, &[(CACHE, cache.addr)], origin.addr);
-    let start = Start { operator: true, ..Start::new(&known, Fake::http().addr) };
-    let node = Start { environment: plan.environment(&library()).into(), ..start }.node();
+    let (cache, origin) = (FakeServer::cache(), FakeServer::http());
+    let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
+    let start = NodeOptions { operator: true, ..NodeOptions::new(&known, FakeServer::http().addr) };
+    let node = NodeOptions { environment: plan.environment(&library()).into(), ..start }.start();
     let _cache = Answering::with(cache, VALUE);
     let _origin = Answering::with(origin, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv");
     let calm = ask(&node, CLIENTS);
@@ -139,7 +139,7 @@
     assert_eq!((ended.closed, ended.never), (0, 0), "{faults:?}: {ended:?}");
     let served = ended.served as f64 / (CLIENTS * READS) as f64;
     assert!(served >= least_served, "{faults:?}: {ended:?}");
-    assert_eq!(node.figure(r#"svc_invariant_violations_total{invariant="no_close_owing"}"#), 0.0);
+    assert_eq!(node.metric(r#"svc_invariant_violations_total{invariant="no_close_owing"}"#), 0.0);
 }
 
 #[test]
@@ -170,10 +170,10 @@
 #[test]
 fn a_failed_accept_evicts_nobody_while_descriptors_are_free() {
     let plan = FaultPlan::new(7).unwrap();
-    let (cache, origin) = (Fake::cache(), Fake::http());
-    let known = list(41, &[(CACHE, cache.addr)], origin.addr);
-    let start = Start::new(&known, Fake::http().addr);
-    let node = Start { environment: plan.environment(&library()).into(), ..start }.node();
+    let (cache, origin) = (FakeServer::cache(), FakeServer::http());
+    let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
+    let start = NodeOptions::new(&known, FakeServer::http().addr);
+    let node = NodeOptions { environment: plan.environment(&library()).into(), ..start }.start();
     // One has not sent anything yet, and one rests after a command.
     let mut resting = [node.client(), node.client()];
     resting[1].ping();
--- a/crates/cli/tests/folders.rs
+++ b/crates/cli/tests/folders.rs
@@ -17,37 +17,42 @@
 
 /// What stands round a node, and the folder that lasts.
 struct Scene {
-    cache: Fake,
-    origin: Fake,
-    discovery: Fake,
+    cache: FakeServer,
+    origin: FakeServer,
+    discovery: FakeServer,
     folder: tempfile::TempDir,
 }
 
 impl Scene {
     fn new() -> Scene {
         let folder = tempfile::tempdir().unwrap();
-        Scene { cache: Fake::cache(), origin: Fake::http(), discovery: Fake::http(), folder }
+        Scene {
+            cache: FakeServer::cache(),
+            origin: FakeServer::http(),
+            discovery: FakeServer::http(),
+            folder,
+        }
     }
 
     fn node(&self, plan: &FaultPlan) -> Node {
         let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
-        let known = list(41, &[(CACHE, self.cache.addr)], self.origin.addr);
-        let start = Start { operator: true, ..Start::new(&known, self.discovery.addr) };
-        let shared: Option<&Path> = Some(self.folder.path());
-        Start { shared, environment: plan.environment(&library).into(), ..start }.node()
+        let known = server_list(41, &[(CACHE, self.cache.addr)], self.origin.addr);
+        let start = NodeOptions { operator: true, ..NodeOptions::new(&known, self.discovery.addr) };
+        let state_dir: Option<&Path> = Some(self.folder.path());
+        NodeOptions { state_dir, environment: plan.environment(&library).into(), ..start }.start()
     }
 
     /// Whether a read goes to the cache; else it goes to the origin.
     fn cache_is_asked(&self, node: &Node) -> bool {
         let mut client = node.client();
-        client.get("k", "c=read,d=5000");
+        client.send_get("k", "c=read,d=5000");
         loop {
-            if let Some(call) = self.cache.called() {
-                call.value("v");
+            if let Some(call) = self.cache.try_next_call() {
+                call.reply_value("v");
                 return true;
             }
-            if let Some(call) = self.origin.called() {
-                call.http("200 OK", "v");
+            if let Some(call) = self.origin.try_next_call() {
+                call.reply_http("200 OK", "v");
                 return false;
             }
             std::thread::yield_now();
@@ -64,10 +69,10 @@
     plan.set(Fault::FileSync, 0.05).unwrap();
     for n in 0..ORDERS {
         let call = if n.is_multiple_of(2) { "DISABLE" } else { "ENABLE" };
-        assert_eq!(node.call(format!("{call} {CACHE}\n")), "ok\n", "order {n}");
+        assert_eq!(node.operator_call(format!("{call} {CACHE}\n")), "ok\n", "order {n}");
     }
     assert!(plan.injected(Fault::FileWrite).unwrap() + plan.injected(Fault::FileSync).unwrap() > 0);
-    assert_eq!(node.call(format!("DISABLE {CACHE}\n")), "ok\n");
+    assert_eq!(node.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     drop(node);
     plan.clear().unwrap();
     assert!(!scene.cache_is_asked(&scene.node(&plan)), "the last order is in force after a kill");
@@ -79,10 +84,10 @@
     let plan = FaultPlan::new(4).unwrap();
     let node = scene.node(&plan);
     plan.set(Fault::FileSync, 1.0).unwrap();
-    assert!(node.call(format!("DISABLE {CACHE}\n")).starts_with("fail "));
+    assert!(node.operator_call(format!("DISABLE {CACHE}\n")).starts_with("fail "));
     assert!(scene.cache_is_asked(&node), "a refused order is not in force");
     plan.clear().unwrap();
-    assert_eq!(node.call(format!("DISABLE {CACHE}\n")), "ok\n");
+    assert_eq!(node.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     assert!(!scene.cache_is_asked(&node));
 }
 
@@ -90,7 +95,7 @@
 fn a_node_starts_and_obeys_what_it_was_ordered_though_reads_fail_now_and_then() {
     let scene = Scene::new();
     let plan = FaultPlan::new(5).unwrap();
-    assert_eq!(scene.node(&plan).call(format!("DISABLE {CACHE}\n")), "ok\n");
+    assert_eq!(scene.node(&plan).operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     plan.set(Fault::FileRead, 0.3).unwrap();
     for n in 0..STARTS {
         let node = scene.node(&plan);
@@ -120,7 +125,7 @@
     plan.set(Fault::FileRead, 1.0).unwrap();
     node.reload(&node.config());
     let mut slowest = Duration::ZERO;
-    while node.figure("svc_reconfig_failed_total") < 1.0 {
+    while node.metric("svc_reconfig_failed_total") < 1.0 {
         let asked = Instant::now();
         client.ping();
         slowest = slowest.max(asked.elapsed());
@@ -129,8 +134,8 @@
     plan.set(Fault::FileRead, 0.5).unwrap();
     node.reload(&node.config());
     let started = Instant::now();
-    while node.figure("svc_reconfig_ok_total") < 1.0 {
-        assert!(started.elapsed() < PATIENCE, "not taken though reads fail now and then alone");
+    while node.metric("svc_reconfig_ok_total") < 1.0 {
+        assert!(started.elapsed() < TEST_TIMEOUT, "not taken though reads fail now and then alone");
         client.ping();
     }
 }
--- a/crates/cli/tests/library.rs
+++ b/crates/cli/tests/library.rs
@@ -11,15 +11,15 @@
 
 #[test]
 fn a_client_library_greets_asks_pipelines_and_reads_errors_as_from_any_server() {
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
-    let node = Node::start(&list(41, &[("s-5be2a07c", cache.addr)], origin.addr), discovery.addr);
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
+    let node = Node::start(&server_list(41, &[("s-5be2a07c", cache.addr)], origin.addr), discovery.addr);
     let serving = thread::spawn(move || {
-        cache.call().value("value 0");
-        let write = origin.call();
+        cache.next_call().reply_value("value 0");
+        let write = origin.next_call();
         assert_eq!(write.words.last().unwrap(), PUT);
-        write.http("200 OK", "receipt");
+        write.reply_http("200 OK", "receipt");
         for _ in 0..2 {
-            cache.call().value("value");
+            cache.next_call().reply_value("value");
         }
     });
     // Connecting, it tells its name and version; the node knows no such command, and that is no reason to part.
--- a/crates/cli/tests/membership.rs
+++ b/crates/cli/tests/membership.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use addresses::free_address;
-use fakes::PATIENCE;
+use fakes::TEST_TIMEOUT;
 use stonefold_emulator::{DatagramLinks, LinkRule};
 use tokio::runtime::Runtime;
 
@@ -161,7 +161,7 @@
     fn wait(&self, what: &str, holds: impl Fn(&Fleet) -> bool) {
         let start = Instant::now();
         while !holds(self) {
-            if start.elapsed() > 3 * PATIENCE {
+            if start.elapsed() > 3 * TEST_TIMEOUT {
                 self.running().for_each(|(n, node)| println!("{}: {:#?}", name(n), node.members()));
                 panic!("not in time: {what}");
             }
@@ -191,7 +191,7 @@
 impl Node {
     fn call(&self, line: &str) -> String {
         let mut stream = TcpStream::connect(self.operators).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.write_all(line.as_bytes()).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
@@ -362,9 +362,13 @@
 
 #[test]
 fn without_its_section_nothing_of_it_is_there() {
-    let (cache, origin) = (fakes::Fake::cache(), fakes::Fake::http());
-    let known = fakes::list(41, &[("s-5be2a07c", cache.addr)], origin.addr);
-    let node = fakes::Start { operator: true, ..fakes::Start::new(&known, fakes::Fake::http().addr) }.node();
-    assert_eq!(node.call("MEMBERS\n"), "fail membership is off\n");
-    assert!(!node.call("STATS\n").contains("membership"));
+    let (cache, origin) = (fakes::FakeServer::cache(), fakes::FakeServer::http());
+    let known = fakes::server_list(41, &[("s-5be2a07c", cache.addr)], origin.addr);
+    let node = fakes::NodeOptions {
+        operator: true,
+        ..fakes::NodeOptions::new(&known, fakes::FakeServer::http().addr)
+    }
+    .start();
+    assert_eq!(node.operator_call("MEMBERS\n"), "fail membership is off\n");
+    assert!(!node.operator_call("STATS\n").contains("membership"));
 }
--- a/crates/cli/tests/operation.rs
+++ b/crates/cli/tests/operation.rs
@@ -12,20 +12,20 @@
 
 /// What stands round a node: one cache, an origin, a silent discovery.
 struct Scene {
-    cache: Fake,
-    origin: Fake,
-    discovery: Fake,
+    cache: FakeServer,
+    origin: FakeServer,
+    discovery: FakeServer,
 }
 
 impl Scene {
     fn new() -> Self {
-        Scene { cache: Fake::cache(), origin: Fake::http(), discovery: Fake::http() }
+        Scene { cache: FakeServer::cache(), origin: FakeServer::http(), discovery: FakeServer::http() }
     }
     fn known(&self) -> String {
-        list(41, &[(CACHE, self.cache.addr)], self.origin.addr)
+        server_list(41, &[(CACHE, self.cache.addr)], self.origin.addr)
     }
     fn node(&self) -> Node {
-        Start { operator: true, ..Start::new(&self.known(), self.discovery.addr) }.node()
+        NodeOptions { operator: true, ..NodeOptions::new(&self.known(), self.discovery.addr) }.start()
     }
 }
 
@@ -36,13 +36,13 @@
     let scene = Scene::new();
     let node = scene.node();
     node.client().ping(); // it takes connections
-    assert_eq!(node.call("READY\n"), "ok\n");
-    assert_eq!(node.call("READY\r\n"), "ok\n");
+    assert_eq!(node.operator_call("READY\n"), "ok\n");
+    assert_eq!(node.operator_call("READY\r\n"), "ok\n");
     let long = "R".repeat(300);
     for bad in
         [&b""[..], b"\n", b"READY", b"READY now\n", b"ready\n", b"FLY s-1\n", b"\xff\n", long.as_bytes()]
     {
-        let mut caller = node.caller();
+        let mut caller = node.operator_connection();
         caller.write_all(bad).unwrap();
         let _ = caller.shutdown(Shutdown::Write); // the node may have answered and closed
         let mut answer = String::new();
@@ -58,13 +58,13 @@
     let node = scene.node();
     let crowd: Vec<TcpStream> = (0..50)
         .map(|n| {
-            let mut caller = node.caller();
+            let mut caller = node.operator_connection();
             caller.write_all(if n % 2 == 0 { b"" } else { b"REA" }).unwrap();
             caller
         })
         .collect();
     node.client().ping();
-    assert_eq!(node.call("READY\n"), "ok\n");
+    assert_eq!(node.operator_call("READY\n"), "ok\n");
     // The first to come has made room.
     assert!(matches!((&crowd[0]).read(&mut [0]), Ok(0) | Err(_)));
 }
@@ -74,14 +74,14 @@
     let scene = Scene::new();
     let mut node = scene.node();
     let mut busy = node.client();
-    busy.get("k", "c=read,d=15000");
-    let call = scene.cache.call();
-    assert_eq!(node.call("READY\n"), "ok\n");
+    busy.send_get("k", "c=read,d=15000");
+    let call = scene.cache.next_call();
+    assert_eq!(node.operator_call("READY\n"), "ok\n");
     node.terminate();
-    while node.call("READY\n") == "ok\n" {}
-    call.value("v");
-    assert_eq!(busy.answer().as_deref(), Some("v"));
-    assert!(node.exit());
+    while node.operator_call("READY\n") == "ok\n" {}
+    call.reply_value("v");
+    assert_eq!(busy.read_reply().as_deref(), Some("v"));
+    assert!(node.wait_for_exit());
 }
 
 // ---- an upgrade ----
@@ -91,27 +91,30 @@
     let scene = Scene::new();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let known = scene.known();
-    let start =
-        || Start { operator: true, passed: Some(&listener), ..Start::new(&known, scene.discovery.addr) };
-    let mut old = start().node();
+    let start = || NodeOptions {
+        operator: true,
+        passed_socket: Some(&listener),
+        ..NodeOptions::new(&known, scene.discovery.addr)
+    };
+    let mut old = start().start();
     let mut taken = old.client();
-    taken.get("k", "c=read,d=15000");
-    let call = scene.cache.call();
-    let new = start().node();
-    while new.call("READY\n") != "ok\n" {}
+    taken.send_get("k", "c=read,d=15000");
+    let call = scene.cache.next_call();
+    let new = start().start();
+    while new.operator_call("READY\n") != "ok\n" {}
     old.terminate();
-    while old.call("READY\n") == "ok\n" {}
+    while old.operator_call("READY\n") == "ok\n" {}
     // The listener lives on, and the new process has it to itself.
     for n in 0..8 {
         let mut client = new.client();
         client.send(&["CACHE.GET", "k2", &format!("later-{n}"), "c=read,d=15000"]);
-        scene.cache.call().value("from the new one");
-        assert_eq!(client.answer().as_deref(), Some("from the new one"));
+        scene.cache.next_call().reply_value("from the new one");
+        assert_eq!(client.read_reply().as_deref(), Some("from the new one"));
     }
-    call.value("from the old one");
-    assert_eq!(taken.answer().as_deref(), Some("from the old one"));
-    assert_eq!(taken.answer(), None, "closed behind its answer");
-    assert!(old.exit());
+    call.reply_value("from the old one");
+    assert_eq!(taken.read_reply().as_deref(), Some("from the old one"));
+    assert_eq!(taken.read_reply(), None, "closed behind its answer");
+    assert!(old.wait_for_exit());
     new.client().ping();
 }
 
@@ -126,7 +129,7 @@
         ("four", "exec \"$0\" node"),
         ("-1", "exec \"$0\" node"),
     ] {
-        let output = program(shell)
+        let output = stonefold_through_shell(shell)
             .env("EDGE_LISTEN", "127.0.0.1:0")
             .env("EDGE_DISCOVERY", "127.0.0.1:1")
             .env("EDGE_CONFIG", file.path())
@@ -148,56 +151,61 @@
 
 #[test]
 fn a_server_out_by_hand_gets_nothing_in_either_process_and_in_none_to_come() {
-    let (spare, scene) = (Fake::cache(), Scene::new());
-    let known = list(41, &[(CACHE, scene.cache.addr), ("s-spare", spare.addr)], scene.origin.addr);
+    let (spare, scene) = (FakeServer::cache(), Scene::new());
+    let known = server_list(41, &[(CACHE, scene.cache.addr), ("s-spare", spare.addr)], scene.origin.addr);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let dir = tempfile::tempdir().unwrap();
     let start = || {
-        let passed = Some(&listener);
-        Start { operator: true, passed, shared: Some(dir.path()), ..Start::new(&known, scene.discovery.addr) }
+        let passed_socket = Some(&listener);
+        NodeOptions {
+            operator: true,
+            passed_socket,
+            state_dir: Some(dir.path()),
+            ..NodeOptions::new(&known, scene.discovery.addr)
+        }
     };
-    let old = start().node();
-    assert!(old.call("DISABLE s-nobody\n").starts_with("fail "));
-    assert!(old.call("ENABLE s-nobody\n").starts_with("fail "));
-    assert!(old.call("DISABLE\n").starts_with("fail "));
-    assert_eq!(old.call(format!("DISABLE {CACHE}\n")), "ok\n");
-    assert_eq!(old.call(format!("DISABLE {CACHE}\n")), "ok\n");
+    let old = start().start();
+    assert!(old.operator_call("DISABLE s-nobody\n").starts_with("fail "));
+    assert!(old.operator_call("ENABLE s-nobody\n").starts_with("fail "));
+    assert!(old.operator_call("DISABLE\n").starts_with("fail "));
+    assert_eq!(old.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
+    assert_eq!(old.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     let mut client = old.client();
     for n in 0..40 {
         send(&mut client, &format!("k{n}"), "i");
-        spare.call().value("v");
-        assert_eq!(client.answer().as_deref(), Some("v"));
+        spare.next_call().reply_value("v");
+        assert_eq!(client.read_reply().as_deref(), Some("v"));
     }
-    assert!(scene.cache.called().is_none());
+    assert!(scene.cache.try_next_call().is_none());
     // The successor knows of it from its start, and one call to it is enough for both.
-    let new = start().node();
-    assert_eq!(new.call(format!("ENABLE {CACHE}\n")), "ok\n");
-    assert_eq!(new.call("DISABLE s-spare\n"), "ok\n");
+    let new = start().start();
+    assert_eq!(new.operator_call(format!("ENABLE {CACHE}\n")), "ok\n");
+    assert_eq!(new.operator_call("DISABLE s-spare\n"), "ok\n");
     // Once the old process has taken both orders over, it sends the one that is back what it may.
     let mut n = 0;
     let call = loop {
         n += 1;
         send(&mut client, &format!("l{n}"), "i");
         let call = loop {
-            if let Some(call) = scene.cache.called() {
+            if let Some(call) = scene.cache.try_next_call() {
                 break Some(call);
             }
-            if let Some(call) = spare.called() {
-                call.value("v");
+            if let Some(call) = spare.try_next_call() {
+                call.reply_value("v");
                 break None;
             }
-            if let Some(call) = scene.origin.called() {
-                call.http("200 OK", "v"); // it is cold, and spared most
+            if let Some(call) = scene.origin.try_next_call() {
+                call.reply_http("200 OK", "v"); // it is cold, and spared most
                 break None;
             }
         };
         match call {
             Some(call) => break call,
-            None => assert_eq!(client.answer().as_deref(), Some("v")),
+            None => assert_eq!(client.read_reply().as_deref(), Some("v")),
         }
     };
-    call.value("back");
-    assert_eq!(client.answer().as_deref(), Some("back"));
+    call.reply_value("back");
+    assert_eq!(client.read_reply().as_deref(), Some("back"));
 }
 
 #[test]
@@ -206,32 +214,35 @@
     let dir = tempfile::tempdir().unwrap();
     std::fs::write(dir.path().join("stonefold-orders.json"), "{\"version\":1,").unwrap();
     let known = scene.known();
-    let start =
-        || Start { operator: true, shared: Some(dir.path()), ..Start::new(&known, scene.discovery.addr) };
-    let node = start().node();
-    assert_eq!(node.call(format!("DISABLE {CACHE}\n")), "ok\n");
+    let start = || NodeOptions {
+        operator: true,
+        state_dir: Some(dir.path()),
+        ..NodeOptions::new(&known, scene.discovery.addr)
+    };
+    let node = start().start();
+    assert_eq!(node.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     drop(node);
     // After a restart the ban holds: the read goes to the origin.
-    let node = start().node();
+    let node = start().start();
     let mut client = node.client();
     send(&mut client, "k", "i");
-    scene.origin.call().http("200 OK", "v");
-    assert_eq!(client.answer().as_deref(), Some("v"));
-    assert!(scene.cache.called().is_none());
+    scene.origin.next_call().reply_http("200 OK", "v");
+    assert_eq!(client.read_reply().as_deref(), Some("v"));
+    assert!(scene.cache.try_next_call().is_none());
 }
 
 #[test]
 fn an_order_that_cannot_be_kept_is_a_no() {
     let scene = Scene::new();
     let node = scene.node(); // which has no TMPDIR
-    assert!(node.call(format!("DISABLE {CACHE}\n")).starts_with("fail cannot keep the order"));
+    assert!(node.operator_call(format!("DISABLE {CACHE}\n")).starts_with("fail cannot keep the order"));
 }
 
 // ---- figures ----
 
 /// A figure by its name and label.
 fn figure(node: &Node, name: &str) -> u64 {
-    let text = node.call("STATS\n");
+    let text = node.operator_call("STATS\n");
     assert!(text.ends_with("\neof\n"), "{text}");
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     line.unwrap_or_else(|| panic!("{name} in {text}")).parse().unwrap()
@@ -241,7 +252,7 @@
 fn await_figure(node: &Node, name: &str, value: u64) {
     let start = std::time::Instant::now();
     while figure(node, name) != value {
-        assert!(start.elapsed() < PATIENCE, "{name} is {}, not {value}", figure(node, name));
+        assert!(start.elapsed() < TEST_TIMEOUT, "{name} is {}, not {value}", figure(node, name));
     }
 }
 
@@ -253,26 +264,26 @@
     assert_eq!(figure(&node, "svc_hosts_listed"), 1);
     let mut client = node.client();
     send(&mut client, "k", "i1");
-    let call = scene.cache.call();
+    let call = scene.cache.next_call();
     await_figure(&node, "svc_inflight", 1);
     await_figure(&node, "svc_backend_calls_total", 1);
-    call.miss();
-    scene.origin.call().http("200 OK", "v");
-    assert_eq!(client.answer().as_deref(), Some("v"));
+    call.reply_miss();
+    scene.origin.next_call().reply_http("200 OK", "v");
+    assert_eq!(client.read_reply().as_deref(), Some("v"));
     await_figure(&node, "svc_inflight", 0);
     assert_eq!(figure(&node, "svc_success_total{tier=\"read\"}"), 1);
     assert_eq!(figure(&node, "svc_backend_calls_total"), 2);
-    client.set("k", "c=put,d=15000", "on");
-    scene.origin.call().close();
-    assert_eq!(client.answer().as_deref(), Some("-ERR failed"));
+    client.send_set("k", "c=put,d=15000", "on");
+    scene.origin.next_call().close();
+    assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"));
     assert_eq!(figure(&node, "svc_failure_total{tier=\"put\"}"), 1);
-    client.get("k", "c=read,d=0");
-    assert!(client.answer().unwrap().starts_with("-BUSY"));
+    client.send_get("k", "c=read,d=0");
+    assert!(client.read_reply().unwrap().starts_with("-BUSY"));
     assert_eq!(figure(&node, "svc_busy_total{tier=\"read\"}"), 1);
-    client.get("k", "c=nobody,d=1900");
-    assert!(client.answer().unwrap().starts_with("-ERR"));
-    assert!(!node.call("STATS\n").contains("nobody"));
-    assert!(node.call("STATS now\n").starts_with("fail "));
+    client.send_get("k", "c=nobody,d=1900");
+    assert!(client.read_reply().unwrap().starts_with("-ERR"));
+    assert!(!node.operator_call("STATS\n").contains("nobody"));
+    assert!(node.operator_call("STATS now\n").starts_with("fail "));
 }
 
 #[test]
@@ -280,12 +291,15 @@
     let scene = Scene::new();
     let dir = tempfile::tempdir().unwrap();
     let known = scene.known();
-    let start =
-        Start { operator: true, shared: Some(dir.path()), ..Start::new(&known, scene.discovery.addr) };
-    let node = start.node();
-    assert_eq!(node.call(format!("DISABLE {CACHE}\n")), "ok\n");
+    let start = NodeOptions {
+        operator: true,
+        state_dir: Some(dir.path()),
+        ..NodeOptions::new(&known, scene.discovery.addr)
+    };
+    let node = start.start();
+    assert_eq!(node.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     await_figure(&node, "svc_hosts_down", 1);
-    assert_eq!(node.call(format!("ENABLE {CACHE}\n")), "ok\n");
+    assert_eq!(node.operator_call(format!("ENABLE {CACHE}\n")), "ok\n");
     await_figure(&node, "svc_hosts_down", 0);
 }
 
@@ -301,7 +315,7 @@
         if now != before {
             return now;
         }
-        assert!(start.elapsed() < PATIENCE, "not looked at");
+        assert!(start.elapsed() < TEST_TIMEOUT, "not looked at");
     }
 }
 
@@ -345,15 +359,15 @@
         assert_eq!(reload(&node, config), (0, n as u64 + 1), "{config}");
     }
     let mut client = node.client();
-    client.get("k", "c=new,d=1900");
-    assert_eq!(client.answer().as_deref(), Some("-ERR unknown class"));
+    client.send_get("k", "c=new,d=1900");
+    assert_eq!(client.read_reply().as_deref(), Some("-ERR unknown class"));
     send(&mut client, "k", "i");
-    scene.cache.call().value("v");
-    assert_eq!(client.answer().as_deref(), Some("v"));
+    scene.cache.next_call().reply_value("v");
+    assert_eq!(client.read_reply().as_deref(), Some("v"));
     assert_eq!(reload(&node, &with_class(class)), (1, broken.len() as u64));
-    client.get("k", "c=new,d=1900");
-    scene.cache.call().value("v");
-    assert_eq!(client.answer().as_deref(), Some("v"));
+    client.send_get("k", "c=new,d=1900");
+    scene.cache.next_call().reply_value("v");
+    assert_eq!(client.read_reply().as_deref(), Some("v"));
 }
 
 #[test]
@@ -361,8 +375,8 @@
     let scene = Scene::new();
     let node = scene.node();
     let mut client = node.client();
-    client.get("k", "c=put,d=15000"); // unsafe: never sent twice
-    let open = scene.cache.call();
+    client.send_get("k", "c=put,d=15000"); // unsafe: never sent twice
+    let open = scene.cache.next_call();
     let put = r#"{"Name":"put","Aim":800.0,"HardLimit":2000.0,"Effect":"unsafe","Worth":9.0}"#;
     let scan = r#"{"Name":"scan","Aim":300.0,"HardLimit":2000.0,"Effect":"safe"}"#;
     let read = r#"{"Name":"read","Aim":300.0,"HardLimit":2000.0,"Effect":"safe","Worth":3.0},"#;
@@ -372,30 +386,30 @@
     assert_eq!(reload(&node, &new), (1, 0));
     assert_eq!(figure(&node, "svc_success_total{tier=\"scan\"}"), 0);
     open.close();
-    assert_eq!(client.answer().as_deref(), Some("-ERR failed"));
+    assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"));
     assert_eq!(figure(&node, "svc_failure_total{tier=\"put\"}"), 1, "a dropped class keeps its counts");
-    client.get("k", "c=scan,d=15000");
-    scene.cache.call().value("v");
-    assert_eq!(client.answer().as_deref(), Some("v"));
+    client.send_get("k", "c=scan,d=15000");
+    scene.cache.next_call().reply_value("v");
+    assert_eq!(client.read_reply().as_deref(), Some("v"));
     // Dropped classes are taken no longer, once their last requests have come.
     let start = std::time::Instant::now();
     loop {
-        client.get("k", "c=read,d=15000");
-        if let Some(call) = scene.cache.called() {
-            call.value("v");
+        client.send_get("k", "c=read,d=15000");
+        if let Some(call) = scene.cache.try_next_call() {
+            call.reply_value("v");
         }
         let answer = loop {
-            if let Some(call) = scene.cache.called() {
-                call.value("v");
+            if let Some(call) = scene.cache.try_next_call() {
+                call.reply_value("v");
             }
-            if let Some(answer) = client.try_answer() {
+            if let Some(answer) = client.try_read_reply() {
                 break answer;
             }
         };
         if answer == "-ERR unknown class" {
             break;
         }
-        assert!(answer == "v" && start.elapsed() < PATIENCE, "{answer}");
+        assert!(answer == "v" && start.elapsed() < TEST_TIMEOUT, "{answer}");
     }
     assert_eq!(figure(&node, "svc_failure_total{tier=\"put\"}"), 1);
 }
@@ -405,12 +419,12 @@
     let scene = Scene::new();
     // Each refusal is a line: together they are more than the pipe and the queue hold.
     let (known, shell) = (scene.known(), "STONEFOLD_LOG=debug exec \"$0\" node");
-    let start = Start::new(&known, scene.discovery.addr);
-    let node = Start { shell, unread: true, operator: true, ..start }.node();
+    let start = NodeOptions::new(&known, scene.discovery.addr);
+    let node = NodeOptions { shell, keep_log_open: true, operator: true, ..start }.start();
     let mut client = node.client();
     for n in 0..4000 {
         client.send(&["CACHE.GET", "k", &format!("{n:016}"), "c=read,d=0"]);
-        assert!(client.answer().unwrap().starts_with('-'));
+        assert!(client.read_reply().unwrap().starts_with('-'));
     }
     client.ping();
     assert!(figure(&node, "svc_log_dropped_total") > 0);
--- a/crates/cli/tests/permits.rs
+++ b/crates/cli/tests/permits.rs
@@ -27,7 +27,7 @@
 
 /// The first line on a connection; empty if it ends before.
 fn first_line(stream: TcpStream) -> String {
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).unwrap();
     line
@@ -40,10 +40,15 @@
         .replace(r#""Effect":"unsafe""#, &keyed)
         .replace(r#""ConnectTimeout":10000.0"#, r#""ConnectTimeout":600000.0"#);
     let (origin, addr) = narrow_listener();
-    let known = list(41, &[(CACHE, Fake::cache().addr)], addr);
-    let node = Start { settings: &settings, operator: true, ..Start::new(&known, Fake::http().addr) }.node();
+    let known = server_list(41, &[(CACHE, FakeServer::cache().addr)], addr);
+    let node = NodeOptions {
+        settings: &settings,
+        operator: true,
+        ..NodeOptions::new(&known, FakeServer::http().addr)
+    }
+    .start();
     let mut client = node.client();
-    client.set("k", "c=put,d=60000,k=1", "v");
+    client.send_set("k", "c=put,d=60000,k=1", "v");
 
     let (first, _) = origin.accept().unwrap();
     let sent = Instant::now();
@@ -51,13 +56,13 @@
     let filling = TcpStream::connect(addr).unwrap();
     assert!(first_line(first).starts_with("PUT /k"));
     let retried = Instant::now();
-    while connecting(addr) == 0 {
-        assert!(retried.elapsed() < PATIENCE, "it is not tried again");
+    while connecting_sockets(addr) == 0 {
+        assert!(retried.elapsed() < TEST_TIMEOUT, "it is not tried again");
         thread::yield_now();
     }
     thread::sleep(WINDOW.saturating_sub(sent.elapsed()));
     let _filling = (origin.accept().unwrap(), filling);
     let (late, _) = origin.accept().unwrap();
     assert_eq!(first_line(late), "", "repeated after the window");
-    assert_eq!(client.answer().as_deref(), Some("-ERR failed"));
+    assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"));
 }
--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -43,16 +43,17 @@
 
 /// A node with a cache and an origin.
 struct Site {
-    cache: Fake,
-    origin: Fake,
+    cache: FakeServer,
+    origin: FakeServer,
     node: Node,
 }
 
 impl Site {
     fn start() -> Site {
-        let (cache, origin) = (Fake::cache(), Fake::http());
-        let known = list(41, &[(CACHE, cache.addr)], origin.addr);
-        let node = Start { operator: true, ..Start::new(&known, Fake::http().addr) }.node();
+        let (cache, origin) = (FakeServer::cache(), FakeServer::http());
+        let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
+        let node =
+            NodeOptions { operator: true, ..NodeOptions::new(&known, FakeServer::http().addr) }.start();
         Site { cache, origin, node }
     }
 }
@@ -77,14 +78,14 @@
         let value = value_of(length);
         let (text, header) = reply_with(&value);
         let mut client = site.node.client();
-        client.get("k", "c=read,d=15000");
-        let call = site.cache.call();
-        let reading = thread::spawn(move || client.answer());
+        client.send_get("k", "c=read,d=15000");
+        let call = site.cache.next_call();
+        let reading = thread::spawn(move || client.read_reply());
         write_cut(call.stream(), text.as_bytes(), Cut { at: header, pause: HEADER_PAUSE });
         let answer = reading.join().unwrap();
         assert!(answer.as_ref() == Some(&value), "{length} bytes: {}", start_of(answer));
     }
-    assert_eq!(site.node.figure("svc_backend_calls_total"), 4.0, "each read was sent once");
+    assert_eq!(site.node.metric("svc_backend_calls_total"), 4.0, "each read was sent once");
 }
 
 fn start_of(answer: Option<String>) -> String {
@@ -103,8 +104,8 @@
         let all = cuts(text.as_bytes(), header, REPLY_END.len());
         let chosen = |cut: &Cut| length <= BUFFERED + 1 || cut.at.abs_diff(header) <= 1;
         for cut in all.into_iter().filter(chosen) {
-            client.get("k", "c=read,d=15000");
-            assert_served(&mut client, site.cache.call(), &text, cut, &value);
+            client.send_get("k", "c=read,d=15000");
+            assert_served(&mut client, site.cache.next_call(), &text, cut, &value);
         }
     }
 }
@@ -113,7 +114,7 @@
 fn assert_served(client: &mut Client, call: Call, text: &str, cut: Cut, value: &str) {
     let answer = thread::scope(|scope| {
         scope.spawn(|| write_cut(call.stream(), text.as_bytes(), cut));
-        client.answer()
+        client.read_reply()
     });
     let length = value.len();
     assert!(answer.as_deref() == Some(value), "{length} bytes, {cut:?}: {}", start_of(answer));
@@ -126,16 +127,16 @@
     let mut client = site.node.client();
     let miss = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n";
     for cut in cuts(miss.as_bytes(), 4, miss.len()) {
-        client.get("k", "c=read,d=15000");
-        write_cut(site.cache.call().stream(), miss.as_bytes(), cut);
-        site.origin.call().http("200 OK", "fetched");
-        assert_eq!(client.answer().as_deref(), Some("fetched"), "{cut:?}");
+        client.send_get("k", "c=read,d=15000");
+        write_cut(site.cache.next_call().stream(), miss.as_bytes(), cut);
+        site.origin.next_call().reply_http("200 OK", "fetched");
+        assert_eq!(client.read_reply().as_deref(), Some("fetched"), "{cut:?}");
     }
     let failed = "-ERR failed\r\n";
     for cut in cuts(failed.as_bytes(), 5, failed.len()) {
-        client.get("k", "c=put,d=15000");
-        write_cut(site.cache.call().stream(), failed.as_bytes(), cut);
-        assert_eq!(client.answer().as_deref(), Some("-ERR failed"), "{cut:?}");
+        client.send_get("k", "c=put,d=15000");
+        write_cut(site.cache.next_call().stream(), failed.as_bytes(), cut);
+        assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"), "{cut:?}");
     }
 }
 
@@ -146,13 +147,13 @@
     let header = format!("*3\r\n${}\r\n", LONGEST + 1);
     for cut in cuts(header.as_bytes(), header.len(), header.len()) {
         let mut client = site.node.client();
-        client.get("k", "c=put,d=15000");
-        let mut call = site.cache.call();
+        client.send_get("k", "c=put,d=15000");
+        let mut call = site.cache.next_call();
         // The node may close as soon as it has read the length.
-        call.try_answer(&header[..cut.at]);
+        call.try_reply(&header[..cut.at]);
         thread::sleep(cut.pause);
-        call.try_answer(&format!("{}{}", &header[cut.at..], "x".repeat(10_000)));
-        assert_eq!(client.answer().as_deref(), Some("-ERR failed"), "{cut:?}");
+        call.try_reply(&format!("{}{}", &header[cut.at..], "x".repeat(10_000)));
+        assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"), "{cut:?}");
     }
 }
 
@@ -170,9 +171,9 @@
         let told = (format!("{told}{value}"), told.len(), 0);
         for (text, header, tail) in [told, (chunked, chunked_header, 7)] {
             for cut in cuts(text.as_bytes(), header, tail) {
-                client.get("k", "c=read,d=15000");
-                site.cache.call().miss();
-                assert_served(&mut client, site.origin.call(), &text, cut, &value);
+                client.send_get("k", "c=read,d=15000");
+                site.cache.next_call().reply_miss();
+                assert_served(&mut client, site.origin.next_call(), &text, cut, &value);
             }
         }
     }
@@ -183,23 +184,23 @@
 fn a_clients_command_means_the_same_however_it_is_cut() {
     let site = Site::start();
     let mut client = site.node.client();
-    let get = words(&["CACHE.GET", "k", "9b1f03aa5c7e2d41", "c=read,d=15000"]);
+    let get = encode_command(&["CACHE.GET", "k", "9b1f03aa5c7e2d41", "c=read,d=15000"]);
     for cut in cuts(get.as_bytes(), 4, get.len()) {
         write_cut(client.stream(), get.as_bytes(), cut);
-        site.cache.call().value("v");
-        assert_eq!(client.answer().as_deref(), Some("v"), "{cut:?}");
+        site.cache.next_call().reply_value("v");
+        assert_eq!(client.read_reply().as_deref(), Some("v"), "{cut:?}");
     }
     for length in [0, 300, BUFFERED, BUFFERED + 1, LONGEST - 1, LONGEST] {
         let value = value_of(length);
-        let set = words(&["CACHE.SET", "k", "9b1f03aa5c7e2d41", "c=put,d=15000", &value]);
+        let set = encode_command(&["CACHE.SET", "k", "9b1f03aa5c7e2d41", "c=put,d=15000", &value]);
         let header = set.len() - length - 2;
         let chosen = |cut: &Cut| length <= BUFFERED + 1 || cut.at.abs_diff(header) <= 1;
         for cut in cuts(set.as_bytes(), header, 2).into_iter().filter(chosen) {
             write_cut(client.stream(), set.as_bytes(), cut);
-            let call = site.origin.call();
+            let call = site.origin.next_call();
             assert!(call.words.last() == Some(&value), "{length} bytes, {cut:?}");
-            call.http("200 OK", "receipt");
-            assert_eq!(client.answer().as_deref(), Some("receipt"), "{length} bytes, {cut:?}");
+            call.reply_http("200 OK", "receipt");
+            assert_eq!(client.read_reply().as_deref(), Some("receipt"), "{length} bytes, {cut:?}");
         }
     }
 }
@@ -209,10 +210,10 @@
 fn an_operators_line_means_the_same_however_it_is_cut() {
     let site = Site::start();
     let line = "DISABLE s-nobody\n";
-    let whole = site.node.call(line);
+    let whole = site.node.operator_call(line);
     assert!(whole.contains("s-nobody"), "{whole}");
     for cut in cuts(line.as_bytes(), line.len() - 1, line.len()) {
-        let caller = site.node.caller();
+        let caller = site.node.operator_connection();
         write_cut(&caller, line.as_bytes(), cut);
         let answer = std::io::read_to_string(caller).unwrap();
         assert_eq!(answer, whole, "{cut:?}");
@@ -229,15 +230,15 @@
 fn a_list_from_discovery_means_the_same_however_it_is_cut() {
     /// Entries of the long list: over a hundred times what one read takes.
     const MANY: usize = 3_000;
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
-    let known = list(41, &[(CACHE, cache.addr)], origin.addr);
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
+    let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
     let _node = Node::start(&known, discovery.addr);
     let mut version = 41;
-    let mut call = discovery.call();
+    let mut call = discovery.next_call();
     for entries in [1, MANY] {
         let names: Vec<String> = (0..entries).map(|n| format!("s-{n:08x}")).collect();
         let caches: Vec<_> = names.iter().map(|name| (name.as_str(), cache.addr)).collect();
-        let body = list(1_000, &caches, origin.addr);
+        let body = server_list(1_000, &caches, origin.addr);
         let header = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         let all = cuts(format!("{header}{body}").as_bytes(), header.len(), 2);
         let few = |(n, _): &(usize, Cut)| entries == 1 || n % 8 == 0;
@@ -245,7 +246,7 @@
             version += 1;
             let text = format!("{header}{}", body.replacen("1000", &format!("{version:4}"), 1));
             write_cut(call.stream(), text.as_bytes(), cut);
-            call = discovery.call();
+            call = discovery.next_call();
             assert!(states(&call, version), "{entries} entries, {cut:?}: {:?}", call.words);
         }
     }
@@ -255,17 +256,17 @@
 #[test]
 fn a_list_from_discovery_is_taken_up_to_its_longest_length_exactly() {
     const LONGEST_LIST: usize = 4 << 20;
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
-    let known = list(41, &[(CACHE, cache.addr)], origin.addr);
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
+    let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
     let _node = Node::start(&known, discovery.addr);
     for (version, length, taken) in
         [(42, LONGEST_LIST - 1, true), (43, LONGEST_LIST, true), (44, LONGEST_LIST + 1, false)]
     {
-        let body = list(version, &[(CACHE, cache.addr)], origin.addr);
+        let body = server_list(version, &[(CACHE, cache.addr)], origin.addr);
         let indented = format!("{}{body}", " ".repeat(length - body.len()));
-        discovery.call().http_or_closed("200 OK", &indented);
-        let next = discovery.call();
+        discovery.next_call().try_reply_http("200 OK", &indented);
+        let next = discovery.next_call();
         assert_eq!(states(&next, version), taken, "{length} bytes: {:?}", next.words);
-        next.http("200 OK", &list(version, &[(CACHE, cache.addr)], origin.addr));
+        next.reply_http("200 OK", &server_list(version, &[(CACHE, cache.addr)], origin.addr));
     }
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -73,7 +73,7 @@
 
 impl Own {
     fn start(file: &Path) -> Own {
-        let mut child = program(r#"exec "$0" node --config "$FILE" --log-format json"#)
+        let mut child = stonefold_through_shell(r#"exec "$0" node --config "$FILE" --log-format json"#)
             .env("FILE", file)
             .stderr(Stdio::piped())
             .spawn()
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_node_by_our_own_file_serves_get_and_set_and_takes_a_new_file_whole_or_not() {
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("node.toml");
     let text = own_file(cache.addr, origin.addr, discovery.addr);
@@ -155,12 +155,12 @@
     let done = |child: Child| told(&child.wait_with_output().unwrap());
 
     let get = asking(&["get", "book:1", "--class", "read"]);
-    cache.call().value("a value");
+    cache.next_call().reply_value("a value");
     assert_eq!(done(get), (0, "a value\n".into(), String::new()));
     let set = asking(&["set", "book:1", "new", "--format", "json"]);
-    let mut call = origin.call();
+    let mut call = origin.next_call();
     assert_eq!((call.words[0].as_str(), call.words.last().unwrap().as_str()), ("PUT", "new"));
-    call.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    call.reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     let (code, out, _) = done(set);
     assert!(code == 0 && out.contains(r#""outcome":"served""#), "{out}");
     let (code, _, err) = done(asking(&["get", "book:1", "--class", "other"]));
@@ -173,17 +173,17 @@
     node.hang_up();
     node.event("reloaded");
     let get = asking(&["get", "book:1", "--class", "other"]);
-    cache.call().value("another");
+    cache.next_call().reply_value("another");
     assert_eq!(done(get).1, "another\n");
 }
 
 #[test]
 fn operators_calls_by_the_program() {
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
-    let known = list(1, &[("s-1", cache.addr)], origin.addr);
-    let node = Start { operator: true, ..Start::new(&known, discovery.addr) }.node();
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
+    let known = server_list(1, &[("s-1", cache.addr)], origin.addr);
+    let node = NodeOptions { operator: true, ..NodeOptions::new(&known, discovery.addr) }.start();
     node.client().ping();
-    let at = node.operators().to_string();
+    let at = node.operator_addr().to_string();
     assert_eq!(told(&stonefold(&["call", &at, "READY"])), (0, "ok\n".into(), String::new()));
     let (code, out, _) = told(&stonefold(&["call", &at, "STATS", "--format", "json"]));
     assert!(code == 0 && out.contains(r#""svc_hosts_listed":1.0"#), "{out}");
@@ -226,16 +226,17 @@
 
 #[test]
 fn a_full_disk_under_the_log_is_nobodys_trouble() {
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let dir = tempfile::tempdir().unwrap();
     let (file, at) = (dir.path().join("node.toml"), free_address());
     std::fs::write(&file, own_file(cache.addr, origin.addr, discovery.addr)).unwrap();
     let listen = format!("node.listen={at}");
-    let mut node = program(r#"exec "$0" node --config "$FILE" --set "$LISTEN" --log debug 2>/dev/full"#)
-        .env("FILE", &file)
-        .env("LISTEN", listen)
-        .spawn()
-        .unwrap();
+    let mut node =
+        stonefold_through_shell(r#"exec "$0" node --config "$FILE" --set "$LISTEN" --log debug 2>/dev/full"#)
+            .env("FILE", &file)
+            .env("LISTEN", listen)
+            .spawn()
+            .unwrap();
     while std::net::TcpStream::connect(at).is_err() {
         assert!(node.try_wait().unwrap().is_none(), "it ended");
     }
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -181,7 +181,7 @@
 
     /// Gives an order, again where the store could not keep it in the time that an operator waits.
     fn order(&self, word: &str) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
             match self.call(&format!("{word} {CACHE}")).as_str() {
                 "ok\n" => return,
@@ -198,7 +198,7 @@
 
     /// Waits until a figure has a value.
     fn until(&self, name: &str, value: &str) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         while self.figure(name) != value {
             assert!(Instant::now() < end, "{name} is {}, not {value}", self.figure(name));
             std::thread::sleep(Duration::from_millis(20));
@@ -207,7 +207,7 @@
 
     fn read(&self, facts: &str) -> String {
         let mut stream = TcpStream::connect(self.clients).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let words = ["CACHE.GET", "k", "9b1f03aa5c7e2d41", facts];
         let bulk: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
         stream.write_all(format!("*4\r\n{bulk}").as_bytes()).unwrap();
@@ -223,13 +223,13 @@
 }
 
 /// A discovery that tells whoever asks for the whole list, and has no news.
-fn answering(discovery: Fake, list: String) {
+fn answering(discovery: FakeServer, list: String) {
     std::thread::spawn(move || {
         let mut waiting = Vec::new();
         loop {
-            match discovery.called() {
+            match discovery.try_next_call() {
                 Some(call) if call.words[1].contains("after=") => waiting.push(call),
-                Some(call) => call.http("200 OK", &list),
+                Some(call) => call.reply_http("200 OK", &list),
                 None => std::thread::sleep(Duration::from_millis(5)),
             }
         }
@@ -242,8 +242,8 @@
     let plan = FaultPlan::new(9).unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
     let site = Site { environment: plan.environment(&library).into(), ..Site::new(3) };
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
-    let known = list(41, &[(CACHE, cache.addr)], origin.addr);
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
+    let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
     let mut nodes = vec![site.start(0, discovery.addr, "10s")];
     nodes.extend((1..3).map(|n| site.start(n, free_address(), "0s")));
     answering(discovery, known);
@@ -269,9 +269,9 @@
 #[test]
 fn what_one_node_learns_all_know_and_still_do_after_all_were_killed_at_once() {
     let site = Site::new(3);
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let other = free_address(); // it is out of use all the time
-    let known = list(41, &[(CACHE, other), ("s-11d0c3f9", cache.addr)], origin.addr);
+    let known = server_list(41, &[(CACHE, other), ("s-11d0c3f9", cache.addr)], origin.addr);
     let nobody = free_address();
     // One node's discovery answers; the others' do not, and never will.
     let mut nodes = vec![site.start(0, discovery.addr, "10s")];
@@ -288,7 +288,7 @@
     let serving = |node: &Member| {
         std::thread::scope(|scope| {
             let read = scope.spawn(|| node.read("c=read,d=2000"));
-            cache.call().value("v");
+            cache.next_call().reply_value("v");
             assert_eq!(read.join().unwrap(), "v");
         });
     };
@@ -342,9 +342,9 @@
 #[test]
 fn a_node_goes_on_from_its_own_disk_without_a_quorum_and_serves() {
     let site = Site::new(2);
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let mut nodes = vec![site.start(0, discovery.addr, "10s"), site.start(1, free_address(), "0s")];
-    answering(discovery, list(41, &[(CACHE, cache.addr)], origin.addr));
+    answering(discovery, server_list(41, &[(CACHE, cache.addr)], origin.addr));
     site.store(0, &["store", "add", "2", &site.stores[1].to_string()]);
     nodes[1].until("svc_hosts_listed", "1");
     nodes.clear();
@@ -354,7 +354,7 @@
     let ready: f64 = alone.figure("svc_ready_seconds").parse().unwrap();
     assert!((2.0..10.0).contains(&ready), "the wait counts, and is short: {ready}");
     let read = std::thread::spawn(move || (alone.read("c=read,d=2000"), alone));
-    cache.call().value("v");
+    cache.next_call().reply_value("v");
     assert_eq!(read.join().unwrap().0, "v");
 }
 
@@ -409,9 +409,9 @@
 #[test]
 fn nodes_that_only_follow_act_on_what_is_committed_through_a_relay_and_change_nothing() {
     let site = Site::new(1);
-    let (cache, origin, discovery) = (Fake::cache(), Fake::http(), Fake::http());
+    let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let member = site.start(0, discovery.addr, "10s");
-    let known = list(41, &[(CACHE, cache.addr)], origin.addr);
+    let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
     answering(discovery, known);
     let (key, shared_key) = (site.path("subscribers"), site.key.to_str().unwrap().to_owned());
     done(&["store", "subscriber-key", "--key-file", &shared_key, &key]);
@@ -440,7 +440,7 @@
     let file = site.path("shared.toml");
     std::fs::write(&file, class("audio") + &class("read")).unwrap();
     site.store(0, &["config", "push", &file]);
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while node.read("c=audio,d=50").contains("class") {
         assert!(Instant::now() < end, "the configuration is not in force");
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/cli/tests/time_left.rs
+++ b/crates/cli/tests/time_left.rs
@@ -27,8 +27,14 @@
 }
 
 fn start(settings: &str, cache: SocketAddr, origin: SocketAddr) -> Node {
-    let known = list(41, &[(CACHE, cache)], origin);
-    Start { settings, sockets: 4_096, operator: true, ..Start::new(&known, Fake::http().addr) }.node()
+    let known = server_list(41, &[(CACHE, cache)], origin);
+    NodeOptions {
+        settings,
+        sockets: 4_096,
+        operator: true,
+        ..NodeOptions::new(&known, FakeServer::http().addr)
+    }
+    .start()
 }
 
 /// How long the client of a [`Scene`] waits for each of its answers.
@@ -41,17 +47,17 @@
     first: Call,
     client: Client,
     _node: Node,
-    _origin: Fake,
-    cache: Fake,
+    _origin: FakeServer,
+    cache: FakeServer,
 }
 
 impl Scene {
     fn with_read_in_flight() -> Scene {
-        let (cache, origin) = (Fake::cache(), Fake::http());
+        let (cache, origin) = (FakeServer::cache(), FakeServer::http());
         let node = start(SETTINGS, cache.addr, origin.addr);
         let mut client = node.client();
-        client.get("k", &format!("c=read,d={}", LONG_WAIT.as_millis()));
-        let first = cache.call();
+        client.send_get("k", &format!("c=read,d={}", LONG_WAIT.as_millis()));
+        let first = cache.next_call();
         Scene { first, client, _node: node, _origin: origin, cache }
     }
 }
@@ -66,7 +72,7 @@
 /// Waits until no connection to a server is on its way any more.
 fn wait_until_connected(started: Instant, connecting: impl Fn() -> usize) {
     while connecting() > 0 {
-        assert!(started.elapsed() < PATIENCE, "a connection does not come up");
+        assert!(started.elapsed() < TEST_TIMEOUT, "a connection does not come up");
         thread::yield_now();
     }
 }
@@ -75,25 +81,29 @@
 fn nothing_is_sent_when_a_connection_comes_up_after_the_time_is_over() {
     const WAIT: Duration = Duration::from_millis(300);
     for write in [false, true] {
-        let (late, other) = if write { (Late::http(), Fake::cache()) } else { (Late::cache(), Fake::http()) };
+        let (late, other) = if write {
+            (BackloggedServer::http(), FakeServer::cache())
+        } else {
+            (BackloggedServer::cache(), FakeServer::http())
+        };
         let (cache, origin) = if write { (other.addr, late.addr) } else { (late.addr, other.addr) };
         let node = start(&patient(), cache, origin);
         let mut client = node.client();
         let sent = Instant::now();
         if write {
-            client.set("k", &format!("c=put,d={},k=1", WAIT.as_millis()), "v");
+            client.send_set("k", &format!("c=put,d={},k=1", WAIT.as_millis()), "v");
         } else {
-            client.get("k", &format!("c=read,d={}", WAIT.as_millis()));
+            client.send_get("k", &format!("c=read,d={}", WAIT.as_millis()));
         }
-        late.awaited_by(1);
-        node.freeze();
+        late.wait_for_connecting(1);
+        node.pause();
         thread::sleep(WAIT.saturating_sub(sent.elapsed()) + GRAIN);
         let at = late.addr;
-        let server = late.let_in();
-        wait_until_connected(Instant::now(), || connecting(at));
+        let server = late.accept_connections();
+        wait_until_connected(Instant::now(), || connecting_sockets(at));
         // Now both the end of the time and the connection wait for the node's turn.
-        node.thaw();
-        let answer = client.answer().unwrap();
+        node.resume();
+        let answer = client.read_reply().unwrap();
         assert!(answer.starts_with("-BUSY"), "write {write}: {answer}");
         let mut next = node.client();
         if write {
@@ -101,7 +111,7 @@
         } else {
             next.send(&["CACHE.GET", "k", "the-next", "c=read,d=60000"]);
         }
-        let call = server.call();
+        let call = server.next_call();
         assert!(call.words.iter().any(|word| word.contains("the-next")), "sent in vain: {:?}", call.words);
     }
 }
@@ -109,60 +119,60 @@
 #[test]
 fn a_command_behind_as_many_answers_as_may_be_owed_tells_what_is_left_since_it_came() {
     let Scene { first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
-    client.write(words(&["PING"]).repeat(PINGS));
+    client.write(encode_command(&["PING"]).repeat(PINGS));
     client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
     thread::sleep(UNREAD);
-    first.value("v");
-    assert_eq!(client.answer().as_deref(), Some("v"));
+    first.reply_value("v");
+    assert_eq!(client.read_reply().as_deref(), Some("v"));
     for _ in 0..PINGS {
-        assert_eq!(client.answer().as_deref(), Some("+PONG"));
+        assert_eq!(client.read_reply().as_deref(), Some("+PONG"));
     }
-    let call = cache.call();
+    let call = cache.next_call();
     assert!(time_told(&call) <= LONG_WAIT - UNREAD + GRAIN, "{:?} told", time_told(&call));
-    call.value("w");
-    assert_eq!(client.answer().as_deref(), Some("w"));
+    call.reply_value("w");
+    assert_eq!(client.read_reply().as_deref(), Some("w"));
 }
 
 #[test]
 fn a_command_that_comes_while_an_answer_is_written_tells_what_is_left_since_it_came() {
     const LONG: usize = 200_000; // passed on as it comes
     let Scene { mut first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
-    first.answer(format!("*3\r\n${LONG}\r\n{}", "x".repeat(LONG / 2)));
-    assert_eq!(client.line(), format!("${LONG}"));
+    first.reply(format!("*3\r\n${LONG}\r\n{}", "x".repeat(LONG / 2)));
+    assert_eq!(client.read_line(), format!("${LONG}"));
     client.send(&["CACHE.GET", "l", "the-next", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
     thread::sleep(UNREAD);
-    first.answer(format!("{}\r\n$3\r\nhit\r\n$-1\r\n", "x".repeat(LONG / 2)));
-    assert_eq!(client.line().len(), LONG);
-    let call = cache.call();
+    first.reply(format!("{}\r\n$3\r\nhit\r\n$-1\r\n", "x".repeat(LONG / 2)));
+    assert_eq!(client.read_line().len(), LONG);
+    let call = cache.next_call();
     assert!(time_told(&call) <= LONG_WAIT - UNREAD + GRAIN, "{:?} told", time_told(&call));
-    call.value("w");
-    assert_eq!(client.answer().as_deref(), Some("w"));
+    call.reply_value("w");
+    assert_eq!(client.read_reply().as_deref(), Some("w"));
 }
 
 #[test]
 fn a_command_that_comes_after_a_pause_in_reading_has_all_its_time() {
     let Scene { first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
-    client.write(words(&["PING"]).repeat(PINGS));
+    client.write(encode_command(&["PING"]).repeat(PINGS));
     thread::sleep(UNREAD);
-    first.value("v");
-    assert_eq!(client.answer().as_deref(), Some("v"));
+    first.reply_value("v");
+    assert_eq!(client.read_reply().as_deref(), Some("v"));
     for _ in 0..PINGS {
-        assert_eq!(client.answer().as_deref(), Some("+PONG"));
+        assert_eq!(client.read_reply().as_deref(), Some("+PONG"));
     }
     client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
-    let call = cache.call();
+    let call = cache.next_call();
     assert!(time_told(&call) > LONG_WAIT - UNREAD / 2, "{:?} told", time_told(&call));
-    call.value("w");
-    assert_eq!(client.answer().as_deref(), Some("w"));
+    call.reply_value("w");
+    assert_eq!(client.read_reply().as_deref(), Some("w"));
 }
 
 #[test]
 fn a_request_whose_last_byte_is_long_in_going_out_is_counted_by_what_it_told_too_much() {
-    const LENGTH: usize = UNTAKEN_BYTES;
-    let (cache, origin) = (Fake::cache(), listener_that_takes_little());
+    const LENGTH: usize = BYTES_BEYOND_BUFFERS;
+    let (cache, origin) = (FakeServer::cache(), listener_with_small_receive_buffer());
     let node = start(SETTINGS, cache.addr, origin.local_addr().unwrap());
     let mut client = node.client();
-    client.set("k", "c=put,d=60000,k=1", &"x".repeat(LENGTH));
+    client.send_set("k", "c=put,d=60000,k=1", &"x".repeat(LENGTH));
     let mut request = BufReader::new(origin.accept().unwrap().0);
     let mut header = String::new();
     while !header.trim_end().is_empty() || header.is_empty() {
@@ -170,13 +180,13 @@
         request.read_line(&mut header).unwrap();
     }
     thread::sleep(UNREAD);
-    assert_eq!(node.figure("svc_deadline_excess_seconds_count"), 0.0, "its last byte is not out");
+    assert_eq!(node.metric("svc_deadline_excess_seconds_count"), 0.0, "its last byte is not out");
     request.read_exact(&mut vec![0; LENGTH]).unwrap();
     request.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nr").unwrap();
-    assert_eq!(client.answer().as_deref(), Some("r"));
-    assert_eq!(node.figure("svc_deadline_excess_seconds_count"), 1.0);
-    assert_eq!(node.figure(r#"svc_deadline_excess_seconds_bucket{le="0.15"}"#), 0.0);
-    assert_eq!(node.figure(r#"svc_deadline_excess_seconds_bucket{le="+Inf"}"#), 1.0);
+    assert_eq!(client.read_reply().as_deref(), Some("r"));
+    assert_eq!(node.metric("svc_deadline_excess_seconds_count"), 1.0);
+    assert_eq!(node.metric(r#"svc_deadline_excess_seconds_bucket{le="0.15"}"#), 0.0);
+    assert_eq!(node.metric(r#"svc_deadline_excess_seconds_bucket{le="+Inf"}"#), 1.0);
 }
 
 #[test]
@@ -185,11 +195,11 @@
     const COMMANDS: usize = 200;
     for pauses in [true, false] {
         let settings = SETTINGS.replace(r#""RetryAfter":true"#, &format!(r#""RetryAfter":{pauses}"#));
-        let (cache, origin) = (Fake::cache(), Fake::http());
+        let (cache, origin) = (FakeServer::cache(), FakeServer::http());
         let node = start(&settings, cache.addr, origin.addr);
         let mut clients: Vec<Client> = (0..CLIENTS).map(|_| node.client()).collect();
         for (n, client) in clients.iter_mut().enumerate() {
-            let command = |i| words(&["CACHE.GET", "k", &format!("id-{n}-{i}"), "c=read,d=60000"]);
+            let command = |i| encode_command(&["CACHE.GET", "k", &format!("id-{n}-{i}"), "c=read,d=60000"]);
             client.write((0..COMMANDS).map(command).collect::<String>());
         }
         for client in &mut clients {
@@ -203,17 +213,17 @@
             assert!(!refused.is_empty());
             assert!(refused.iter().all(|ms| ms.is_some_and(|ms| (1..=2000).contains(&ms)) == pauses));
         }
-        let refused = node.figure(r#"svc_busy_total{tier="read"}"#);
-        let served = node.figure(r#"svc_success_total{tier="read"}"#);
+        let refused = node.metric(r#"svc_busy_total{tier="read"}"#);
+        let served = node.metric(r#"svc_success_total{tier="read"}"#);
         assert_eq!(refused + served, (CLIENTS * COMMANDS) as f64);
     }
 }
 
 /// A client's next answer, while the cache answers whatever it is asked.
-fn next_answer(client: &mut Client, cache: &Fake) -> String {
+fn next_answer(client: &mut Client, cache: &FakeServer) -> String {
     loop {
-        cache.called().into_iter().for_each(|call| call.value("v"));
-        if let Some(answer) = client.try_answer() {
+        cache.try_next_call().into_iter().for_each(|call| call.reply_value("v"));
+        if let Some(answer) = client.try_read_reply() {
             return answer;
         }
     }
