--- a/crates/cli/tests/client_ends.rs
+++ b/crates/cli/tests/client_ends.rs
@@ -1,7 +1,7 @@
-//! A client that has closed or called off has gone: 0.1 s later nothing begins for it any more.
+//! A client that closes, half-closes or resets its connection has disconnected: 0.1 s later no attempt starts for it.
 //!
-//! The tests don't measure that time, they are arranged round it: the clients leave, 0.1 s pass, the node shows by
-//! two answers that it has had its turn since, and only then what it would do too late becomes possible.
+//! The tests don't measure that time, but rely on it: the clients disconnect, 0.1 s pass, the node shows by two replies
+//! that it has run since, and only then does the step become possible that it must not take any more.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -14,49 +14,49 @@
 use socket2::SockRef;
 
 const CACHE: &str = "s-5be2a07c";
-/// What begins later than this after its client's end is too late.
-const LATE: Duration = Duration::from_millis(100);
-const BURST: usize = 1_000;
+/// An attempt that starts later than this after its client's disconnect is too late.
+const DISCONNECT_LIMIT: Duration = Duration::from_millis(100);
+const BURST_CLIENTS: usize = 1_000;
 
-/// How clients leave.
+/// How a client disconnects.
 #[derive(Clone, Copy, PartialEq)]
-enum End {
+enum Disconnect {
     Closes,
     HalfCloses,
     Resets,
 }
 
-const ENDS: [End; 3] = [End::Closes, End::HalfCloses, End::Resets];
+const DISCONNECTS: [Disconnect; 3] = [Disconnect::Closes, Disconnect::HalfCloses, Disconnect::Resets];
 
-/// Ends a client's connection; what is returned keeps it half open.
-fn end(client: Client, how: End) -> Option<Client> {
+/// Disconnects a client; the returned client, if any, keeps the connection half open.
+fn disconnect(client: Client, how: Disconnect) -> Option<Client> {
     match how {
-        End::Closes => None,
-        End::HalfCloses => {
+        Disconnect::Closes => None,
+        Disconnect::HalfCloses => {
             client.stream().shutdown(Shutdown::Write).unwrap();
             Some(client)
         }
-        End::Resets => {
+        Disconnect::Resets => {
             SockRef::from(client.stream()).set_linger(Some(Duration::ZERO)).unwrap();
             None
         }
     }
 }
 
-/// Settings under which a connection may take as long as the test wants.
-fn patient() -> String {
+/// Settings with a connect timeout that no test reaches.
+fn settings_without_connect_timeout() -> String {
     SETTINGS.replace(r#""ConnectTimeout":10000.0"#, r#""ConnectTimeout":600000.0"#)
 }
 
-struct Scene {
+struct Fixture {
     cache: FakeServer,
     origin: BackloggedServer,
     node: Node,
 }
 
-impl Scene {
-    /// A node with one cache, and an origin to which connections don't come up yet.
-    fn new(settings: &str) -> Scene {
+impl Fixture {
+    /// A node with one cache, and an origin to which connections stay in progress.
+    fn new(settings: &str) -> Fixture {
         let (cache, origin) = (FakeServer::cache(), BackloggedServer::http());
         let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
         let node = NodeOptions {
@@ -65,163 +65,180 @@
             operator: true,
             ..NodeOptions::new(&known, FakeServer::http().addr)
         };
-        Scene { cache, origin, node: node.start() }
+        Fixture { cache, origin, node: node.start() }
     }
 
-    /// Lets the time pass after which nothing may begin, and the node have its turn after it.
-    fn late(&self) {
-        let mut witness = self.node.client();
-        thread::sleep(LATE);
-        witness.ping();
-        witness.ping();
+    /// Lets the time pass after which no attempt may start, and lets the node run after it.
+    fn wait_past_disconnect_limit(&self) {
+        let mut other_client = self.node.client();
+        thread::sleep(DISCONNECT_LIMIT);
+        other_client.ping();
+        other_client.ping();
     }
 
-    /// Nothing comes to the cache any more but what is asked for now.
-    fn only_the_next_is_asked_for(&self) {
+    /// Asserts that the cache gets no request but the one that is sent now.
+    fn assert_cache_gets_only_a_new_read(&self) {
         let mut client = self.node.client();
         client.send(&["CACHE.GET", "k", "the-next", "c=read,d=60000"]);
         let call = self.cache.next_call();
-        assert_eq!(call.words[2], "the-next", "begun late");
+        assert_eq!(call.words[2], "the-next", "started after the limit");
         call.reply_value("w");
         assert_eq!(client.read_reply().as_deref(), Some("w"));
-        assert!(self.cache.try_next_call().is_none(), "begun late");
+        assert!(self.cache.try_next_call().is_none(), "started after the limit");
     }
 
-    /// From here on connections to the origin come up; nothing may come on them but for who comes now.
-    fn only_the_next_is_sent_on(self) {
+    /// Accepts the connections to the origin, and asserts that it gets no request but the one that is sent now.
+    fn assert_origin_gets_only_a_new_write(self) {
         let origin = self.origin.accept_connections();
         let mut client = self.node.client();
         client.send(&["CACHE.SET", "k", "the-next", "c=put,d=60000,k=9", "v"]);
         let call = origin.next_call();
-        assert!(call.words.contains(&"x-correlation-id: the-next".into()), "begun late: {:?}", call.words);
+        assert!(
+            call.words.contains(&"x-correlation-id: the-next".into()),
+            "started after the limit: {:?}",
+            call.words
+        );
         call.reply_http("200 OK", "v");
         assert_eq!(client.read_reply().as_deref(), Some("v"));
-        assert!(origin.try_next_call().is_none(), "begun late");
+        assert!(origin.try_next_call().is_none(), "started after the limit");
     }
 }
 
+/// Guards against an attempt that is sent once its connection comes up, though its client has disconnected meanwhile.
 #[test]
-fn who_is_read() {
-    for how in ENDS {
-        let scene = Scene::new(&patient());
-        let mut client = scene.node.client();
+fn disconnect_of_a_client_that_the_node_reads_stops_its_attempt() {
+    for how in DISCONNECTS {
+        let fixture = Fixture::new(&settings_without_connect_timeout());
+        let mut client = fixture.node.client();
         client.send_set("k", "c=put,d=60000,k=1", "v");
-        scene.origin.wait_for_connecting(1);
-        let _half = end(client, how);
-        scene.late();
-        assert_eq!(scene.node.metric("svc_leave_seen_seconds_count"), 1.0);
-        assert_eq!(scene.node.metric("svc_attempts_after_leave_total"), 0.0);
-        scene.only_the_next_is_sent_on();
+        fixture.origin.wait_for_connecting(1);
+        let _half = disconnect(client, how);
+        fixture.wait_past_disconnect_limit();
+        assert_eq!(fixture.node.metric("svc_leave_seen_seconds_count"), 1.0);
+        assert_eq!(fixture.node.metric("svc_attempts_after_leave_total"), 0.0);
+        fixture.assert_origin_gets_only_a_new_write();
     }
 }
 
+/// Guards against a disconnect that goes unnoticed because the node stops reading a connection to which it owes the
+/// maximum number of replies.
 #[test]
-fn who_is_not_read_behind_as_many_answers_as_may_be_owed() {
-    for how in ENDS {
-        let scene = Scene::new(&patient());
-        let mut client = scene.node.client();
+fn disconnect_is_noticed_while_reading_pauses_at_the_pending_reply_limit() {
+    for how in DISCONNECTS {
+        let fixture = Fixture::new(&settings_without_connect_timeout());
+        let mut client = fixture.node.client();
         client.send_set("k", "c=put,d=60000,k=1", "v");
-        scene.origin.wait_for_connecting(1);
+        fixture.origin.wait_for_connecting(1);
         client.write(encode_command(&["PING"]).repeat(6_000));
-        let _half = end(client, how);
-        scene.late();
-        scene.only_the_next_is_sent_on();
+        let _half = disconnect(client, how);
+        fixture.wait_past_disconnect_limit();
+        fixture.assert_origin_gets_only_a_new_write();
     }
 }
 
+/// Guards against a disconnect that goes unnoticed because the node waits for the client to take a long value.
 #[test]
-fn who_does_not_take_the_long_value_that_is_written_to_it() {
+fn disconnect_is_noticed_while_a_long_value_is_written_to_the_client() {
     const LONG: usize = BYTES_BEYOND_BUFFERS;
-    for how in ENDS {
-        let scene = Scene::new(&patient());
-        let mut client = scene.node.client_with_small_receive_buffer();
+    for how in DISCONNECTS {
+        let fixture = Fixture::new(&settings_without_connect_timeout());
+        let mut client = fixture.node.client_with_small_receive_buffer();
         client.send_get("k", "c=read,d=60000");
         client.send(&["CACHE.SET", "l", "behind-it", "c=put,d=60000,k=1", "v"]);
-        let mut call = scene.cache.next_call();
-        scene.origin.wait_for_connecting(1);
+        let mut call = fixture.cache.next_call();
+        fixture.origin.wait_for_connecting(1);
         let value = thread::spawn(move || {
             call.try_reply(&format!("*3\r\n${LONG}\r\n{}\r\n$3\r\nhit\r\n$-1\r\n", "x".repeat(LONG)));
         });
         assert_eq!(client.read_line(), format!("${LONG}"));
-        let _half = end(client, how);
-        scene.late();
-        scene.only_the_next_is_sent_on();
+        let _half = disconnect(client, how);
+        fixture.wait_past_disconnect_limit();
+        fixture.assert_origin_gets_only_a_new_write();
         value.join().unwrap();
     }
 }
 
+/// Guards against a waiting read that is sent once another one ends, though its client has disconnected.
 #[test]
-fn who_waits_for_a_place() {
-    // As many as are out at once at a node that has just started; the next one waits for a place.
-    const PLACES: usize = 8;
-    for how in ENDS {
-        let scene = Scene::new(&patient());
-        let mut all = scene.node.client();
-        for n in 0..PLACES {
-            all.send(&["CACHE.GET", &format!("k-{n}"), &format!("out-{n}"), "c=read,d=60000"]);
+fn read_in_the_admission_queue_is_dropped_when_its_client_disconnects() {
+    // As many requests as a node that has just started has in flight at once; the next one waits in the admission queue.
+    const CONCURRENCY_LIMIT: usize = 8;
+    for how in DISCONNECTS {
+        let fixture = Fixture::new(&settings_without_connect_timeout());
+        let mut busy_client = fixture.node.client();
+        for n in 0..CONCURRENCY_LIMIT {
+            busy_client.send(&["CACHE.GET", &format!("k-{n}"), &format!("out-{n}"), "c=read,d=60000"]);
         }
-        let calls: Vec<Call> = (0..PLACES).map(|_| scene.cache.next_call()).collect();
-        let mut client = scene.node.client();
+        let calls: Vec<Call> = (0..CONCURRENCY_LIMIT).map(|_| fixture.cache.next_call()).collect();
+        let mut client = fixture.node.client();
         client.send(&["CACHE.GET", "k", "waits", "c=read,d=60000"]);
-        let _half = end(client, how);
-        scene.late();
+        let _half = disconnect(client, how);
+        fixture.wait_past_disconnect_limit();
         for call in calls {
             call.reply_value("v");
         }
-        for _ in 0..PLACES {
-            assert_eq!(all.read_reply().as_deref(), Some("v"));
+        for _ in 0..CONCURRENCY_LIMIT {
+            assert_eq!(busy_client.read_reply().as_deref(), Some("v"));
         }
-        scene.only_the_next_is_asked_for();
+        fixture.assert_cache_gets_only_a_new_read();
     }
 }
 
+/// Guards against a retry for a client that has disconnected, where the first attempt ends after the disconnect.
 #[test]
-fn who_has_an_attempt_that_would_be_tried_again() {
-    // Once more without leave to cancel: the attempt then runs on, and its end makes no other.
-    for settings in [patient(), patient().replace(r#""Cancel":true"#, r#""Cancel":false"#)] {
-        let scene = Scene::new(&settings);
-        let mut client = scene.node.client();
+fn attempt_of_a_disconnected_client_is_not_retried() {
+    // The second case forbids cancelling: the attempt then goes on, and its end starts no other one.
+    for settings in [
+        settings_without_connect_timeout(),
+        settings_without_connect_timeout().replace(r#""Cancel":true"#, r#""Cancel":false"#),
+    ] {
+        let fixture = Fixture::new(&settings);
+        let mut client = fixture.node.client();
         client.send(&["CACHE.GET", "k", "gone", "c=read,d=60000"]);
-        let mut call = scene.cache.next_call();
+        let mut call = fixture.cache.next_call();
         drop(client);
-        scene.late();
+        fixture.wait_past_disconnect_limit();
         call.try_reply("-BUSY 1\r\n");
-        scene.only_the_next_is_asked_for();
+        fixture.assert_cache_gets_only_a_new_read();
     }
 }
 
+/// Guards against a fetch that is repeated for one waiting client after the other, when 1,000 clients of a single
+/// flight disconnect at once.
 #[test]
-fn a_burst_of_clients_that_wait_for_one_fetch_and_leave_at_once() {
-    let scene = Scene::new(&patient());
-    let clients: Vec<Client> = (0..BURST)
+fn no_fetch_starts_after_all_clients_that_wait_for_it_disconnect() {
+    let fixture = Fixture::new(&settings_without_connect_timeout());
+    let clients: Vec<Client> = (0..BURST_CLIENTS)
         .map(|n| {
-            let mut client = scene.node.client();
+            let mut client = fixture.node.client();
             client.send(&["CACHE.GET", "k", &format!("id-{n}"), "c=read,d=60000"]);
-            scene.cache.next_call().reply_miss();
+            fixture.cache.next_call().reply_miss();
             client
         })
         .collect();
-    scene.origin.wait_for_connecting(1);
+    fixture.origin.wait_for_connecting(1);
     drop(clients);
-    scene.late();
-    scene.only_the_next_is_sent_on();
+    fixture.wait_past_disconnect_limit();
+    fixture.assert_origin_gets_only_a_new_write();
 }
 
+/// Guards against attempts for clients that sent requests and disconnected while the node was stopped: it has to read
+/// all of the requests before it comes to the end of the connection.
 #[test]
-fn a_burst_of_clients_that_ask_and_leave_at_once() {
-    // The more they ask for, the more turns it takes to read what stands before their end.
-    for (open, key) in [(1, "k"), (60, "k"), (60, &*"k".repeat(500))] {
-        let scene = Scene::new(&patient());
-        let clients: Vec<Client> = (0..BURST)
+fn no_attempt_starts_for_clients_that_disconnect_right_after_their_requests() {
+    // The more requests a client sends, the more reads it takes to reach the end of its connection.
+    for (requests, key) in [(1, "k"), (60, "k"), (60, &*"k".repeat(500))] {
+        let fixture = Fixture::new(&settings_without_connect_timeout());
+        let clients: Vec<Client> = (0..BURST_CLIENTS)
             .map(|_| {
-                let mut client = scene.node.client();
+                let mut client = fixture.node.client();
                 client.ping();
                 client
             })
             .collect();
-        scene.node.pause();
+        fixture.node.pause();
         for (n, mut client) in clients.into_iter().enumerate() {
-            let reads = (0..open).map(|m| {
+            let commands = (0..requests).map(|m| {
                 encode_command(&[
                     "CACHE.GET",
                     &format!("{key}-{n}-{m}"),
@@ -229,10 +246,10 @@
                     "c=read,d=60000",
                 ])
             });
-            client.write(reads.collect::<String>());
+            client.write(commands.collect::<String>());
         }
-        thread::sleep(LATE);
-        scene.node.resume();
-        scene.only_the_next_is_asked_for();
+        thread::sleep(DISCONNECT_LIMIT);
+        fixture.node.resume();
+        fixture.assert_cache_gets_only_a_new_read();
     }
 }
--- a/crates/cli/tests/clocks.rs
+++ b/crates/cli/tests/clocks.rs
@@ -1,8 +1,8 @@
-//! A machine's wall clock may be an hour off, or be stepped while a node runs: a server that has just started is spared
-//! all the same, and for no longer than it is cold.
+//! A machine's wall clock may be an hour off, or be stepped while a node runs: a server that has just started is in slow
+//! start all the same, and for no longer than it is cold.
 //!
-//! How many reads a server in slow start gets depends on how long they take, so that each call is judged by the quota at
-//! its own time.
+//! How many reads a server in slow start gets depends on how long they take, so that each call is checked against the
+//! quota at its own time.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -17,35 +17,36 @@
 use stonefold_faults::{FaultPlan, library_beside};
 
 const HOUR_MS: i64 = 3_600_000;
-const WARM: &str = "s-5be2a07c";
-const STARTED: &str = "s-9c41d2f0";
-/// A started server is warm after this time in these tests: long against what the reads of one round take on a busy
-/// machine, in which it warms up already.
-const COLD: Duration = Duration::from_secs(6);
+const WARM_ID: &str = "s-5be2a07c";
+const STARTED_ID: &str = "s-9c41d2f0";
+/// A started server is warm after this time in these tests. It is long compared to the time that the reads of one round
+/// take on a busy machine, during which the server warms up already.
+const SLOW_START: Duration = Duration::from_secs(6);
 /// The part of its capacity that a server has at its start.
-const COLD_FROM: f64 = 0.2;
-/// A server in slow start is overloaded by this multiple of its capacity ...
+const START_CAPACITY: f64 = 0.2;
+/// A server in slow start is overloaded by this multiple of its capacity within [`OVERLOAD_WINDOW`].
 const OVERLOAD_FACTOR: f64 = 3.0;
-/// ... within a window of this length.
+/// The window in which the calls to a server in slow start are counted.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
-/// A node's estimate of its load forgets in this part of the time in which a server warms up.
-const LOAD_MEMORY: f64 = 0.25;
+/// A node's estimate of its load decays over this part of the time in which a server warms up.
+const LOAD_DECAY: f64 = 0.25;
 const READS: usize = 200;
-/// Times in the log are whole microseconds of a clock that is read apart from the test's.
-const ROUNDING: Duration = Duration::from_millis(1);
-/// By now what has happened before is in the log, which a thread of its own writes.
+/// The tolerance for times in the log, which are whole microseconds of a clock that the node reads at another instant than
+/// the test.
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(1);
+/// After this time an event is in the log, which a separate thread of the node writes.
 const LOG_DELAY: Duration = Duration::from_millis(200);
-/// Logs each attempt at a server that warms up.
-const TRACED: &str = "exec \"$0\" node --log info,stonefold_node::driver=trace";
+/// A shell command that starts the node with a log line for each attempt at a server in slow start.
+const SHELL_WITH_TRACE: &str = "exec \"$0\" node --log info,stonefold_node::driver=trace";
 
-/// A call that a cache got.
+/// A request that a cache received.
 struct Arrival {
     id: String,
     at: Instant,
 }
 
-/// A cache that answers whatever it is asked, and tells of each call.
-fn answering(cache: FakeServer) -> Receiver<Arrival> {
+/// Lets a cache answer each request, and returns a channel that reports them.
+fn answer_all(cache: FakeServer) -> Receiver<Arrival> {
     let (to, calls) = channel();
     thread::spawn(move || {
         loop {
@@ -54,7 +55,7 @@
                 continue;
             };
             let arrived = Arrival { id: call.words[2].clone(), at: Instant::now() };
-            // Told before the answer, so that whoever has the answer knows of the call.
+            // Reported before the reply, so that a client which has the reply finds the report.
             if to.send(arrived).is_err() {
                 return;
             }
@@ -64,15 +65,15 @@
     calls
 }
 
-/// What came of the reads of one round.
+/// The reads of one round.
 struct Round {
     /// When each read was sent.
     sent: Vec<Instant>,
-    /// The calls that the started server got, in their order.
+    /// The calls that the started server received, in this order.
     calls: Vec<Arrival>,
 }
 
-/// Reads of different keys, one after the other.
+/// Reads different keys, one after the other.
 fn read_all(node: &Node, started: &Receiver<Arrival>) -> Round {
     started.try_iter().for_each(drop);
     let mut client = node.client();
@@ -91,18 +92,18 @@
     assert_eq!(client.read_reply().as_deref(), Some("v"));
 }
 
-/// When something happened: not before the first, and not after the second.
+/// The bounds of the instant at which something happened.
 #[derive(Clone, Copy)]
-struct Between {
+struct TimeBounds {
     earliest: Instant,
     latest: Instant,
 }
 
-/// Answers discovery's caller with this change of the list until the node has read it; returns its next call, which waits
-/// for the next change. A call that it has given up in the meantime is answered too, to nobody.
-fn tell(discovery: &FakeServer, waiting: Call, version: u64, servers: &str) -> Call {
+/// Answers the node's calls to discovery with this change of the list until the node has read it; returns the next call,
+/// which waits for the next change. A call that the node has given up meanwhile is answered, too, without effect.
+fn publish_change(discovery: &FakeServer, watch: Call, version: u64, servers: &str) -> Call {
     let list = format!(r#"{{"version":{version},"full":false,"servers":[{servers}]}}"#);
-    let mut call = waiting;
+    let mut call = watch;
     while !call.words[1].contains(&format!("after={version}&")) {
         call.try_reply_http("200 OK", &list);
         call = discovery.next_call();
@@ -110,7 +111,8 @@
     call
 }
 
-/// The age that the node logged for a server in slow start, as it sent it a read.
+/// The id of a read and the age of its server, from the line that the node logged when it sent the read to a server in slow
+/// start.
 fn logged_age(line: &str) -> (String, Duration) {
     let field = |name: &str| {
         let (_, rest) = line.split_once(&format!("{name}=")).unwrap_or_else(|| panic!("no {name}: {line}"));
@@ -119,21 +121,22 @@
     (field("request"), Duration::from_micros(field("age_us").parse().unwrap()))
 }
 
-/// Asserts that the node knew at each call since when the server runs, and that it was warming up.
-fn assert_start_known(
-    what: &str,
+/// Asserts that the node knew at each call when the server had started, and that the server was in slow start.
+fn assert_ages_known(
+    case: &str,
     round: &Round,
     events: &Receiver<String>,
-    started: Between,
-    cold: Duration,
+    started: TimeBounds,
+    slow_start: Duration,
 ) {
     let mut ages: HashMap<String, Duration> = HashMap::new();
-    for call in round.calls.iter().filter(|call| call.at < started.earliest + cold) {
-        // A thread of its own writes the log: a line may come after its answer.
+    for call in round.calls.iter().filter(|call| call.at < started.earliest + slow_start) {
+        // A separate thread writes the log: a line may come after the reply.
         while !ages.contains_key(&call.id) {
             let line = events.recv_timeout(TEST_TIMEOUT);
-            let line =
-                line.unwrap_or_else(|_| panic!("{what}: read {} went to a server taken for warm", call.id));
+            let line = line.unwrap_or_else(|_| {
+                panic!("{case}: read {} went to a server that the node took for warm", call.id)
+            });
             ages.extend([logged_age(&line)]);
         }
         let age = ages[&call.id];
@@ -141,146 +144,150 @@
         let least = sent.saturating_duration_since(started.latest);
         let most = call.at - started.earliest;
         assert!(
-            age + ROUNDING >= least && age <= most + ROUNDING,
-            "{what}: at read {} the server was {age:?} old to the node, in truth {least:?} to {most:?}",
+            age + CLOCK_TOLERANCE >= least && age <= most + CLOCK_TOLERANCE,
+            "{case}: at read {} the server was {age:?} old to the node, in truth {least:?} to {most:?}",
             call.id
         );
     }
 }
 
-/// Asserts that a server which has started got no more calls in any window than it bears then. The calls are opened to
-/// it gradually within `opening`, from when its start was told.
-fn assert_spared(
-    what: &str,
+/// Asserts that a server in slow start got no more calls in any window than its capacity allowed at that time. Its quota
+/// opens gradually within `opening`, from when its start was published.
+fn assert_within_quota(
+    case: &str,
     round: &Round,
-    told: Between,
+    published: TimeBounds,
     started: Instant,
-    cold: Duration,
+    slow_start: Duration,
     opening: Duration,
 ) {
-    // The node knows of no more load than all reads so far.
-    let known_load = 2.0 * READS as f64 / (cold.as_secs_f64() * LOAD_MEMORY);
+    // The load that the node knows of is at most all reads so far.
+    let max_known_load = 2.0 * READS as f64 / (slow_start.as_secs_f64() * LOAD_DECAY);
     let calls: Vec<Instant> = round.calls.iter().map(|call| call.at).collect();
     for (n, &at) in calls.iter().enumerate() {
-        let age = (at - started).as_secs_f64() / cold.as_secs_f64();
+        let age = (at - started).as_secs_f64() / slow_start.as_secs_f64();
         if age >= 1.0 {
             return;
         }
-        let capacity = known_load / 2.0 * (COLD_FROM + (1.0 - COLD_FROM) * age);
+        let capacity = max_known_load / 2.0 * (START_CAPACITY + (1.0 - START_CAPACITY) * age);
         let budget = OVERLOAD_FACTOR * capacity * OVERLOAD_WINDOW.as_secs_f64();
-        let open_for = (at - told.earliest).as_secs_f64() / opening.as_secs_f64();
-        let most = (budget + 2.0 * budget.sqrt()) * open_for.min(1.0) + 2.0;
+        let open_part = (at - published.earliest).as_secs_f64() / opening.as_secs_f64();
+        let most = (budget + 2.0 * budget.sqrt()) * open_part.min(1.0) + 2.0;
         let in_window = calls[..=n].iter().filter(|&&call| call + OVERLOAD_WINDOW > at).count();
         assert!(
             in_window as f64 <= most,
-            "{what}: {in_window} calls within a second, {:?} after the start was told; at most {most:.0}",
-            at - told.earliest
+            "{case}: {in_window} calls within a second, {:?} after the start was published; at most {most:.0}",
+            at - published.earliest
         );
     }
 }
 
-/// A server starts while a node runs whose wall clock is so far ahead: the node knows at each call since when it runs,
-/// spares it, and takes it for warm in its time.
-fn starts_beside_a_clock(ahead_ms: i64) {
-    let what = format!("{ahead_ms} ms ahead");
+/// Starts a server while a node runs whose wall clock is this far ahead. Asserts that the node knows at each call when the
+/// server started, keeps to the quota of slow start, and takes the server for warm in time.
+fn check_slow_start_with_clock(ahead_ms: i64) {
+    let case = format!("{ahead_ms} ms ahead");
     let plan = FaultPlan::new(1).unwrap();
     plan.step_clock(ahead_ms).unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
     let (warm, started, origin, discovery) =
         (FakeServer::cache(), FakeServer::cache(), FakeServer::http(), FakeServer::http());
-    let (warm_at, started_at) = (warm.addr, started.addr);
-    let cold = format!(r#""Cold":{}.0"#, COLD.as_millis());
-    let settings = SETTINGS.replace(r#""Cold":20000.0"#, &cold);
-    let known = server_list(41, &[(WARM, warm_at)], origin.addr);
+    let (warm_addr, started_addr) = (warm.addr, started.addr);
+    let slow_start = format!(r#""Cold":{}.0"#, SLOW_START.as_millis());
+    let settings = SETTINGS.replace(r#""Cold":20000.0"#, &slow_start);
+    let known = server_list(41, &[(WARM_ID, warm_addr)], origin.addr);
     let start = NodeOptions {
         settings: &settings,
-        shell: TRACED,
+        shell: SHELL_WITH_TRACE,
         keep_log_open: true,
         ..NodeOptions::new(&known, discovery.addr)
     };
     let mut node = NodeOptions { environment: plan.environment(&library).into(), ..start }.start();
     let events = node.logged_events("attempt_to_warming_server");
-    let (_warm, started) = (answering(warm), answering(started));
-    // What it missed before it ran; and its own load tells a node what servers stand.
-    let watch = tell(&discovery, discovery.next_call(), 42, "");
+    let (_warm, started) = (answer_all(warm), answer_all(started));
+    // The changes since the known list. Then reads give the node a load, from which it derives the servers' capacity.
+    let watch = publish_change(&discovery, discovery.next_call(), 42, "");
     assert_eq!(read_all(&node, &started).calls.len(), 0);
-    // Then a start while it runs.
+    // A server starts while the node runs.
     let earliest = Instant::now();
-    let watch = tell(&discovery, watch, 43, &started_now(STARTED, started_at));
-    read_one(&node); // the driver takes this read after the list
-    let told = Between { earliest, latest: Instant::now() };
+    let watch = publish_change(&discovery, watch, 43, &entry_started_now(STARTED_ID, started_addr));
+    read_one(&node); // the driver handles this read after the list
+    let published = TimeBounds { earliest, latest: Instant::now() };
     let round = read_all(&node, &started);
-    assert_start_known(&what, &round, &events, told, COLD);
-    assert_spared(&what, &round, told, told.earliest, COLD, OVERLOAD_WINDOW);
-    // Alone it gets all reads, as no server does that is taken for cold.
-    thread::sleep((told.latest + COLD).saturating_duration_since(Instant::now()));
-    let _watch = tell(&discovery, watch, 44, &server_entry(WARM, warm_at, "m", "DRAINING"));
+    assert_ages_known(&case, &round, &events, published, SLOW_START);
+    assert_within_quota(&case, &round, published, published.earliest, SLOW_START, OVERLOAD_WINDOW);
+    // As the only cache it now gets all reads, which a server in slow start would not.
+    thread::sleep((published.latest + SLOW_START).saturating_duration_since(Instant::now()));
+    let _watch = publish_change(&discovery, watch, 44, &server_entry(WARM_ID, warm_addr, "m", "DRAINING"));
     read_one(&node);
     events.try_iter().for_each(drop);
     let round = read_all(&node, &started);
     let reached: HashSet<&str> = round.calls.iter().map(|call| call.id.as_str()).collect();
-    assert_eq!(reached.len(), READS, "{what}: once it is warm");
+    assert_eq!(reached.len(), READS, "{case}: once the server is warm");
     thread::sleep(LOG_DELAY);
-    assert_eq!(events.try_iter().next(), None, "{what}: once it is warm");
+    assert_eq!(events.try_iter().next(), None, "{case}: once the server is warm");
 }
 
-/// Guards against a start that is believed to be as far off as the wall clock is.
+/// Guards against a start time that is wrong by as much as the wall clock of the node: up to an hour ahead or behind.
 #[test]
-fn a_server_that_starts_is_spared_by_a_node_whose_wall_clock_is_an_hour_off() {
+fn slow_start_is_kept_by_a_node_whose_wall_clock_is_wrong() {
     const AHEAD_MS: [i64; 5] = [0, HOUR_MS, 5_000, -5_000, -HOUR_MS];
-    // All beside each other, so that none has the machine to itself.
+    // All cases run at once, so that none has the machine to itself.
     thread::scope(|scope| {
-        let cases = AHEAD_MS.map(|ahead_ms| scope.spawn(move || starts_beside_a_clock(ahead_ms)));
+        let cases = AHEAD_MS.map(|ahead_ms| scope.spawn(move || check_slow_start_with_clock(ahead_ms)));
         for case in cases {
             case.join().unwrap();
         }
     });
 }
 
-/// Guards against a clock ahead at the first list being believed after a start shows what time it is.
+/// Guards against a clock that was an hour ahead at the first list and is still believed after a later start shows what
+/// time it is: the servers of the first list would count as warm.
 #[test]
-fn a_start_that_is_told_shows_a_clock_that_was_ahead_when_the_first_list_came() {
-    /// As the settings have it.
-    const COLD: Duration = Duration::from_secs(20);
+fn published_start_corrects_a_clock_that_was_ahead_at_the_first_list() {
+    /// The time in the settings.
+    const SLOW_START: Duration = Duration::from_secs(20);
     let plan = FaultPlan::new(2).unwrap();
     plan.step_clock(HOUR_MS).unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
     let (warm, started, next) = (FakeServer::cache(), FakeServer::cache(), FakeServer::cache());
     let (origin, discovery) = (FakeServer::http(), FakeServer::http());
-    // One has started right before the node, another starts while it runs.
+    // One server starts right before the node, another while the node runs.
     let started_earliest = Instant::now();
     let entries = [
-        server_entry(WARM, warm.addr, "m", "SERVING"),
-        started_now(STARTED, started.addr),
+        server_entry(WARM_ID, warm.addr, "m", "SERVING"),
+        entry_started_now(STARTED_ID, started.addr),
         server_entry("o", origin.addr, "origin", "SERVING"),
     ];
     let started_latest = Instant::now();
     let known = format!(r#"{{"version":41,"full":true,"servers":[{}]}}"#, entries.join(","));
-    let start =
-        NodeOptions { shell: TRACED, keep_log_open: true, ..NodeOptions::new(&known, discovery.addr) };
+    let start = NodeOptions {
+        shell: SHELL_WITH_TRACE,
+        keep_log_open: true,
+        ..NodeOptions::new(&known, discovery.addr)
+    };
     let mut node = NodeOptions { environment: plan.environment(&library).into(), ..start }.start();
     let events = node.logged_events("attempt_to_warming_server");
-    let next_at = next.addr;
-    let (_warm, started, _next) = (answering(warm), answering(started), answering(next));
-    let watch = tell(&discovery, discovery.next_call(), 42, "");
+    let next_addr = next.addr;
+    let (_warm, started, _next) = (answer_all(warm), answer_all(started), answer_all(next));
+    let watch = publish_change(&discovery, discovery.next_call(), 42, "");
     let taken_for_warm = read_all(&node, &started);
     assert!(taken_for_warm.calls.len() * 3 > READS, "{} of {READS}", taken_for_warm.calls.len());
     let earliest = Instant::now();
-    let _watch = tell(&discovery, watch, 43, &started_now("s-next", next_at));
-    read_one(&node); // the driver takes this read after the list
-    let told = Between { earliest, latest: Instant::now() };
+    let _watch = publish_change(&discovery, watch, 43, &entry_started_now("s-next", next_addr));
+    read_one(&node); // the driver handles this read after the list
+    let published = TimeBounds { earliest, latest: Instant::now() };
     let spared = read_all(&node, &started);
-    // The delay of the report counts as a part of what the clock is ahead: the start seems later by as much.
-    let known_start =
-        Between { earliest: started_earliest, latest: started_latest + (told.latest - earliest) };
-    assert_start_known("corrected", &spared, &events, known_start, COLD);
-    // The node is younger than the server: its quota is open whole some time after its own start.
+    // The node takes the delay of the publication for a part of its clock's error: the start seems later by as much.
+    let start_as_known =
+        TimeBounds { earliest: started_earliest, latest: started_latest + (published.latest - earliest) };
+    assert_ages_known("corrected", &spared, &events, start_as_known, SLOW_START);
+    // The node is younger than the server: the server's whole quota is open soon after the node's start.
     let opening = Duration::from_nanos(1);
-    assert_spared("corrected", &spared, told, started_earliest, COLD, opening);
+    assert_within_quota("corrected", &spared, published, started_earliest, SLOW_START, opening);
 }
 
-/// The entry of a server that has started now, by the true time.
-fn started_now(id: &str, server: SocketAddr) -> String {
+/// The list entry of a server that starts now, by the true time.
+fn entry_started_now(id: &str, server: SocketAddr) -> String {
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
     server_entry(id, server, "m", "SERVING")
         .replace(r#""started_ms":0"#, &format!(r#""started_ms":{now_ms}"#))
