--- a/crates/cli/tests/clocks.rs
+++ b/crates/cli/tests/clocks.rs
@@ -21,7 +21,7 @@
 const STARTED_ID: &str = "s-9c41d2f0";
 /// A started server is warm after this time in these tests. It is long compared to the time that the reads of one round
 /// take on a busy machine, during which the server warms up already.
-const SLOW_START: Duration = Duration::from_secs(6);
+const SLOW_START_TIME: Duration = Duration::from_secs(6);
 /// The part of its capacity that a server has at its start.
 const START_CAPACITY: f64 = 0.2;
 /// A server in slow start is overloaded by this multiple of its capacity within [`OVERLOAD_WINDOW`].
@@ -192,7 +192,7 @@
     let (warm, started, origin, discovery) =
         (FakeServer::cache(), FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let (warm_addr, started_addr) = (warm.addr, started.addr);
-    let slow_start = format!(r#""Cold":{}.0"#, SLOW_START.as_millis());
+    let slow_start = format!(r#""Cold":{}.0"#, SLOW_START_TIME.as_millis());
     let settings = SETTINGS.replace(r#""Cold":20000.0"#, &slow_start);
     let known = server_list(41, &[(WARM_ID, warm_addr)], origin.addr);
     let start = NodeOptions {
@@ -213,10 +213,10 @@
     read_one(&node); // the driver handles this read after the list
     let published = TimeBounds { earliest, latest: Instant::now() };
     let round = read_all(&node, &started);
-    assert_ages_known(&case, &round, &events, published, SLOW_START);
-    assert_within_quota(&case, &round, published, published.earliest, SLOW_START, OVERLOAD_WINDOW);
+    assert_ages_known(&case, &round, &events, published, SLOW_START_TIME);
+    assert_within_quota(&case, &round, published, published.earliest, SLOW_START_TIME, OVERLOAD_WINDOW);
     // As the only cache it now gets all reads, which a server in slow start would not.
-    thread::sleep((published.latest + SLOW_START).saturating_duration_since(Instant::now()));
+    thread::sleep((published.latest + SLOW_START_TIME).saturating_duration_since(Instant::now()));
     let _watch = publish_change(&discovery, watch, 44, &server_entry(WARM_ID, warm_addr, "m", "DRAINING"));
     read_one(&node);
     events.try_iter().for_each(drop);
@@ -245,7 +245,7 @@
 #[test]
 fn published_start_corrects_a_clock_that_was_ahead_at_the_first_list() {
     /// The time in the settings.
-    const SLOW_START: Duration = Duration::from_secs(20);
+    const SLOW_START_TIME: Duration = Duration::from_secs(20);
     let plan = FaultPlan::new(2).unwrap();
     plan.step_clock(HOUR_MS).unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
@@ -276,14 +276,14 @@
     let _watch = publish_change(&discovery, watch, 43, &entry_started_now("s-next", next_addr));
     read_one(&node); // the driver handles this read after the list
     let published = TimeBounds { earliest, latest: Instant::now() };
-    let spared = read_all(&node, &started);
+    let in_slow_start = read_all(&node, &started);
     // The node takes the delay of the publication for a part of its clock's error: the start seems later by as much.
     let start_as_known =
         TimeBounds { earliest: started_earliest, latest: started_latest + (published.latest - earliest) };
-    assert_ages_known("corrected", &spared, &events, start_as_known, SLOW_START);
+    assert_ages_known("corrected", &in_slow_start, &events, start_as_known, SLOW_START_TIME);
     // The node is younger than the server: the server's whole quota is open soon after the node's start.
     let opening = Duration::from_nanos(1);
-    assert_within_quota("corrected", &spared, published, started_earliest, SLOW_START, opening);
+    assert_within_quota("corrected", &in_slow_start, published, started_earliest, SLOW_START_TIME, opening);
 }
 
 /// The list entry of a server that starts now, by the true time.
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -1,5 +1,5 @@
-//! A node whose system calls fail: short and interrupted ones, and those that want for something for a moment. No
-//! request goes without its answer.
+//! A node whose system calls are cut short, interrupted, or fail for a moment for want of a resource. Every request gets
+//! its reply.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -14,170 +14,175 @@
 use stonefold_faults::{Fault, FaultPlan, library_beside};
 
 const CACHE: &str = "s-5be2a07c";
-/// Fewer than a node that has just started sends at once: more would wait for a place, and be refused, without any fault.
+/// Fewer clients than the requests that a node which has just started sends at once: more requests would wait in the
+/// admission queue and be rejected even without a fault.
 const CLIENTS: usize = 6;
-const READS: usize = 100;
-/// A client takes a request for never answered after this time, which is far over its wait.
-const NEVER: Duration = Duration::from_secs(6);
-const VALUE: &str = "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n";
+/// The number of reads of each client.
+const READS_PER_CLIENT: usize = 100;
+/// After this time, which is far longer than its deadline, a request counts as unanswered.
+const NEVER_ANSWERED_AFTER: Duration = Duration::from_secs(6);
+const CACHED_VALUE: &str = "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n";
 
-fn library() -> PathBuf {
+fn fault_library() -> PathBuf {
     let program = std::env::current_exe().unwrap();
-    library_beside(&program).expect("the library that makes calls fail, built with this test")
+    library_beside(&program).expect("the fault library, which is built with this test")
 }
 
-/// A server that answers whatever it is asked, until this is dropped.
-struct Answering {
+/// A server that gives the same reply to each request until this value is dropped.
+struct ConstantServer {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Answering {
-    fn with(fake: FakeServer, answer: &'static str) -> Answering {
+impl ConstantServer {
+    fn start(server: FakeServer, answer: &'static str) -> ConstantServer {
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
-        let answering = move || {
+        let reply_to_all = move || {
             while !stopped.load(Ordering::Relaxed) {
-                match fake.try_next_call() {
+                match server.try_next_call() {
                     Some(mut call) => call.try_reply(answer),
                     None => thread::sleep(Duration::from_micros(200)),
                 }
             }
         };
-        Answering { stop, thread: Some(thread::spawn(answering)) }
+        ConstantServer { stop, thread: Some(thread::spawn(reply_to_all)) }
     }
 }
 
-impl Drop for Answering {
+impl Drop for ConstantServer {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// How requests ended.
+/// The number of requests by their outcome.
 #[derive(Debug, Default, Clone, Copy)]
-struct Ended {
+struct Outcomes {
     served: usize,
-    refused: usize,
+    rejected: usize,
     failed: usize,
-    /// The connection was closed before the answer.
+    /// The connection was closed before the reply.
     closed: usize,
-    never: usize,
+    unanswered: usize,
 }
 
-impl Ended {
-    fn add(self, other: Ended) -> Ended {
-        Ended {
+impl Outcomes {
+    fn add(self, other: Outcomes) -> Outcomes {
+        Outcomes {
             served: self.served + other.served,
-            refused: self.refused + other.refused,
+            rejected: self.rejected + other.rejected,
             failed: self.failed + other.failed,
             closed: self.closed + other.closed,
-            never: self.never + other.never,
+            unanswered: self.unanswered + other.unanswered,
         }
     }
 }
 
-/// One client's reads, one after the other; on a new connection after each that was closed.
-fn ask(node: &Node, client: usize) -> Ended {
-    let mut ended = Ended::default();
+/// Sends the reads of one client, one after the other. After a close or a timeout the next read uses a new connection.
+fn send_reads(node: &Node, client: usize) -> Outcomes {
+    let mut outcomes = Outcomes::default();
     let mut connection = None;
-    for n in 0..READS {
+    for n in 0..READS_PER_CLIENT {
         let connected = connection.get_or_insert_with(|| {
             let client = node.client();
-            client.stream().set_read_timeout(Some(NEVER)).unwrap();
+            client.stream().set_read_timeout(Some(NEVER_ANSWERED_AFTER)).unwrap();
             client
         });
         let id = format!("id-{client}-{n}");
         connected.try_write(&encode_command(&["CACHE.GET", &format!("k{n}"), &id, "c=read,d=2000"]));
         match connected.read_outcome() {
-            Outcome::Reply(answer) if answer == "v" => ended.served += 1,
-            Outcome::Reply(answer) if answer.starts_with("-BUSY") => ended.refused += 1,
-            Outcome::Reply(_) => ended.failed += 1,
-            Outcome::Closed => (ended.closed, connection) = (ended.closed + 1, None),
-            Outcome::TimedOut => (ended.never, connection) = (ended.never + 1, None),
+            Outcome::Reply(answer) if answer == "v" => outcomes.served += 1,
+            Outcome::Reply(answer) if answer.starts_with("-BUSY") => outcomes.rejected += 1,
+            Outcome::Reply(_) => outcomes.failed += 1,
+            Outcome::Closed => (outcomes.closed, connection) = (outcomes.closed + 1, None),
+            Outcome::TimedOut => (outcomes.unanswered, connection) = (outcomes.unanswered + 1, None),
         }
     }
-    ended
+    outcomes
 }
 
-/// Reads under these faults, after some without.
-fn under(faults: &[(Fault, f64)]) -> (Ended, FaultPlan, Node) {
+/// Sends reads without faults from one client, then with these faults from all clients.
+fn reads_with_faults(faults: &[(Fault, f64)]) -> (Outcomes, FaultPlan, Node) {
     let plan = FaultPlan::new(7).unwrap();
     let (cache, origin) = (FakeServer::cache(), FakeServer::http());
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
     let start = NodeOptions { operator: true, ..NodeOptions::new(&known, FakeServer::http().addr) };
-    let node = NodeOptions { environment: plan.environment(&library()).into(), ..start }.start();
-    let _cache = Answering::with(cache, VALUE);
-    let _origin = Answering::with(origin, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv");
-    let calm = ask(&node, CLIENTS);
-    assert_eq!(calm.served, READS, "without faults: {calm:?}");
+    let node = NodeOptions { environment: plan.environment(&fault_library()).into(), ..start }.start();
+    let _cache = ConstantServer::start(cache, CACHED_VALUE);
+    let _origin = ConstantServer::start(origin, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv");
+    let without_faults = send_reads(&node, CLIENTS);
+    assert_eq!(without_faults.served, READS_PER_CLIENT, "without faults: {without_faults:?}");
     for &(fault, rate) in faults {
         plan.set(fault, rate).unwrap();
     }
-    let ended = thread::scope(|scope| {
+    let outcomes = thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS)
             .map(|n| {
                 scope.spawn({
                     let node = &node;
-                    move || ask(node, n)
+                    move || send_reads(node, n)
                 })
             })
             .collect();
-        clients.into_iter().map(|client| client.join().unwrap()).fold(Ended::default(), Ended::add)
+        clients.into_iter().map(|client| client.join().unwrap()).fold(Outcomes::default(), Outcomes::add)
     });
     plan.clear().unwrap();
     let injected: u64 = faults.iter().map(|(fault, _)| plan.injected(*fault).unwrap()).sum();
     assert!(injected > 0, "{faults:?} were never injected");
-    (ended, plan, node)
+    (outcomes, plan, node)
 }
 
-/// Every request is answered, and nearly all are served.
-fn all_answered(faults: &[(Fault, f64)], least_served: f64) {
-    let (ended, _plan, node) = under(faults);
-    println!("{faults:?}: {ended:?}");
-    assert_eq!((ended.closed, ended.never), (0, 0), "{faults:?}: {ended:?}");
-    let served = ended.served as f64 / (CLIENTS * READS) as f64;
-    assert!(served >= least_served, "{faults:?}: {ended:?}");
+/// Asserts that every request is answered, and that at least this part of them is served.
+fn assert_all_answered(faults: &[(Fault, f64)], min_served_part: f64) {
+    let (outcomes, _plan, node) = reads_with_faults(faults);
+    println!("{faults:?}: {outcomes:?}");
+    assert_eq!((outcomes.closed, outcomes.unanswered), (0, 0), "{faults:?}: {outcomes:?}");
+    let served_part = outcomes.served as f64 / (CLIENTS * READS_PER_CLIENT) as f64;
+    assert!(served_part >= min_served_part, "{faults:?}: {outcomes:?}");
     assert_eq!(node.metric(r#"svc_invariant_violations_total{invariant="no_close_owing"}"#), 0.0);
 }
 
+/// Guards against bytes that are lost or sent twice when the kernel takes or gives only a part of them.
 #[test]
-fn short_reads_and_writes_cost_no_request_its_answer() {
+fn short_reads_and_writes_leave_every_request_answered() {
     for rate in [0.01, 0.1, 0.3] {
-        all_answered(&[(Fault::ShortRead, rate)], 0.99);
-        all_answered(&[(Fault::ShortWrite, rate)], 0.99);
+        assert_all_answered(&[(Fault::ShortRead, rate)], 0.99);
+        assert_all_answered(&[(Fault::ShortWrite, rate)], 0.99);
     }
 }
 
+/// Guards against a signal that interrupts a system call being taken for the end of a connection.
 #[test]
-fn interrupted_calls_cost_no_request_its_answer() {
+fn interrupted_system_calls_leave_every_request_answered() {
     for rate in [0.01, 0.1, 0.3] {
         let faults = [Fault::InterruptedRead, Fault::InterruptedWrite, Fault::InterruptedWait];
-        all_answered(&faults.map(|fault| (fault, rate)), 0.99);
+        assert_all_answered(&faults.map(|fault| (fault, rate)), 0.99);
     }
 }
 
+/// Guards against requests that are lost because a connection could not be accepted or made for a moment.
 #[test]
-fn calls_that_want_for_something_for_a_moment_cost_no_request_its_answer() {
-    // Few calls make connections, so that one in a hundred would fail none.
+fn accept_socket_and_connect_failures_leave_every_request_answered() {
+    // Only few calls make connections, so that a rate of one in a hundred would make none of them fail.
     for rate in [0.1, 0.3] {
-        all_answered(&[(Fault::Accept, rate), (Fault::Socket, rate), (Fault::Connect, rate)], 0.0);
+        assert_all_answered(&[(Fault::Accept, rate), (Fault::Socket, rate), (Fault::Connect, rate)], 0.0);
     }
 }
 
-/// Guards against a shortage of a moment being paid for by clients that rest.
+/// Guards against idle clients being closed because accepting fails for a moment, though descriptors are free.
 #[test]
-fn a_failed_accept_evicts_nobody_while_descriptors_are_free() {
+fn failed_accept_closes_no_idle_client_while_descriptors_are_free() {
     let plan = FaultPlan::new(7).unwrap();
     let (cache, origin) = (FakeServer::cache(), FakeServer::http());
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
     let start = NodeOptions::new(&known, FakeServer::http().addr);
-    let node = NodeOptions { environment: plan.environment(&library()).into(), ..start }.start();
-    // One has not sent anything yet, and one rests after a command.
-    let mut resting = [node.client(), node.client()];
-    resting[1].ping();
-    // Longer than a new connection is spared in any case.
+    let node = NodeOptions { environment: plan.environment(&fault_library()).into(), ..start }.start();
+    // One client has not sent anything yet, and one is idle after a command.
+    let mut idle = [node.client(), node.client()];
+    idle[1].ping();
+    // This is longer than the time for which a new connection is never closed.
     thread::sleep(Duration::from_millis(400));
     plan.set(Fault::Accept, 1.0).unwrap();
     let mut waiting = node.client();
@@ -185,16 +190,17 @@
     assert!(plan.injected(Fault::Accept).unwrap() > 10, "accept was tried again and again");
     plan.clear().unwrap();
     waiting.ping();
-    for client in &mut resting {
+    for client in &mut idle {
         client.ping();
     }
 }
 
+/// Guards against a broken connection that costs requests on other connections their reply.
 #[test]
-fn connections_that_break_cost_no_request_an_answer_on_others() {
-    let (ended, plan, _node) = under(&[(Fault::BrokenPath, 0.02)]);
+fn broken_connections_leave_requests_on_others_answered() {
+    let (outcomes, plan, _node) = reads_with_faults(&[(Fault::BrokenPath, 0.02)]);
     let broken = plan.injected(Fault::BrokenPath).unwrap() as usize;
-    assert_eq!(ended.never, 0, "{ended:?}");
-    assert!(ended.closed <= broken, "{broken} broken: {ended:?}");
-    assert!(ended.served * 2 >= CLIENTS * READS, "{broken} broken: {ended:?}");
+    assert_eq!(outcomes.unanswered, 0, "{outcomes:?}");
+    assert!(outcomes.closed <= broken, "{broken} broken: {outcomes:?}");
+    assert!(outcomes.served * 2 >= CLIENTS * READS_PER_CLIENT, "{broken} broken: {outcomes:?}");
 }
--- a/crates/cli/tests/folders.rs
+++ b/crates/cli/tests/folders.rs
@@ -1,4 +1,4 @@
-//! A machine whose files and sockets fail for a moment: a node starts all the same, and keeps what it was ordered.
+//! Files and sockets of the machine fail for a moment: a node starts all the same, and keeps the orders of its operators.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -10,40 +10,40 @@
 use stonefold_faults::{Fault, FaultPlan, library_beside};
 
 const CACHE: &str = "s-5be2a07c";
-/// Orders given in a row.
+/// The number of orders given in a row.
 const ORDERS: usize = 40;
-/// Starts in a row.
+/// The number of starts in a row.
 const STARTS: u64 = 8;
 
-/// What stands round a node, and the folder that lasts.
-struct Scene {
+/// The servers around a node, and its state state_folder, which outlasts the process.
+struct Fixture {
     cache: FakeServer,
     origin: FakeServer,
     discovery: FakeServer,
-    folder: tempfile::TempDir,
+    state_folder: tempfile::TempDir,
 }
 
-impl Scene {
-    fn new() -> Scene {
-        let folder = tempfile::tempdir().unwrap();
-        Scene {
+impl Fixture {
+    fn new() -> Fixture {
+        let state_folder = tempfile::tempdir().unwrap();
+        Fixture {
             cache: FakeServer::cache(),
             origin: FakeServer::http(),
             discovery: FakeServer::http(),
-            folder,
+            state_folder,
         }
     }
 
-    fn node(&self, plan: &FaultPlan) -> Node {
+    fn start_node(&self, plan: &FaultPlan) -> Node {
         let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
         let known = server_list(41, &[(CACHE, self.cache.addr)], self.origin.addr);
         let start = NodeOptions { operator: true, ..NodeOptions::new(&known, self.discovery.addr) };
-        let state_dir: Option<&Path> = Some(self.folder.path());
+        let state_dir: Option<&Path> = Some(self.state_folder.path());
         NodeOptions { state_dir, environment: plan.environment(&library).into(), ..start }.start()
     }
 
-    /// Whether a read goes to the cache; else it goes to the origin.
-    fn cache_is_asked(&self, node: &Node) -> bool {
+    /// Sends a read, and returns whether it goes to the cache instead of the origin.
+    fn read_goes_to_cache(&self, node: &Node) -> bool {
         let mut client = node.client();
         client.send_get("k", "c=read,d=5000");
         loop {
@@ -60,11 +60,12 @@
     }
 }
 
+/// Guards against an order that is confirmed but not on disk, or refused, because a single write or sync failed.
 #[test]
-fn orders_are_taken_and_kept_though_writes_and_syncs_fail_now_and_then() {
-    let scene = Scene::new();
+fn orders_survive_a_kill_though_file_writes_and_syncs_fail_sometimes() {
+    let fixture = Fixture::new();
     let plan = FaultPlan::new(3).unwrap();
-    let node = scene.node(&plan);
+    let node = fixture.start_node(&plan);
     plan.set(Fault::FileWrite, 0.05).unwrap();
     plan.set(Fault::FileSync, 0.05).unwrap();
     for n in 0..ORDERS {
@@ -75,67 +76,76 @@
     assert_eq!(node.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     drop(node);
     plan.clear().unwrap();
-    assert!(!scene.cache_is_asked(&scene.node(&plan)), "the last order is in force after a kill");
+    assert!(
+        !fixture.read_goes_to_cache(&fixture.start_node(&plan)),
+        "the last order is in force after a kill"
+    );
 }
 
+/// Guards against an operator who waits for good, and against an order in force that a restart would lose, when the
+/// state file cannot be written.
 #[test]
-fn an_order_is_refused_in_bounded_time_where_nothing_can_be_written_and_changes_nothing() {
-    let scene = Scene::new();
+fn order_is_rejected_without_effect_while_syncs_always_fail() {
+    let fixture = Fixture::new();
     let plan = FaultPlan::new(4).unwrap();
-    let node = scene.node(&plan);
+    let node = fixture.start_node(&plan);
     plan.set(Fault::FileSync, 1.0).unwrap();
     assert!(node.operator_call(format!("DISABLE {CACHE}\n")).starts_with("fail "));
-    assert!(scene.cache_is_asked(&node), "a refused order is not in force");
+    assert!(fixture.read_goes_to_cache(&node), "a rejected order is not in force");
     plan.clear().unwrap();
     assert_eq!(node.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
-    assert!(!scene.cache_is_asked(&node));
+    assert!(!fixture.read_goes_to_cache(&node));
 }
 
+/// Guards against a node that does not start, or starts without its orders, because a read of the state file failed
+/// once.
 #[test]
-fn a_node_starts_and_obeys_what_it_was_ordered_though_reads_fail_now_and_then() {
-    let scene = Scene::new();
+fn node_starts_with_its_orders_though_file_reads_fail_sometimes() {
+    let fixture = Fixture::new();
     let plan = FaultPlan::new(5).unwrap();
-    assert_eq!(scene.node(&plan).operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
+    assert_eq!(fixture.start_node(&plan).operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     plan.set(Fault::FileRead, 0.3).unwrap();
     for n in 0..STARTS {
-        let node = scene.node(&plan);
-        assert!(!scene.cache_is_asked(&node), "start {n}: the order is taken for none");
+        let node = fixture.start_node(&plan);
+        assert!(!fixture.read_goes_to_cache(&node), "start {n}: the order is lost");
     }
     assert!(plan.injected(Fault::FileRead).unwrap() > 0);
 }
 
+/// Guards against a start that fails because a socket could not be made for a moment.
 #[test]
-fn a_node_starts_though_sockets_fail_now_and_then() {
-    let scene = Scene::new();
+fn node_starts_though_socket_calls_fail_sometimes() {
+    let fixture = Fixture::new();
     let plan = FaultPlan::new(6).unwrap();
     plan.set(Fault::Socket, 0.4).unwrap();
     for _ in 0..STARTS {
-        scene.node(&plan).client().ping();
+        fixture.start_node(&plan).client().ping();
     }
     assert!(plan.injected(Fault::Socket).unwrap() > 0);
 }
 
+/// Guards against clients that wait while a reload retries to read its file.
 #[test]
-fn serving_does_not_wait_for_a_configuration_that_cannot_be_read() {
-    const SLOWEST: Duration = Duration::from_millis(400);
-    let scene = Scene::new();
+fn node_serves_while_its_configuration_cannot_be_read() {
+    const MAX_RESPONSE_TIME: Duration = Duration::from_millis(400);
+    let fixture = Fixture::new();
     let plan = FaultPlan::new(8).unwrap();
-    let node = scene.node(&plan);
+    let node = fixture.start_node(&plan);
     let mut client = node.client();
     plan.set(Fault::FileRead, 1.0).unwrap();
     node.reload(&node.config());
     let mut slowest = Duration::ZERO;
     while node.metric("svc_reconfig_failed_total") < 1.0 {
-        let asked = Instant::now();
+        let sent = Instant::now();
         client.ping();
-        slowest = slowest.max(asked.elapsed());
+        slowest = slowest.max(sent.elapsed());
     }
-    assert!(slowest < SLOWEST, "a client waited for {slowest:?}");
+    assert!(slowest < MAX_RESPONSE_TIME, "a client waited for {slowest:?}");
     plan.set(Fault::FileRead, 0.5).unwrap();
     node.reload(&node.config());
     let started = Instant::now();
     while node.metric("svc_reconfig_ok_total") < 1.0 {
-        assert!(started.elapsed() < TEST_TIMEOUT, "not taken though reads fail now and then alone");
+        assert!(started.elapsed() < TEST_TIMEOUT, "not reloaded though reads fail only sometimes");
         client.ping();
     }
 }
