--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -1,4 +1,4 @@
-//! The laboratory as this program hands over to it, and its hollow nodes beside real ones.
+//! The command `stonefold lab`, which starts the program `stonefold-lab`, and hollow nodes compared with real ones.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -17,42 +17,45 @@
 
 const STONEFOLD: &str = env!("CARGO_BIN_EXE_stonefold");
 
+/// Guards against arguments or an exit code that are lost between the two programs, and against an unclear message
+/// where `stonefold-lab` was not built.
 #[test]
-fn the_laboratory_is_a_program_beside_this_one_and_gets_all_arguments() {
+fn lab_command_runs_the_program_beside_it_with_all_arguments() {
     let folder = tempfile::tempdir_in(env!("CARGO_TARGET_TMPDIR")).unwrap();
     let program = folder.path().join("stonefold");
     fs::hard_link(STONEFOLD, &program).unwrap();
-    let call = || {
+    let run = || {
         Command::new(&program)
             .args(["lab", "scale", "plan.toml", "--set", "repeats=4", "--help"])
             .output()
             .unwrap()
     };
 
-    let absent = call();
+    let absent = run();
     assert_eq!(absent.status.code(), Some(1));
-    let said = String::from_utf8(absent.stderr).unwrap();
-    assert!(said.contains("stonefold-lab") && said.contains("cargo build"), "{said}");
+    let message = String::from_utf8(absent.stderr).unwrap();
+    assert!(message.contains("stonefold-lab") && message.contains("cargo build"), "{message}");
 
     let lab = folder.path().join("stonefold-lab");
     fs::write(&lab, "#!/bin/sh\necho \"$@\"\nexit 130\n").unwrap();
     fs::set_permissions(&lab, PermissionsExt::from_mode(0o755)).unwrap();
-    let there = call();
-    assert_eq!(there.status.code(), Some(130), "its exit code is ours");
-    assert_eq!(String::from_utf8(there.stdout).unwrap(), "scale plan.toml --set repeats=4 --help\n");
+    let present = run();
+    assert_eq!(present.status.code(), Some(130), "the exit code is passed on");
+    assert_eq!(String::from_utf8(present.stdout).unwrap(), "scale plan.toml --set repeats=4 --help\n");
 }
 
-/// Tests that start nodes are alone with theirs.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by tests that start nodes, so that only one of them runs at a time.
+static NODES_LOCK: Mutex<()> = Mutex::new(());
 
-fn beside_real_nodes(lasts_ms: u64) -> Hollow {
+/// A measurement of ten hollow nodes beside ten real ones.
+fn hollow_beside_real_nodes(duration_ms: u64) -> Hollow {
     Hollow {
         vary: Vary::Nodes,
         nodes: Count::new(20),
         real_nodes: Count::new(10),
         servers: Count::new(100),
         changes_per_min: Count::new(240),
-        lasts: DurationMillis::new(lasts_ms),
+        lasts: DurationMillis::new(duration_ms),
         catch_up: DurationMillis::new(30_000),
         play: Play::Calm,
         apart: true,
@@ -62,13 +65,15 @@
     }
 }
 
-/// A hollow node says to discovery what a real one says; on a thread of its own it takes of the processor what a real
-/// one does. (Many on one thread take less, since they wake up together: a figure of each run.)
+/// Guards against figures of hollow nodes that say nothing about real ones. A hollow node says to discovery what a real
+/// one says; on a thread of its own it takes as much processor time as a real one. (Many on one thread take less, since
+/// they wake up together: each run reports that figure.)
 #[test]
-fn a_hollow_node_costs_what_a_real_ones_control_does() {
-    let _alone = ALONE.lock();
+fn hollow_node_costs_as_much_as_the_control_of_a_real_one() {
+    let _lock = NODES_LOCK.lock();
     let figures =
-        measure(&beside_real_nodes(8_000), 7, Path::new(STONEFOLD), &CancellationToken::new()).unwrap();
+        measure(&hollow_beside_real_nodes(8_000), 7, Path::new(STONEFOLD), &CancellationToken::new())
+            .unwrap();
     assert_eq!(figures.broken, Vec::<String>::new());
     let ratio = |name: &str| figures.figures[&format!("hollow_to_real_{name}")];
     for name in ["calls_per_s", "wire_bytes_per_s"] {
@@ -77,8 +82,8 @@
     assert!((0.5..1.1).contains(&ratio("core_percent")), "{:?}", figures.figures);
 }
 
-/// Processes that this one has started and that have not ended.
-fn nodes() -> usize {
+/// The number of child processes of this process that have not ended.
+fn running_nodes() -> usize {
     let tasks = fs::read_dir("/proc/self/task").unwrap().map(|task| task.unwrap().path().join("children"));
     let children = tasks.flat_map(fs::read_to_string).collect::<Vec<_>>().concat();
     let runs = |id: &&str| {
@@ -88,27 +93,28 @@
     children.split_whitespace().filter(runs).count()
 }
 
+/// Guards against real nodes that go on running after a measurement was cancelled.
 #[test]
-fn told_to_stop_it_leaves_no_node_behind() {
-    let _alone = ALONE.lock();
+fn cancelled_measurement_leaves_no_node_process_behind() {
+    let _lock = NODES_LOCK.lock();
     let stop = CancellationToken::new();
-    let until = Instant::now() + Duration::from_secs(60);
-    let told = stop.clone();
+    let deadline = Instant::now() + Duration::from_secs(60);
+    let stop_token = stop.clone();
     let stopping = thread::spawn(move || {
-        // Counted before it is told to stop: some may have ended right after.
-        let mut started = nodes();
-        while started < 10 && Instant::now() < until {
+        // Counted before the cancellation, since some may have ended right after it.
+        let mut started = running_nodes();
+        while started < 10 && Instant::now() < deadline {
             thread::sleep(Duration::from_millis(5));
-            started = nodes();
+            started = running_nodes();
         }
-        told.cancel();
+        stop_token.cancel();
         started
     });
-    let ended = measure(&beside_real_nodes(60_000), 7, Path::new(STONEFOLD), &stop);
+    let ended = measure(&hollow_beside_real_nodes(60_000), 7, Path::new(STONEFOLD), &stop);
     assert!(matches!(ended, Err(HollowError::Stopped)), "{:?}", ended.map(|figures| figures.figures));
-    assert_eq!(stopping.join().unwrap(), 10, "all had started");
-    while nodes() > 0 {
-        assert!(Instant::now() < until, "{} nodes are left", nodes());
+    assert_eq!(stopping.join().unwrap(), 10, "all nodes had started");
+    while running_nodes() > 0 {
+        assert!(Instant::now() < deadline, "{} nodes are left", running_nodes());
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/cli/tests/permits.rs
+++ b/crates/cli/tests/permits.rs
@@ -1,4 +1,4 @@
-//! What may be sent is checked right before its first byte, not when it is decided.
+//! Whether a request may be sent is checked right before its first byte, not when the attempt is decided.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -12,11 +12,11 @@
 use socket2::{Domain, Socket, Type};
 
 const CACHE: &str = "s-5be2a07c";
-/// For how long servers discard the repeats of a write in these tests.
-const WINDOW: Duration = Duration::from_millis(2_000);
+/// The deduplication window: for how long servers discard the repeats of a write in this test.
+const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// A listener that takes one connection into its backlog and lets others wait.
-fn narrow_listener() -> (TcpListener, SocketAddr) {
+/// A listener whose backlog holds one connection, while further ones stay in progress.
+fn listener_with_backlog_of_one() -> (TcpListener, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     socket.listen(0).unwrap();
@@ -25,21 +25,23 @@
     (listener, addr)
 }
 
-/// The first line on a connection; empty if it ends before.
-fn first_line(stream: TcpStream) -> String {
+/// Reads the first line on a connection, which is empty if the connection ends before.
+fn read_first_line(stream: TcpStream) -> String {
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).unwrap();
     line
 }
 
+/// Guards against a write that runs twice: its retry is decided within the deduplication window, but the connection for
+/// it comes up only after the window.
 #[test]
-fn a_write_is_not_repeated_on_a_connection_that_comes_up_after_the_window_for_repeats() {
-    let keyed = format!(r#""Effect":"keyed","Window":{}.0"#, WINDOW.as_millis());
+fn retry_is_not_sent_once_the_deduplication_window_has_passed() {
+    let keyed = format!(r#""Effect":"keyed","Window":{}.0"#, DEDUPLICATION_WINDOW.as_millis());
     let settings = SETTINGS
         .replace(r#""Effect":"unsafe""#, &keyed)
         .replace(r#""ConnectTimeout":10000.0"#, r#""ConnectTimeout":600000.0"#);
-    let (origin, addr) = narrow_listener();
+    let (origin, addr) = listener_with_backlog_of_one();
     let known = server_list(41, &[(CACHE, FakeServer::cache().addr)], addr);
     let node = NodeOptions {
         settings: &settings,
@@ -52,17 +54,17 @@
 
     let (first, _) = origin.accept().unwrap();
     let sent = Instant::now();
-    // The next connection finds no room, then the first one ends without an answer.
-    let filling = TcpStream::connect(addr).unwrap();
-    assert!(first_line(first).starts_with("PUT /k"));
+    // Another connection fills the backlog, then the first one ends without a reply.
+    let filler = TcpStream::connect(addr).unwrap();
+    assert!(read_first_line(first).starts_with("PUT /k"));
     let retried = Instant::now();
     while connecting_sockets(addr) == 0 {
-        assert!(retried.elapsed() < TEST_TIMEOUT, "it is not tried again");
+        assert!(retried.elapsed() < TEST_TIMEOUT, "no retry is started");
         thread::yield_now();
     }
-    thread::sleep(WINDOW.saturating_sub(sent.elapsed()));
-    let _filling = (origin.accept().unwrap(), filling);
+    thread::sleep(DEDUPLICATION_WINDOW.saturating_sub(sent.elapsed()));
+    let _filler = (origin.accept().unwrap(), filler);
     let (late, _) = origin.accept().unwrap();
-    assert_eq!(first_line(late), "", "repeated after the window");
+    assert_eq!(read_first_line(late), "", "retried after the window");
     assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"));
 }
--- a/crates/cli/tests/ready.rs
+++ b/crates/cli/tests/ready.rs
@@ -1,4 +1,4 @@
-//! A process serves soon after its start, whatever discovery does, and tells how long that took.
+//! A process serves soon after its start, whatever discovery does, and reports how long that took.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -10,11 +10,12 @@
 use fakes::*;
 
 const CACHE: &str = "s-5be2a07c";
-const IN_TIME: Duration = Duration::from_secs(10);
+/// The time within which a process has to serve.
+const MAX_START_TIME: Duration = Duration::from_secs(10);
 
-/// Starts a process where lists are followed in this way; waits until it says that it serves, and serves. Tells how
-/// long that took, from outside.
-fn ready(mode: &str, cache: &FakeServer, origin: SocketAddr, discovery: SocketAddr) -> Duration {
+/// Starts a process whose registry mode is `mode`, waits until it reports that it is ready, and checks that it serves.
+/// Returns the time that the start took, measured from outside.
+fn start_until_ready(mode: &str, cache: &FakeServer, origin: SocketAddr, discovery: SocketAddr) -> Duration {
     let (known, settings) =
         (server_list(41, &[(CACHE, cache.addr)], origin), SETTINGS.replace("automatic", mode));
     let begun = Instant::now();
@@ -33,47 +34,51 @@
     client.send_get("k", "c=read,d=15000");
     cache.next_call().reply_value("v");
     assert_eq!(client.read_reply().as_deref(), Some("v"));
-    // Both tell the same, which is no longer than it was from outside.
-    let shown = Duration::from_secs_f64(node.metric("svc_ready_seconds"));
+    // The metric and the log report the same time, which is no longer than the one measured from outside.
+    let in_metrics = Duration::from_secs_f64(node.metric("svc_ready_seconds"));
     let line = node.logged_event("ready");
     let (_, field) = line.split_once("took_ms=").expect(&line);
-    let told = Duration::from_millis(field.split_whitespace().next().unwrap().parse().unwrap());
+    let logged = Duration::from_millis(field.split_whitespace().next().unwrap().parse().unwrap());
     assert!(
-        told <= took && shown.abs_diff(told) <= Duration::from_millis(1),
-        "{told:?}, {shown:?} of {took:?}"
+        logged <= took && in_metrics.abs_diff(logged) <= Duration::from_millis(1),
+        "{logged:?}, {in_metrics:?} of {took:?}"
     );
     took
 }
 
-/// Starts processes in both ways of following lists.
-fn ready_with(discovery: SocketAddr) {
+/// Starts a process in each registry mode, and checks that it is ready in time.
+fn assert_ready_in_time(discovery: SocketAddr) {
     for mode in ["automatic", "subscribe"] {
         let (cache, origin) = (FakeServer::cache(), FakeServer::http());
-        let took = ready(mode, &cache, origin.addr, discovery);
+        let took = start_until_ready(mode, &cache, origin.addr, discovery);
         println!("{mode}: {took:?}");
-        assert!(took < IN_TIME, "{mode}: {took:?}");
+        assert!(took < MAX_START_TIME, "{mode}: {took:?}");
     }
 }
 
+/// Guards against a start that waits for a discovery at which nobody listens.
 #[test]
-fn a_process_is_ready_in_time_while_discovery_is_down() {
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    ready_with(gone);
+fn process_is_ready_in_time_while_discovery_refuses_connections() {
+    let closed_port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    assert_ready_in_time(closed_port);
 }
 
+/// Guards against a start that waits for the reply of a silent discovery.
 #[test]
-fn a_process_is_ready_in_time_while_discovery_is_silent() {
-    ready_with(FakeServer::http().addr); // takes calls and answers none
+fn process_is_ready_in_time_while_discovery_never_replies() {
+    assert_ready_in_time(FakeServer::http().addr); // accepts requests and never replies
 }
 
+/// Guards against a start that waits for a connection to discovery.
 #[test]
-fn a_process_is_ready_in_time_while_connects_to_discovery_hang() {
+fn process_is_ready_in_time_while_connecting_to_discovery_hangs() {
     let discovery = BackloggedServer::http();
-    ready_with(discovery.addr);
+    assert_ready_in_time(discovery.addr);
 }
 
+/// Guards against a start that waits until discovery no longer replies with 503.
 #[test]
-fn a_process_is_ready_in_time_while_discovery_turns_all_calls_away() {
+fn process_is_ready_in_time_while_discovery_rejects_all_requests() {
     let discovery = FakeServer::http();
     let at = discovery.addr;
     thread::spawn(move || {
@@ -81,16 +86,17 @@
             discovery.next_call().reply_http("503 Service Unavailable", "");
         }
     });
-    ready_with(at);
+    assert_ready_in_time(at);
 }
 
+/// Guards against starts that slow each other down while they wait for the same silent discovery.
 #[test]
-fn nine_of_ten_processes_that_start_at_once_before_a_silent_discovery_are_ready_in_time() {
+fn nine_of_ten_simultaneous_starts_are_ready_in_time_with_silent_discovery() {
     let discovery = FakeServer::http();
     for mode in ["automatic", "subscribe"] {
         let start = || {
             let (cache, origin) = (FakeServer::cache(), FakeServer::http());
-            ready(mode, &cache, origin.addr, discovery.addr)
+            start_until_ready(mode, &cache, origin.addr, discovery.addr)
         };
         let mut took: Vec<Duration> = thread::scope(|scope| {
             let processes: Vec<_> = (0..10).map(|_| scope.spawn(start)).collect();
@@ -98,6 +104,6 @@
         });
         took.sort();
         println!("{mode}: {took:?}");
-        assert!(took[8] < IN_TIME, "{mode}: {took:?}");
+        assert!(took[8] < MAX_START_TIME, "{mode}: {took:?}");
     }
 }
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short run of the randomized faults on real processes: ten nodes, four seeds of which two have a crowd of idle
-//! clients, no rule broken. The long one is `stonefold-soak`.
+//! A short run of the randomized faults on real processes: ten nodes, four seeds of which two add many idle clients,
+//! and no rule is broken. The long run is `stonefold-soak`.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,8 +9,10 @@
 
 const SEEDS: [u64; 4] = [11, 12, 13, 15];
 
+/// Guards against violations of the rules, such as lost or doubled requests, that only several faults at once bring
+/// about.
 #[test]
-fn no_rule_is_broken_under_faults_that_overlap() {
+fn overlapping_faults_break_no_rule() {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).expect("built with this test");
     for seed in SEEDS {
