--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! What the node reads from a stream has the same outcome however it is cut into pieces.
+//! A message that the node reads from a stream has the same outcome wherever it is split into two reads.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -11,50 +11,50 @@
 use fakes::*;
 
 const CACHE: &str = "s-5be2a07c";
-/// Between two pieces: an idle node reads the first one by itself.
+/// The pause between two pieces: in this time an idle node reads the first one alone.
 const PAUSE: Duration = Duration::from_millis(2);
-/// Behind a complete header: beyond doubt the node has read it, on a busy machine too.
+/// The pause after a complete header: by its end the node has read the header, even on a busy machine.
 const HEADER_PAUSE: Duration = Duration::from_millis(30);
-/// The longest value that is read whole before it is passed on, in bytes.
-const BUFFERED: usize = 64 << 10;
-/// The longest value that there may be, in bytes.
-const LONGEST: usize = 4 << 20;
+/// The longest value that the node reads whole before it passes it on, in bytes.
+const MAX_BUFFERED_VALUE: usize = 64 << 10;
+/// The longest value that the node accepts, in bytes.
+const MAX_VALUE: usize = 4 << 20;
 
-/// One cut of a message, and how long the rest of it is withheld.
+/// A position at which a message is split, and the pause before the rest is sent.
 #[derive(Clone, Copy, Debug)]
-struct Cut {
+struct Split {
     at: usize,
     pause: Duration,
 }
 
-fn write_cut(mut stream: &TcpStream, text: &[u8], cut: Cut) {
-    let (first, rest) = text.split_at(cut.at);
+fn write_split(mut stream: &TcpStream, text: &[u8], split: Split) {
+    let (first, rest) = text.split_at(split.at);
     stream.write_all(first).unwrap();
-    thread::sleep(cut.pause);
-    let _ = stream.write_all(rest); // a node that refuses the first part may have closed: the outcome tells
+    thread::sleep(split.pause);
+    let _ = stream.write_all(rest); // may fail: a node that rejects the first part closes the connection
 }
 
-/// A cut at each byte but those deep inside a value, with a longer pause behind the header.
-fn cuts(text: &[u8], header: usize, tail: usize) -> Vec<Cut> {
+/// A split at each byte outside a value and next to its ends, with the longer pause after the header.
+fn splits(text: &[u8], header: usize, tail: usize) -> Vec<Split> {
     let inside = header + 1..text.len().saturating_sub(tail);
-    let cut = |at| Cut { at, pause: if at == header { HEADER_PAUSE } else { PAUSE } };
-    (1..text.len()).filter(|at| !inside.contains(at)).map(cut).collect()
+    let split = |at| Split { at, pause: if at == header { HEADER_PAUSE } else { PAUSE } };
+    (1..text.len()).filter(|at| !inside.contains(at)).map(split).collect()
 }
 
 /// A node with a cache and an origin.
-struct Site {
+struct Fixture {
     cache: FakeServer,
     origin: FakeServer,
     node: Node,
 }
 
-impl Site {
-    fn start() -> Site {
+impl Fixture {
+    fn start() -> Fixture {
         let (cache, origin) = (FakeServer::cache(), FakeServer::http());
         let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
         let node =
             NodeOptions { operator: true, ..NodeOptions::new(&known, FakeServer::http().addr) }.start();
-        Site { cache, origin, node }
+        Fixture { cache, origin, node }
     }
 }
 
@@ -64,209 +64,220 @@
 
 const REPLY_END: &str = "\r\n$3\r\nhit\r\n$-1\r\n";
 
-/// A cache's reply with a value, and the length of what precedes the value.
+/// A cache's reply with a value, and the length of the header before the value.
 fn reply_with(value: &str) -> (String, usize) {
     let header = format!("*3\r\n${}\r\n", value.len());
     (format!("{header}{value}{REPLY_END}"), header.len())
 }
 
-/// Guards against a long value's header without a byte of the value being taken for a malformed reply.
+/// Guards against the header of a long value being taken for a malformed reply when it is read without a byte of the
+/// value.
 #[test]
-fn the_header_of_a_long_value_may_come_alone() {
-    let site = Site::start();
-    for length in [BUFFERED + 1, 262_144, 1_048_576, LONGEST] {
+fn header_of_a_long_value_may_arrive_without_any_value_byte() {
+    let fixture = Fixture::start();
+    for length in [MAX_BUFFERED_VALUE + 1, 262_144, 1_048_576, MAX_VALUE] {
         let value = value_of(length);
         let (text, header) = reply_with(&value);
-        let mut client = site.node.client();
+        let mut client = fixture.node.client();
         client.send_get("k", "c=read,d=15000");
-        let call = site.cache.next_call();
+        let call = fixture.cache.next_call();
         let reading = thread::spawn(move || client.read_reply());
-        write_cut(call.stream(), text.as_bytes(), Cut { at: header, pause: HEADER_PAUSE });
+        write_split(call.stream(), text.as_bytes(), Split { at: header, pause: HEADER_PAUSE });
         let answer = reading.join().unwrap();
-        assert!(answer.as_ref() == Some(&value), "{length} bytes: {}", start_of(answer));
+        assert!(answer.as_ref() == Some(&value), "{length} bytes: {}", preview(answer));
     }
-    assert_eq!(site.node.metric("svc_backend_calls_total"), 4.0, "each read was sent once");
+    assert_eq!(fixture.node.metric("svc_backend_calls_total"), 4.0, "each read was sent once");
 }
 
-fn start_of(answer: Option<String>) -> String {
+/// The beginning of a reply, for messages.
+fn preview(answer: Option<String>) -> String {
     answer.map_or("closed".into(), |answer| answer.chars().take(60).collect())
 }
 
-/// Guards against a cut that changes what a cache's reply means, at each limit of a value's length too.
+/// Guards against a split that changes the meaning of a cache's reply, also at each limit of the length of a value.
 #[test]
-fn a_caches_reply_means_the_same_however_it_is_cut() {
-    let site = Site::start();
-    let mut client = site.node.client();
-    for length in [0, 1, 300, BUFFERED - 1, BUFFERED, BUFFERED + 1, LONGEST - 1, LONGEST] {
+fn cache_value_is_served_intact_wherever_its_reply_is_split() {
+    let fixture = Fixture::start();
+    let mut client = fixture.node.client();
+    for length in [
+        0,
+        1,
+        300,
+        MAX_BUFFERED_VALUE - 1,
+        MAX_BUFFERED_VALUE,
+        MAX_BUFFERED_VALUE + 1,
+        MAX_VALUE - 1,
+        MAX_VALUE,
+    ] {
         let value = value_of(length);
         let (text, header) = reply_with(&value);
-        // Of the longest ones only the places where the meaning could change, since each costs megabytes.
-        let all = cuts(text.as_bytes(), header, REPLY_END.len());
-        let chosen = |cut: &Cut| length <= BUFFERED + 1 || cut.at.abs_diff(header) <= 1;
-        for cut in all.into_iter().filter(chosen) {
+        // Of the longest values, only the splits next to the end of the header are tried, since each costs megabytes.
+        let all = splits(text.as_bytes(), header, REPLY_END.len());
+        let chosen = |split: &Split| length <= MAX_BUFFERED_VALUE + 1 || split.at.abs_diff(header) <= 1;
+        for split in all.into_iter().filter(chosen) {
             client.send_get("k", "c=read,d=15000");
-            assert_served(&mut client, site.cache.next_call(), &text, cut, &value);
+            assert_served(&mut client, fixture.cache.next_call(), &text, split, &value);
         }
     }
 }
 
-/// Asserts that a client gets a value with which a server answers in two pieces.
-fn assert_served(client: &mut Client, call: Call, text: &str, cut: Cut, value: &str) {
+/// Sends a server's reply in two pieces, and asserts that the client gets its value.
+fn assert_served(client: &mut Client, call: Call, text: &str, split: Split, value: &str) {
     let answer = thread::scope(|scope| {
-        scope.spawn(|| write_cut(call.stream(), text.as_bytes(), cut));
+        scope.spawn(|| write_split(call.stream(), text.as_bytes(), split));
         client.read_reply()
     });
     let length = value.len();
-    assert!(answer.as_deref() == Some(value), "{length} bytes, {cut:?}: {}", start_of(answer));
+    assert!(answer.as_deref() == Some(value), "{length} bytes, {split:?}: {}", preview(answer));
 }
 
-/// Guards against a cut that changes the meaning of a miss, a rejection or an error.
+/// Guards against a split that changes the meaning of a miss or an error.
 #[test]
-fn a_caches_other_replies_mean_the_same_however_they_are_cut() {
-    let site = Site::start();
-    let mut client = site.node.client();
+fn cache_miss_or_error_is_recognized_wherever_it_is_split() {
+    let fixture = Fixture::start();
+    let mut client = fixture.node.client();
     let miss = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n";
-    for cut in cuts(miss.as_bytes(), 4, miss.len()) {
+    for split in splits(miss.as_bytes(), 4, miss.len()) {
         client.send_get("k", "c=read,d=15000");
-        write_cut(site.cache.next_call().stream(), miss.as_bytes(), cut);
-        site.origin.next_call().reply_http("200 OK", "fetched");
-        assert_eq!(client.read_reply().as_deref(), Some("fetched"), "{cut:?}");
+        write_split(fixture.cache.next_call().stream(), miss.as_bytes(), split);
+        fixture.origin.next_call().reply_http("200 OK", "fetched");
+        assert_eq!(client.read_reply().as_deref(), Some("fetched"), "{split:?}");
     }
     let failed = "-ERR failed\r\n";
-    for cut in cuts(failed.as_bytes(), 5, failed.len()) {
+    for split in splits(failed.as_bytes(), 5, failed.len()) {
         client.send_get("k", "c=put,d=15000");
-        write_cut(site.cache.next_call().stream(), failed.as_bytes(), cut);
-        assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"), "{cut:?}");
+        write_split(fixture.cache.next_call().stream(), failed.as_bytes(), split);
+        assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"), "{split:?}");
     }
 }
 
-/// Guards against a value of more than the longest length being passed on, wherever its header is cut.
+/// Guards against a value over the length limit being passed on, wherever its header is split.
 #[test]
-fn a_caches_value_over_the_longest_is_never_served() {
-    let site = Site::start();
-    let header = format!("*3\r\n${}\r\n", LONGEST + 1);
-    for cut in cuts(header.as_bytes(), header.len(), header.len()) {
-        let mut client = site.node.client();
+fn cache_value_over_the_length_limit_is_never_served() {
+    let fixture = Fixture::start();
+    let header = format!("*3\r\n${}\r\n", MAX_VALUE + 1);
+    for split in splits(header.as_bytes(), header.len(), header.len()) {
+        let mut client = fixture.node.client();
         client.send_get("k", "c=put,d=15000");
-        let mut call = site.cache.next_call();
+        let mut call = fixture.cache.next_call();
         // The node may close as soon as it has read the length.
-        call.try_reply(&header[..cut.at]);
-        thread::sleep(cut.pause);
-        call.try_reply(&format!("{}{}", &header[cut.at..], "x".repeat(10_000)));
-        assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"), "{cut:?}");
+        call.try_reply(&header[..split.at]);
+        thread::sleep(split.pause);
+        call.try_reply(&format!("{}{}", &header[split.at..], "x".repeat(10_000)));
+        assert_eq!(client.read_reply().as_deref(), Some("-ERR failed"), "{split:?}");
     }
 }
 
-/// Guards against a cut that changes what the origin's response means, with a told length or in chunks.
+/// Guards against a split that changes the meaning of the origin's response, with a content length or in chunks.
 #[test]
-fn an_origins_response_means_the_same_however_it_is_cut() {
-    let site = Site::start();
-    let mut client = site.node.client();
-    for length in [0, 300, BUFFERED, BUFFERED + 1, 262_144] {
+fn origin_response_is_served_intact_wherever_it_is_split() {
+    let fixture = Fixture::start();
+    let mut client = fixture.node.client();
+    for length in [0, 300, MAX_BUFFERED_VALUE, MAX_BUFFERED_VALUE + 1, 262_144] {
         let value = value_of(length);
-        let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
+        let with_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
         let chunk = if length == 0 { String::new() } else { format!("{length:x}\r\n{value}\r\n") };
         let chunked = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}0\r\n\r\n");
         let chunked_header = chunked.find(&value).filter(|_| length > 0).unwrap_or(chunked.len() - 5);
-        let told = (format!("{told}{value}"), told.len(), 0);
-        for (text, header, tail) in [told, (chunked, chunked_header, 7)] {
-            for cut in cuts(text.as_bytes(), header, tail) {
+        let with_length = (format!("{with_length}{value}"), with_length.len(), 0);
+        for (text, header, tail) in [with_length, (chunked, chunked_header, 7)] {
+            for split in splits(text.as_bytes(), header, tail) {
                 client.send_get("k", "c=read,d=15000");
-                site.cache.next_call().reply_miss();
-                assert_served(&mut client, site.origin.next_call(), &text, cut, &value);
+                fixture.cache.next_call().reply_miss();
+                assert_served(&mut client, fixture.origin.next_call(), &text, split, &value);
             }
         }
     }
 }
 
-/// Guards against a cut that changes what a client's command means, at each limit of a value's length too.
+/// Guards against a split that changes the meaning of a client's command, also at each limit of the length of a value.
 #[test]
-fn a_clients_command_means_the_same_however_it_is_cut() {
-    let site = Site::start();
-    let mut client = site.node.client();
+fn client_command_is_understood_wherever_it_is_split() {
+    let fixture = Fixture::start();
+    let mut client = fixture.node.client();
     let get = encode_command(&["CACHE.GET", "k", "9b1f03aa5c7e2d41", "c=read,d=15000"]);
-    for cut in cuts(get.as_bytes(), 4, get.len()) {
-        write_cut(client.stream(), get.as_bytes(), cut);
-        site.cache.next_call().reply_value("v");
-        assert_eq!(client.read_reply().as_deref(), Some("v"), "{cut:?}");
+    for split in splits(get.as_bytes(), 4, get.len()) {
+        write_split(client.stream(), get.as_bytes(), split);
+        fixture.cache.next_call().reply_value("v");
+        assert_eq!(client.read_reply().as_deref(), Some("v"), "{split:?}");
     }
-    for length in [0, 300, BUFFERED, BUFFERED + 1, LONGEST - 1, LONGEST] {
+    for length in [0, 300, MAX_BUFFERED_VALUE, MAX_BUFFERED_VALUE + 1, MAX_VALUE - 1, MAX_VALUE] {
         let value = value_of(length);
         let set = encode_command(&["CACHE.SET", "k", "9b1f03aa5c7e2d41", "c=put,d=15000", &value]);
         let header = set.len() - length - 2;
-        let chosen = |cut: &Cut| length <= BUFFERED + 1 || cut.at.abs_diff(header) <= 1;
-        for cut in cuts(set.as_bytes(), header, 2).into_iter().filter(chosen) {
-            write_cut(client.stream(), set.as_bytes(), cut);
-            let call = site.origin.next_call();
-            assert!(call.words.last() == Some(&value), "{length} bytes, {cut:?}");
+        let chosen = |split: &Split| length <= MAX_BUFFERED_VALUE + 1 || split.at.abs_diff(header) <= 1;
+        for split in splits(set.as_bytes(), header, 2).into_iter().filter(chosen) {
+            write_split(client.stream(), set.as_bytes(), split);
+            let call = fixture.origin.next_call();
+            assert!(call.words.last() == Some(&value), "{length} bytes, {split:?}");
             call.reply_http("200 OK", "receipt");
-            assert_eq!(client.read_reply().as_deref(), Some("receipt"), "{length} bytes, {cut:?}");
+            assert_eq!(client.read_reply().as_deref(), Some("receipt"), "{length} bytes, {split:?}");
         }
     }
 }
 
-/// Guards against a cut that changes what an operator's line means.
+/// Guards against a split that changes the meaning of an operator's command.
 #[test]
-fn an_operators_line_means_the_same_however_it_is_cut() {
-    let site = Site::start();
+fn operator_command_is_understood_wherever_it_is_split() {
+    let fixture = Fixture::start();
     let line = "DISABLE s-nobody\n";
-    let whole = site.node.operator_call(line);
+    let whole = fixture.node.operator_call(line);
     assert!(whole.contains("s-nobody"), "{whole}");
-    for cut in cuts(line.as_bytes(), line.len() - 1, line.len()) {
-        let caller = site.node.operator_connection();
-        write_cut(&caller, line.as_bytes(), cut);
-        let answer = std::io::read_to_string(caller).unwrap();
-        assert_eq!(answer, whole, "{cut:?}");
+    for split in splits(line.as_bytes(), line.len() - 1, line.len()) {
+        let operator = fixture.node.operator_connection();
+        write_split(&operator, line.as_bytes(), split);
+        let answer = std::io::read_to_string(operator).unwrap();
+        assert_eq!(answer, whole, "{split:?}");
     }
 }
 
-/// Whether a call to discovery states this version as the one that the node has.
-fn states(call: &Call, version: u64) -> bool {
+/// Whether a request to discovery states this version as the one that the node has.
+fn states_version(call: &Call, version: u64) -> bool {
     call.words[1].ends_with(&format!("={version}")) || call.words[1].contains(&format!("={version}&"))
 }
 
-/// Guards against a cut that changes what discovery's answer means, for a long list too.
+/// Guards against a split that changes the meaning of discovery's response, also for a long list.
 #[test]
-fn a_list_from_discovery_means_the_same_however_it_is_cut() {
-    /// Entries of the long list: over a hundred times what one read takes.
-    const MANY: usize = 3_000;
+fn server_list_is_applied_wherever_its_response_is_split() {
+    /// The entries of the long list, which needs more than a hundred reads.
+    const LONG_LIST_ENTRIES: usize = 3_000;
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
     let _node = Node::start(&known, discovery.addr);
     let mut version = 41;
     let mut call = discovery.next_call();
-    for entries in [1, MANY] {
+    for entries in [1, LONG_LIST_ENTRIES] {
         let names: Vec<String> = (0..entries).map(|n| format!("s-{n:08x}")).collect();
         let caches: Vec<_> = names.iter().map(|name| (name.as_str(), cache.addr)).collect();
         let body = server_list(1_000, &caches, origin.addr);
         let header = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        let all = cuts(format!("{header}{body}").as_bytes(), header.len(), 2);
-        let few = |(n, _): &(usize, Cut)| entries == 1 || n % 8 == 0;
-        for (_, cut) in all.into_iter().enumerate().filter(few) {
+        let all = splits(format!("{header}{body}").as_bytes(), header.len(), 2);
+        let few = |(n, _): &(usize, Split)| entries == 1 || n % 8 == 0;
+        for (_, split) in all.into_iter().enumerate().filter(few) {
             version += 1;
             let text = format!("{header}{}", body.replacen("1000", &format!("{version:4}"), 1));
-            write_cut(call.stream(), text.as_bytes(), cut);
+            write_split(call.stream(), text.as_bytes(), split);
             call = discovery.next_call();
-            assert!(states(&call, version), "{entries} entries, {cut:?}: {:?}", call.words);
+            assert!(states_version(&call, version), "{entries} entries, {split:?}: {:?}", call.words);
         }
     }
 }
 
-/// Guards against a list of exactly the longest length being refused, or a longer one taken.
+/// Guards against a list of exactly the longest length being rejected, or a longer one applied.
 #[test]
-fn a_list_from_discovery_is_taken_up_to_its_longest_length_exactly() {
-    const LONGEST_LIST: usize = 4 << 20;
+fn server_list_is_applied_up_to_exactly_its_length_limit() {
+    const MAX_LIST_BYTES: usize = 4 << 20;
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
     let _node = Node::start(&known, discovery.addr);
-    for (version, length, taken) in
-        [(42, LONGEST_LIST - 1, true), (43, LONGEST_LIST, true), (44, LONGEST_LIST + 1, false)]
+    for (version, length, applied) in
+        [(42, MAX_LIST_BYTES - 1, true), (43, MAX_LIST_BYTES, true), (44, MAX_LIST_BYTES + 1, false)]
     {
         let body = server_list(version, &[(CACHE, cache.addr)], origin.addr);
         let indented = format!("{}{body}", " ".repeat(length - body.len()));
         discovery.next_call().try_reply_http("200 OK", &indented);
         let next = discovery.next_call();
-        assert_eq!(states(&next, version), taken, "{length} bytes: {:?}", next.words);
+        assert_eq!(states_version(&next, version), applied, "{length} bytes: {:?}", next.words);
         next.reply_http("200 OK", &server_list(version, &[(CACHE, cache.addr)], origin.addr));
     }
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program from outside: its commands, its exit codes, its own configuration file.
+//! The program from outside: its commands, its exit codes, its TOML configuration file.
 
 #[path = "common/addresses.rs"]
 mod addresses;
@@ -17,13 +17,15 @@
     Command::new(env!("CARGO_BIN_EXE_stonefold")).args(args).output().unwrap()
 }
 
-fn told(output: &Output) -> (i32, String, String) {
+/// The exit code, standard output and standard error of a command.
+fn result_of(output: &Output) -> (i32, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code().unwrap(), text(&output.stdout), text(&output.stderr))
 }
 
+/// Guards against scripts that cannot tell a wrong command line or configuration from an operation that failed.
 #[test]
-fn what_cannot_be_used_ends_with_2_and_what_fails_with_1() {
+fn usage_errors_exit_with_2_and_failures_with_1() {
     let dir = tempfile::tempdir().unwrap();
     let bad = dir.path().join("bad.toml");
     std::fs::write(&bad, "[node]\nlisen = \"127.0.0.1:1\"").unwrap();
@@ -38,56 +40,57 @@
         &["node", "--config", bad, "--log", "loud"],
     ];
     for args in unusable {
-        let (code, out, err) = told(&stonefold(args));
+        let (code, out, err) = result_of(&stonefold(args));
         assert!(code == 2 && out.is_empty() && !err.is_empty(), "{args:?}: {code} {err}");
     }
-    let (_, _, err) = told(&stonefold(&["check", bad]));
+    let (_, _, err) = result_of(&stonefold(&["check", bad]));
     assert!(err.contains("bad.toml:2:1: node.lisen: unknown key"), "{err}");
     for args in [["get", "k", "--node", "127.0.0.1:1"], ["call", "127.0.0.1:1", "READY", "--format=text"]] {
-        let (code, out, err) = told(&stonefold(&args));
+        let (code, out, err) = result_of(&stonefold(&args));
         assert!(code == 1 && out.is_empty() && err.contains("127.0.0.1:1"), "{args:?}: {code} {err}");
     }
 }
 
+/// Guards against commands without an example in their help, and against missing completions or a missing manual page.
 #[test]
-fn help_versions_and_texts_are_there() {
+fn help_version_completions_and_manual_are_printed() {
     for command in ["node", "check", "get", "set", "call", "completions"] {
-        let (code, out, _) = told(&stonefold(&[command, "--help"]));
+        let (code, out, _) = result_of(&stonefold(&[command, "--help"]));
         assert!(code == 0 && out.contains("Example"), "{command}: {out}");
     }
-    assert!(told(&stonefold(&["--version"])).1.starts_with(concat!(
+    assert!(result_of(&stonefold(&["--version"])).1.starts_with(concat!(
         "stonefold ",
         env!("CARGO_PKG_VERSION"),
         " ("
     )));
-    assert!(told(&stonefold(&["completions", "bash"])).1.contains("--explain"));
-    assert!(told(&stonefold(&["man"])).1.contains(".SH"));
+    assert!(result_of(&stonefold(&["completions", "bash"])).1.contains("--explain"));
+    assert!(result_of(&stonefold(&["man"])).1.contains(".SH"));
 }
 
-/// A node that runs by our own file.
-struct Own {
+/// A node that runs from a TOML configuration file.
+struct TomlNode {
     child: Child,
     addr: SocketAddr,
     log: BufReader<std::process::ChildStderr>,
 }
 
-impl Own {
-    fn start(file: &Path) -> Own {
+impl TomlNode {
+    fn start(file: &Path) -> TomlNode {
         let mut child = stonefold_through_shell(r#"exec "$0" node --config "$FILE" --log-format json"#)
             .env("FILE", file)
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
         let log = BufReader::new(child.stderr.take().unwrap());
-        let mut own = Own { child, addr: "127.0.0.1:0".parse().unwrap(), log };
-        let line = own.event("listening");
+        let mut node = TomlNode { child, addr: "127.0.0.1:0".parse().unwrap(), log };
+        let line = node.wait_for_event("listening");
         let at = line.split(r#""at":""#).nth(1).and_then(|rest| rest.split('"').next());
-        own.addr = at.unwrap().parse().unwrap();
-        own
+        node.addr = at.unwrap().parse().unwrap();
+        node
     }
 
-    /// Waits for an event; tells its line.
-    fn event(&mut self, name: &str) -> String {
+    /// Waits for an event in the log, and returns its line.
+    fn wait_for_event(&mut self, name: &str) -> String {
         loop {
             let mut line = String::new();
             assert!(self.log.read_line(&mut line).unwrap() > 0, "no {name}");
@@ -97,20 +100,21 @@
         }
     }
 
-    fn hang_up(&self) {
+    fn send_sighup(&self) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args(["-HUP", &id]).status().unwrap().success());
     }
 }
 
-impl Drop for Own {
+impl Drop for TomlNode {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn own_file(cache: SocketAddr, origin: SocketAddr, discovery: SocketAddr) -> String {
+/// A configuration in TOML with one class, one cache and an origin.
+fn toml_config(cache: SocketAddr, origin: SocketAddr, discovery: SocketAddr) -> String {
     format!(
         r#"
 [node]
@@ -134,16 +138,18 @@
     )
 }
 
+/// Guards against `get` and `set` that do not work with a node, and against a new file that is applied although a part
+/// of it is invalid.
 #[test]
-fn a_node_by_our_own_file_serves_get_and_set_and_takes_a_new_file_whole_or_not() {
+fn node_from_toml_serves_get_and_set_and_rejects_invalid_reloads() {
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("node.toml");
-    let text = own_file(cache.addr, origin.addr, discovery.addr);
+    let text = toml_config(cache.addr, origin.addr, discovery.addr);
     std::fs::write(&file, &text).unwrap();
-    let mut node = Own::start(&file);
+    let mut node = TomlNode::start(&file);
     let at = node.addr.to_string();
-    let asking = |args: &[&str]| {
+    let spawn_client = |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_stonefold"));
         command
             .args(args)
@@ -152,50 +158,53 @@
             .stderr(Stdio::piped());
         command.spawn().unwrap()
     };
-    let done = |child: Child| told(&child.wait_with_output().unwrap());
+    let result = |child: Child| result_of(&child.wait_with_output().unwrap());
 
-    let get = asking(&["get", "book:1", "--class", "read"]);
+    let get = spawn_client(&["get", "book:1", "--class", "read"]);
     cache.next_call().reply_value("a value");
-    assert_eq!(done(get), (0, "a value\n".into(), String::new()));
-    let set = asking(&["set", "book:1", "new", "--format", "json"]);
+    assert_eq!(result(get), (0, "a value\n".into(), String::new()));
+    let set = spawn_client(&["set", "book:1", "new", "--format", "json"]);
     let mut call = origin.next_call();
     assert_eq!((call.words[0].as_str(), call.words.last().unwrap().as_str()), ("PUT", "new"));
     call.reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    let (code, out, _) = done(set);
+    let (code, out, _) = result(set);
     assert!(code == 0 && out.contains(r#""outcome":"served""#), "{out}");
-    let (code, _, err) = done(asking(&["get", "book:1", "--class", "other"]));
+    let (code, _, err) = result(spawn_client(&["get", "book:1", "--class", "other"]));
     assert!(code == 1 && err.contains("unknown class"), "{err}");
 
     std::fs::write(&file, text.replace("\"read\"", "\"other\"").replace("300ms", "none")).unwrap();
-    node.hang_up();
-    assert!(node.event("reload_rejected").contains("class[0].aim"));
+    node.send_sighup();
+    assert!(node.wait_for_event("reload_rejected").contains("class[0].aim"));
     std::fs::write(&file, text.replace("\"read\"", "\"other\"")).unwrap();
-    node.hang_up();
-    node.event("reloaded");
-    let get = asking(&["get", "book:1", "--class", "other"]);
+    node.send_sighup();
+    node.wait_for_event("reloaded");
+    let get = spawn_client(&["get", "book:1", "--class", "other"]);
     cache.next_call().reply_value("another");
-    assert_eq!(done(get).1, "another\n");
+    assert_eq!(result(get).1, "another\n");
 }
 
+/// Guards against operator commands whose reply or failure `stonefold call` does not pass on.
 #[test]
-fn operators_calls_by_the_program() {
+fn call_command_runs_operator_commands_and_reports_their_failure() {
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let known = server_list(1, &[("s-1", cache.addr)], origin.addr);
     let node = NodeOptions { operator: true, ..NodeOptions::new(&known, discovery.addr) }.start();
     node.client().ping();
     let at = node.operator_addr().to_string();
-    assert_eq!(told(&stonefold(&["call", &at, "READY"])), (0, "ok\n".into(), String::new()));
-    let (code, out, _) = told(&stonefold(&["call", &at, "STATS", "--format", "json"]));
+    assert_eq!(result_of(&stonefold(&["call", &at, "READY"])), (0, "ok\n".into(), String::new()));
+    let (code, out, _) = result_of(&stonefold(&["call", &at, "STATS", "--format", "json"]));
     assert!(code == 0 && out.contains(r#""svc_hosts_listed":1.0"#), "{out}");
-    let (code, _, err) = told(&stonefold(&["call", &at, "DISABLE", "nobody"]));
+    let (code, _, err) = result_of(&stonefold(&["call", &at, "DISABLE", "nobody"]));
     assert!(code == 1 && err.contains("no server nobody"), "{err}");
 }
 
+/// Guards against a demo, with its rolling restart, that breaks a rule or whose served, rejected and failed requests do
+/// not add up to all requests.
 #[test]
-fn the_demo_serves_through_a_rolling_restart() {
+fn demo_breaks_no_rule_and_its_counts_add_up() {
     let args =
         ["demo", "--duration", "3s", "--nodes", "2", "--caches", "4", "--rate", "100", "--format", "json"];
-    let (code, out, err) = told(&stonefold(&args));
+    let (code, out, err) = result_of(&stonefold(&args));
     let end: serde_json::Value =
         serde_json::from_str(out.trim()).unwrap_or_else(|e| panic!("{e}: {out} {err}"));
     assert_eq!((code, &end["rules_broken"]), (0, &serde_json::json!(0)), "{end} {err}");
@@ -206,30 +215,41 @@
     assert_eq!(of("requests"), of("served") + of("refused") + of("failed"));
 }
 
+/// Guards against an emulator that outlives its duration, writes unusable node configurations, or starts with an
+/// invalid site or an occupied control address.
 #[test]
-fn a_site_is_emulated_for_as_long_as_asked_and_a_bad_one_is_refused() {
+fn emulate_command_runs_a_site_and_rejects_an_invalid_one() {
     let site = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sites/twelve.toml");
     let dir = tempfile::tempdir().unwrap();
     let configs = dir.path().to_str().unwrap();
-    let (code, out, err) =
-        told(&stonefold(&["emulate", site, "--duration", "1ms", "--configs", configs, "--format", "json"]));
+    let (code, out, err) = result_of(&stonefold(&[
+        "emulate",
+        site,
+        "--duration",
+        "1ms",
+        "--configs",
+        configs,
+        "--format",
+        "json",
+    ]));
     assert!(code == 0 && out.contains(r#""rules_broken":0"#), "{out} {err}");
     let config = dir.path().join("node-3.toml");
-    assert_eq!(told(&stonefold(&["check", config.to_str().unwrap()])).0, 0);
-    let (code, _, err) = told(&stonefold(&["emulate", site, "--set", "rate=0"]));
+    assert_eq!(result_of(&stonefold(&["check", config.to_str().unwrap()])).0, 0);
+    let (code, _, err) = result_of(&stonefold(&["emulate", site, "--set", "rate=0"]));
     assert!(code == 2 && err.contains("flag --set rate=0: rate:"), "{err}");
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = taken.local_addr().unwrap().to_string();
-    let (code, _, err) = told(&stonefold(&["emulate", site, "--control", &at]));
+    let (code, _, err) = result_of(&stonefold(&["emulate", site, "--control", &at]));
     assert!(code == 1 && err.contains(&format!("cannot listen at {at}")), "{err}");
 }
 
+/// Guards against a full disk under the log, here /dev/full, that disturbs requests or the shutdown.
 #[test]
-fn a_full_disk_under_the_log_is_nobodys_trouble() {
+fn node_serves_and_exits_cleanly_while_its_log_cannot_be_written() {
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let dir = tempfile::tempdir().unwrap();
     let (file, at) = (dir.path().join("node.toml"), free_address());
-    std::fs::write(&file, own_file(cache.addr, origin.addr, discovery.addr)).unwrap();
+    std::fs::write(&file, toml_config(cache.addr, origin.addr, discovery.addr)).unwrap();
     let listen = format!("node.listen={at}");
     let mut node =
         stonefold_through_shell(r#"exec "$0" node --config "$FILE" --set "$LISTEN" --log debug 2>/dev/full"#)
@@ -238,17 +258,18 @@
             .spawn()
             .unwrap();
     while std::net::TcpStream::connect(at).is_err() {
-        assert!(node.try_wait().unwrap().is_none(), "it ended");
+        assert!(node.try_wait().unwrap().is_none(), "the node ended");
     }
     let at = at.to_string();
-    let (code, _, err) = told(&stonefold(&["get", "k", "--class", "other", "--node", &at]));
+    let (code, _, err) = result_of(&stonefold(&["get", "k", "--class", "other", "--node", &at]));
     assert!(code == 1 && err.contains("unknown class"), "{err}");
     assert!(Command::new("kill").arg(node.id().to_string()).status().unwrap().success());
     assert!(node.wait().unwrap().success());
 }
 
+/// Guards against a node that ends or hangs when all of its servers are gone.
 #[test]
-fn a_node_outlives_the_emulator_under_it() {
+fn node_outlives_a_killed_emulator_and_reports_failures() {
     let site = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/sites/twelve.toml");
     let dir = tempfile::tempdir().unwrap();
     let configs = dir.path().to_str().unwrap();
@@ -258,12 +279,21 @@
         .spawn()
         .unwrap();
     let mut line = String::new();
-    let mut said = BufReader::new(emulator.stdout.take().unwrap());
-    said.read_line(&mut line).unwrap();
-    let node = Own::start(&dir.path().join("node-0.toml"));
+    let mut emulator_output = BufReader::new(emulator.stdout.take().unwrap());
+    emulator_output.read_line(&mut line).unwrap();
+    let node = TomlNode::start(&dir.path().join("node-0.toml"));
     let at = node.addr.to_string();
     let get = || {
-        told(&stonefold(&["get", "record:1", "--node", &at, "--class", "record-lookup", "--deadline", "10s"]))
+        result_of(&stonefold(&[
+            "get",
+            "record:1",
+            "--node",
+            &at,
+            "--class",
+            "record-lookup",
+            "--deadline",
+            "10s",
+        ]))
     };
     let (code, out, err) = get();
     assert!(code == 0 && out.contains(":record:1:"), "{out} {err}");
@@ -273,8 +303,9 @@
     assert!(code == 1 && out.is_empty() && (err.contains("refused") || err.contains("failed")), "{err}");
 }
 
+/// Guards against nodes or files of a demo with `--keep` that are left after SIGTERM.
 #[test]
-fn a_demo_that_is_kept_can_be_asked_and_told_to_end_leaves_nothing_behind() {
+fn kept_demo_serves_requests_and_leaves_nothing_behind_when_terminated() {
     let dir = tempfile::tempdir().unwrap();
     let mut demo = Command::new(env!("CARGO_BIN_EXE_stonefold"))
         .args(["demo", "--duration", "1s", "--nodes", "2", "--caches", "2", "--rate", "50", "--keep"])
@@ -285,19 +316,20 @@
     let mut lines = BufReader::new(demo.stdout.take().unwrap()).lines().map(Result::unwrap);
     let node =
         lines.find_map(|line| Some(line.strip_prefix("node 0: clients at ")?.split(',').next()?.to_owned()));
-    let node = node.expect("addresses");
+    let node = node.expect("the address of a node");
     assert!(lines.any(|line| line.starts_with("Ctrl-C")));
-    let (code, out, err) = told(&stonefold(&["get", "record:1", "--node", &node, "--deadline", "10s"]));
+    let (code, out, err) = result_of(&stonefold(&["get", "record:1", "--node", &node, "--deadline", "10s"]));
     assert!(code == 0 && out.contains(":record:1:"), "{out} {err}");
     assert!(Command::new("kill").arg(demo.id().to_string()).status().unwrap().success());
     assert!(demo.wait().unwrap().success());
-    // Its nodes are gone, and so is what it wrote.
+    // Its nodes have ended and its files are deleted.
     while std::net::TcpStream::connect(&node).is_ok() {}
     assert_eq!(std::fs::read_dir(dir.path()).unwrap().count(), 0);
 }
 
+/// Guards against files of a demo that are left after a SIGTERM under load.
 #[test]
-fn a_demo_that_is_told_to_end_under_load_leaves_nothing_behind() {
+fn demo_terminated_under_load_leaves_nothing_behind() {
     let dir = tempfile::tempdir().unwrap();
     let mut demo = Command::new(env!("CARGO_BIN_EXE_stonefold"))
         .args(["demo", "--duration", "10m", "--nodes", "1", "--caches", "2", "--rate", "50"])
@@ -312,8 +344,9 @@
     assert_eq!(std::fs::read_dir(dir.path()).unwrap().count(), 0);
 }
 
+/// Guards against a value of the longest length, 4 MiB, that is cut off because its cache stalls for 1.5 s meanwhile.
 #[test]
-fn the_longest_value_comes_whole_through_a_cache_that_stalls_amid_load() {
+fn longest_value_arrives_intact_through_a_cache_that_stalls() {
     let dir = tempfile::tempdir().unwrap();
     let site = dir.path().join("site.toml");
     let text = "name='s'\nnodes=1\nrate=1\n[keys]\ncount=1\nheld=1\nvalue='4MiB'\nvalue_sigma=0\n[[cache]]\n\
@@ -326,21 +359,22 @@
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    // Held open: an emulator that nobody reads ends as it says its next line.
-    let mut said = BufReader::new(emulator.stdout.take().unwrap());
-    said.read_line(&mut String::new()).unwrap();
-    let node = Own::start(&configs.join("node-0.toml"));
+    // The pipe is held open: the emulator would end at its next line if nobody could read it.
+    let mut emulator_output = BufReader::new(emulator.stdout.take().unwrap());
+    emulator_output.read_line(&mut String::new()).unwrap();
+    let node = TomlNode::start(&configs.join("node-0.toml"));
     let at = node.addr.to_string();
     let get = ["get", "record:0", "--node", &at, "--class", "read", "--deadline", "30s"];
-    let (code, out, err) = told(&stonefold(&get));
+    let (code, out, err) = result_of(&stonefold(&get));
     assert_eq!((code, out.len()), (0, (4 << 20) + 1), "{err}");
     assert!(out.contains(":record:0:") && out.ends_with(".\n"));
     emulator.kill().unwrap();
     emulator.wait().unwrap();
 }
 
+/// Guards against a broken rule, here a non-idempotent write that runs twice, which the exit code does not show.
 #[test]
-fn an_emulator_whose_rules_were_broken_ends_with_1() {
+fn emulator_exits_with_1_after_a_rule_was_broken() {
     let dir = tempfile::tempdir().unwrap();
     let site = dir.path().join("site.toml");
     let text = "name='s'\nnodes=1\nrate=1\n[[cache]]\n[[class]]\nname='put'\nshare=1\nwork='0s'\naim='1s'\n\
--- a/crates/cli/tests/time_left.rs
+++ b/crates/cli/tests/time_left.rs
@@ -1,7 +1,7 @@
-//! An attempt tells its server no more time than its client has left, as far as the node can know it.
+//! An attempt states to its server no more time than its client has left, as far as the node can know it.
 //!
-//! The bad orders are arranged by events (a connection that is let in, a node that is stopped and continued, an
-//! answer that is held back); the time that has to pass between two of them is waited for, and nothing else is.
+//! The tests produce the critical orders by events: a connection that is accepted, a node that is stopped and
+//! continued, a reply that is held back. They sleep only for the time that has to pass between two events.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -15,18 +15,18 @@
 
 const CACHE: &str = "s-5be2a07c";
 /// How long a command waits in these tests before the node reads it.
-const UNREAD: Duration = Duration::from_millis(400);
-/// What the kernel's and the test's own steps may take between two readings of the clock.
-const GRAIN: Duration = Duration::from_millis(20);
+const UNREAD_TIME: Duration = Duration::from_millis(400);
+/// The time that steps of the kernel and of the test may take between two readings of the clock.
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(20);
 /// How many requests one connection may have open at once.
-const OPEN_AT_ONCE: usize = 64;
+const MAX_OPEN_REQUESTS: usize = 64;
 
-/// Settings under which a connection may take as long as the test wants.
-fn patient() -> String {
+/// Settings with a connect timeout that no test reaches.
+fn settings_without_connect_timeout() -> String {
     SETTINGS.replace(r#""ConnectTimeout":10000.0"#, r#""ConnectTimeout":600000.0"#)
 }
 
-fn start(settings: &str, cache: SocketAddr, origin: SocketAddr) -> Node {
+fn start_node(settings: &str, cache: SocketAddr, origin: SocketAddr) -> Node {
     let known = server_list(41, &[(CACHE, cache)], origin);
     NodeOptions {
         settings,
@@ -37,13 +37,13 @@
     .start()
 }
 
-/// How long the client of a [`Scene`] waits for each of its answers.
-const LONG_WAIT: Duration = Duration::from_secs(60);
-/// More pings than may be owed an answer, and fewer than the kernels of both sides hold.
+/// The deadline that the client of a [`Fixture`] states with each command.
+const LONG_DEADLINE: Duration = Duration::from_secs(60);
+/// More pings than the limit of pending replies, and fewer than the kernels of both sides buffer.
 const PINGS: usize = 6_000;
 
 /// A node whose client has one read in flight at the cache.
-struct Scene {
+struct Fixture {
     first: Call,
     client: Client,
     _node: Node,
@@ -51,35 +51,37 @@
     cache: FakeServer,
 }
 
-impl Scene {
-    fn with_read_in_flight() -> Scene {
+impl Fixture {
+    fn with_read_in_flight() -> Fixture {
         let (cache, origin) = (FakeServer::cache(), FakeServer::http());
-        let node = start(SETTINGS, cache.addr, origin.addr);
+        let node = start_node(SETTINGS, cache.addr, origin.addr);
         let mut client = node.client();
-        client.send_get("k", &format!("c=read,d={}", LONG_WAIT.as_millis()));
+        client.send_get("k", &format!("c=read,d={}", LONG_DEADLINE.as_millis()));
         let first = cache.next_call();
-        Scene { first, client, _node: node, _origin: origin, cache }
+        Fixture { first, client, _node: node, _origin: origin, cache }
     }
 }
 
-/// The time that a call tells its server.
-fn time_told(call: &Call) -> Duration {
+/// The time that a request states to its server.
+fn stated_time(call: &Call) -> Duration {
     let facts = call.words.iter().find(|word| word.contains("c=") && word.contains("d=")).expect("facts");
-    let told = facts.split([',', ' ']).find_map(|fact| fact.strip_prefix("d=")).expect("a time");
-    Duration::from_millis(told.parse().unwrap())
+    let stated = facts.split([',', ' ']).find_map(|fact| fact.strip_prefix("d=")).expect("a time");
+    Duration::from_millis(stated.parse().unwrap())
 }
 
-/// Waits until no connection to a server is on its way any more.
+/// Waits until no connection to a server is in progress.
 fn wait_until_connected(started: Instant, connecting: impl Fn() -> usize) {
     while connecting() > 0 {
-        assert!(started.elapsed() < TEST_TIMEOUT, "a connection does not come up");
+        assert!(started.elapsed() < TEST_TIMEOUT, "a connection stays in progress");
         thread::yield_now();
     }
 }
 
+/// Guards against a request that is sent in vain: its connection comes up only after the deadline, and the node finds
+/// both at once.
 #[test]
-fn nothing_is_sent_when_a_connection_comes_up_after_the_time_is_over() {
-    const WAIT: Duration = Duration::from_millis(300);
+fn request_is_not_sent_on_a_connection_made_after_its_deadline() {
+    const DEADLINE: Duration = Duration::from_millis(300);
     for write in [false, true] {
         let (late, other) = if write {
             (BackloggedServer::http(), FakeServer::cache())
@@ -87,21 +89,21 @@
             (BackloggedServer::cache(), FakeServer::http())
         };
         let (cache, origin) = if write { (other.addr, late.addr) } else { (late.addr, other.addr) };
-        let node = start(&patient(), cache, origin);
+        let node = start_node(&settings_without_connect_timeout(), cache, origin);
         let mut client = node.client();
         let sent = Instant::now();
         if write {
-            client.send_set("k", &format!("c=put,d={},k=1", WAIT.as_millis()), "v");
+            client.send_set("k", &format!("c=put,d={},k=1", DEADLINE.as_millis()), "v");
         } else {
-            client.send_get("k", &format!("c=read,d={}", WAIT.as_millis()));
+            client.send_get("k", &format!("c=read,d={}", DEADLINE.as_millis()));
         }
         late.wait_for_connecting(1);
         node.pause();
-        thread::sleep(WAIT.saturating_sub(sent.elapsed()) + GRAIN);
+        thread::sleep(DEADLINE.saturating_sub(sent.elapsed()) + CLOCK_TOLERANCE);
         let at = late.addr;
         let server = late.accept_connections();
         wait_until_connected(Instant::now(), || connecting_sockets(at));
-        // Now both the end of the time and the connection wait for the node's turn.
+        // When the node continues, it finds both the passed deadline and the new connection.
         node.resume();
         let answer = client.read_reply().unwrap();
         assert!(answer.starts_with("-BUSY"), "write {write}: {answer}");
@@ -112,65 +114,84 @@
             next.send(&["CACHE.GET", "k", "the-next", "c=read,d=60000"]);
         }
         let call = server.next_call();
-        assert!(call.words.iter().any(|word| word.contains("the-next")), "sent in vain: {:?}", call.words);
+        assert!(
+            call.words.iter().any(|word| word.contains("the-next")),
+            "sent after the deadline: {:?}",
+            call.words
+        );
     }
 }
 
+/// Guards against a command whose deadline is counted from when it is read, after the node had paused reading at the
+/// limit of pending replies.
 #[test]
-fn a_command_behind_as_many_answers_as_may_be_owed_tells_what_is_left_since_it_came() {
-    let Scene { first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
+fn command_unread_at_the_pending_reply_limit_states_time_since_its_arrival() {
+    let Fixture { first, mut client, _node, _origin, cache } = Fixture::with_read_in_flight();
     client.write(encode_command(&["PING"]).repeat(PINGS));
-    client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
-    thread::sleep(UNREAD);
+    client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", LONG_DEADLINE.as_millis())]);
+    thread::sleep(UNREAD_TIME);
     first.reply_value("v");
     assert_eq!(client.read_reply().as_deref(), Some("v"));
     for _ in 0..PINGS {
         assert_eq!(client.read_reply().as_deref(), Some("+PONG"));
     }
     let call = cache.next_call();
-    assert!(time_told(&call) <= LONG_WAIT - UNREAD + GRAIN, "{:?} told", time_told(&call));
+    assert!(
+        stated_time(&call) <= LONG_DEADLINE - UNREAD_TIME + CLOCK_TOLERANCE,
+        "{:?} stated",
+        stated_time(&call)
+    );
     call.reply_value("w");
     assert_eq!(client.read_reply().as_deref(), Some("w"));
 }
 
+/// Guards against a command whose deadline is counted from when it is read, after the node had paused reading to write
+/// a long reply.
 #[test]
-fn a_command_that_comes_while_an_answer_is_written_tells_what_is_left_since_it_came() {
-    const LONG: usize = 200_000; // passed on as it comes
-    let Scene { mut first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
+fn command_unread_while_a_reply_is_written_states_time_since_its_arrival() {
+    const LONG: usize = 200_000; // a length that the node passes on as it comes
+    let Fixture { mut first, mut client, _node, _origin, cache } = Fixture::with_read_in_flight();
     first.reply(format!("*3\r\n${LONG}\r\n{}", "x".repeat(LONG / 2)));
     assert_eq!(client.read_line(), format!("${LONG}"));
-    client.send(&["CACHE.GET", "l", "the-next", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
-    thread::sleep(UNREAD);
+    client.send(&["CACHE.GET", "l", "the-next", &format!("c=read,d={}", LONG_DEADLINE.as_millis())]);
+    thread::sleep(UNREAD_TIME);
     first.reply(format!("{}\r\n$3\r\nhit\r\n$-1\r\n", "x".repeat(LONG / 2)));
     assert_eq!(client.read_line().len(), LONG);
     let call = cache.next_call();
-    assert!(time_told(&call) <= LONG_WAIT - UNREAD + GRAIN, "{:?} told", time_told(&call));
+    assert!(
+        stated_time(&call) <= LONG_DEADLINE - UNREAD_TIME + CLOCK_TOLERANCE,
+        "{:?} stated",
+        stated_time(&call)
+    );
     call.reply_value("w");
     assert_eq!(client.read_reply().as_deref(), Some("w"));
 }
 
+/// Guards against a command whose deadline is reduced by a pause in reading that ended before it came.
 #[test]
-fn a_command_that_comes_after_a_pause_in_reading_has_all_its_time() {
-    let Scene { first, mut client, _node, _origin, cache } = Scene::with_read_in_flight();
+fn command_that_arrives_after_a_reading_pause_has_its_whole_deadline() {
+    let Fixture { first, mut client, _node, _origin, cache } = Fixture::with_read_in_flight();
     client.write(encode_command(&["PING"]).repeat(PINGS));
-    thread::sleep(UNREAD);
+    thread::sleep(UNREAD_TIME);
     first.reply_value("v");
     assert_eq!(client.read_reply().as_deref(), Some("v"));
     for _ in 0..PINGS {
         assert_eq!(client.read_reply().as_deref(), Some("+PONG"));
     }
-    client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", LONG_WAIT.as_millis())]);
+    client.send(&["CACHE.GET", "l", "the-last", &format!("c=read,d={}", LONG_DEADLINE.as_millis())]);
     let call = cache.next_call();
-    assert!(time_told(&call) > LONG_WAIT - UNREAD / 2, "{:?} told", time_told(&call));
+    assert!(stated_time(&call) > LONG_DEADLINE - UNREAD_TIME / 2, "{:?} stated", stated_time(&call));
     call.reply_value("w");
     assert_eq!(client.read_reply().as_deref(), Some("w"));
 }
 
+/// Guards against a metric of stated time in excess of the deadline that leaves out the time for which the request
+/// itself was being written.
 #[test]
-fn a_request_whose_last_byte_is_long_in_going_out_is_counted_by_what_it_told_too_much() {
+fn slowly_written_request_is_counted_with_its_excess_stated_time() {
     const LENGTH: usize = BYTES_BEYOND_BUFFERS;
     let (cache, origin) = (FakeServer::cache(), listener_with_small_receive_buffer());
-    let node = start(SETTINGS, cache.addr, origin.local_addr().unwrap());
+    let node = start_node(SETTINGS, cache.addr, origin.local_addr().unwrap());
     let mut client = node.client();
     client.send_set("k", "c=put,d=60000,k=1", &"x".repeat(LENGTH));
     let mut request = BufReader::new(origin.accept().unwrap().0);
@@ -179,8 +200,8 @@
         header.clear();
         request.read_line(&mut header).unwrap();
     }
-    thread::sleep(UNREAD);
-    assert_eq!(node.metric("svc_deadline_excess_seconds_count"), 0.0, "its last byte is not out");
+    thread::sleep(UNREAD_TIME);
+    assert_eq!(node.metric("svc_deadline_excess_seconds_count"), 0.0, "its last byte is not written");
     request.read_exact(&mut vec![0; LENGTH]).unwrap();
     request.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nr").unwrap();
     assert_eq!(client.read_reply().as_deref(), Some("r"));
@@ -189,38 +210,40 @@
     assert_eq!(node.metric(r#"svc_deadline_excess_seconds_bucket{le="+Inf"}"#), 1.0);
 }
 
+/// Guards against commands over the limit of open requests that get no reply, no pause where the settings ask for one,
+/// or are not counted.
 #[test]
-fn commands_beyond_what_one_connection_may_have_open_are_refused_and_may_come_again() {
+fn pipelined_commands_beyond_the_open_limit_get_busy_with_retry_after() {
     const CLIENTS: usize = 4;
     const COMMANDS: usize = 200;
-    for pauses in [true, false] {
-        let settings = SETTINGS.replace(r#""RetryAfter":true"#, &format!(r#""RetryAfter":{pauses}"#));
+    for retry_after in [true, false] {
+        let settings = SETTINGS.replace(r#""RetryAfter":true"#, &format!(r#""RetryAfter":{retry_after}"#));
         let (cache, origin) = (FakeServer::cache(), FakeServer::http());
-        let node = start(&settings, cache.addr, origin.addr);
+        let node = start_node(&settings, cache.addr, origin.addr);
         let mut clients: Vec<Client> = (0..CLIENTS).map(|_| node.client()).collect();
         for (n, client) in clients.iter_mut().enumerate() {
             let command = |i| encode_command(&["CACHE.GET", "k", &format!("id-{n}-{i}"), "c=read,d=60000"]);
             client.write((0..COMMANDS).map(command).collect::<String>());
         }
         for client in &mut clients {
-            let answers: Vec<String> = (0..COMMANDS).map(|_| next_answer(client, &cache)).collect();
+            let answers: Vec<String> = (0..COMMANDS).map(|_| next_reply(client, &cache)).collect();
             let pause =
                 |answer: &String| answer.strip_prefix("-BUSY").map(|ms| ms.trim().parse::<u64>().ok());
-            let taken = |answer: &String| answer == "v" || pause(answer).is_some();
-            assert!(answers.iter().all(taken), "{answers:?}");
-            let beyond = &answers[2 * OPEN_AT_ONCE..];
-            let refused: Vec<Option<u64>> = beyond.iter().filter_map(pause).collect();
-            assert!(!refused.is_empty());
-            assert!(refused.iter().all(|ms| ms.is_some_and(|ms| (1..=2000).contains(&ms)) == pauses));
+            let served_or_rejected = |answer: &String| answer == "v" || pause(answer).is_some();
+            assert!(answers.iter().all(served_or_rejected), "{answers:?}");
+            let beyond = &answers[2 * MAX_OPEN_REQUESTS..];
+            let rejected: Vec<Option<u64>> = beyond.iter().filter_map(pause).collect();
+            assert!(!rejected.is_empty());
+            assert!(rejected.iter().all(|ms| ms.is_some_and(|ms| (1..=2000).contains(&ms)) == retry_after));
         }
-        let refused = node.metric(r#"svc_busy_total{tier="read"}"#);
+        let rejected = node.metric(r#"svc_busy_total{tier="read"}"#);
         let served = node.metric(r#"svc_success_total{tier="read"}"#);
-        assert_eq!(refused + served, (CLIENTS * COMMANDS) as f64);
+        assert_eq!(rejected + served, (CLIENTS * COMMANDS) as f64);
     }
 }
 
-/// A client's next answer, while the cache answers whatever it is asked.
-fn next_answer(client: &mut Client, cache: &FakeServer) -> String {
+/// Reads a client's next reply, while the cache answers each request.
+fn next_reply(client: &mut Client, cache: &FakeServer) -> String {
     loop {
         cache.try_next_call().into_iter().for_each(|call| call.reply_value("v"));
         if let Some(answer) = client.try_read_reply() {
