--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -1,4 +1,5 @@
-//! Nodes that keep their state together: three processes with a store each, killed and started again.
+//! Nodes that share their state through the replicated store: up to three processes with a store each, killed and
+//! restarted.
 
 #[path = "common/addresses.rs"]
 mod addresses;
@@ -22,31 +23,33 @@
     Command::new(env!("CARGO_BIN_EXE_stonefold")).env_clear().args(args).output().unwrap()
 }
 
-/// What it printed, if it was done.
-fn done(args: &[&str]) -> String {
+/// The standard output of a command, which has to succeed.
+fn output_of(args: &[&str]) -> String {
     let output = stonefold(args);
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success(), "{args:?}: {told}");
+    let message = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{args:?}: {message}");
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// What it said when it failed, and its exit code.
-fn failed(args: &[&str]) -> (i32, String) {
+/// The exit code and the standard error of a command that is expected to fail.
+fn failure_of(args: &[&str]) -> (i32, String) {
     let output = stonefold(args);
     (output.status.code().unwrap(), String::from_utf8(output.stderr).unwrap())
 }
 
-struct Site {
+/// The stores of a cluster, with the files of its members.
+struct Cluster {
     dir: tempfile::TempDir,
     key: PathBuf,
     stores: Vec<SocketAddr>,
-    cluster: String,
-    /// More of its processes' environment.
+    /// The id of the cluster, as `store init` printed it.
+    cluster_id: String,
+    /// Further environment variables of its processes.
     environment: Vec<(&'static str, OsString)>,
 }
 
-/// What a node is told beside its store.
-fn own(discovery: SocketAddr) -> String {
+/// A node's configuration without its store.
+fn node_config(discovery: SocketAddr) -> String {
     format!(
         r#"
 [node]
@@ -65,31 +68,32 @@
     )
 }
 
-struct Member {
+/// A running process of `stonefold node`.
+struct Process {
     child: Child,
-    clients: SocketAddr,
-    operators: SocketAddr,
-    /// Where it serves those who follow, if it is a relay.
-    relay: Option<SocketAddr>,
+    client_addr: SocketAddr,
+    operator_addr: SocketAddr,
+    /// The address at which it serves subscribers, if it is a relay.
+    relay_addr: Option<SocketAddr>,
 }
 
-impl Drop for Member {
+impl Drop for Process {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // as a power cut would, but for the disk
+        let _ = self.child.kill(); // like a power cut, except that the kernel still writes to the disk
         let _ = self.child.wait();
     }
 }
 
-impl Site {
-    /// Stores for so many members, of one cluster.
-    fn new(members: usize) -> Site {
+impl Cluster {
+    /// Creates the stores of this many members.
+    fn new(members: usize) -> Cluster {
         let dir = tempfile::tempdir().unwrap();
         let key = dir.path().join("key");
         let stores: Vec<SocketAddr> = (0..members).map(|_| free_address()).collect();
-        let mut site = Site { dir, key, stores, cluster: String::new(), environment: Vec::new() };
-        site.cluster = site.init(0, None).trim().to_owned();
-        (1..members).for_each(|n| _ = site.init(n, Some(&site.cluster)));
-        site
+        let mut cluster = Cluster { dir, key, stores, cluster_id: String::new(), environment: Vec::new() };
+        cluster.cluster_id = cluster.init(0, None).trim().to_owned();
+        (1..members).for_each(|n| _ = cluster.init(n, Some(&cluster.cluster_id)));
+        cluster
     }
 
     fn path(&self, name: &str) -> String {
@@ -102,25 +106,27 @@
         let mut args = vec!["store", "init", "--dir", &dir, "--member", &member, "--listen", &listen];
         args.extend(["--key-file", self.key.to_str().unwrap()]);
         args.extend(join.iter().flat_map(|join| ["--join", join]));
-        done(&args)
+        output_of(&args)
     }
 
-    /// Arguments of a command, and those that say where the store is.
-    fn at<'a>(&'a self, n: usize, words: &[&'a str], at: &'a mut String) -> Vec<&'a str> {
+    /// The arguments of a command with those that name the store of member `n`.
+    fn args_for<'a>(&'a self, n: usize, words: &[&'a str], at: &'a mut String) -> Vec<&'a str> {
         *at = self.stores[n].to_string();
         [words, &["--at", at, "--key-file", self.key.to_str().unwrap()]].concat()
     }
 
+    /// Runs a command against the store of member `n`, and returns its output.
     fn store(&self, n: usize, words: &[&str]) -> String {
-        done(&self.at(n, words, &mut String::new()))
+        output_of(&self.args_for(n, words, &mut String::new()))
     }
 
-    fn refused(&self, n: usize, words: &[&str]) -> (i32, String) {
-        failed(&self.at(n, words, &mut String::new()))
+    /// Runs a command against the store of member `n` that is expected to fail.
+    fn store_failure(&self, n: usize, words: &[&str]) -> (i32, String) {
+        failure_of(&self.args_for(n, words, &mut String::new()))
     }
 
-    /// Starts members together: those that have a quorum among them wait for each other.
-    fn start_all(&self, members: &[usize], discovery: SocketAddr) -> Vec<Member> {
+    /// Starts members at the same time, since each waits until a quorum of them runs.
+    fn start_all(&self, members: &[usize], discovery: SocketAddr) -> Vec<Process> {
         std::thread::scope(|scope| {
             let starts: Vec<_> =
                 members.iter().map(|&n| scope.spawn(move || self.start(n, discovery, "10s"))).collect();
@@ -128,26 +134,27 @@
         })
     }
 
-    fn start(&self, n: usize, discovery: SocketAddr, wait: &str) -> Member {
-        self.start_with(n, &own(discovery), wait)
+    fn start(&self, n: usize, discovery: SocketAddr, wait: &str) -> Process {
+        self.start_with(n, &node_config(discovery), wait)
     }
 
-    /// Starts a member with this configuration, and its store beside it.
-    fn start_with(&self, n: usize, own: &str, wait: &str) -> Member {
+    /// Starts a member with this configuration, to which the section for its store is added.
+    fn start_with(&self, n: usize, config: &str, wait: &str) -> Process {
         let (store, dir) = (self.stores[n], self.path(&format!("m{n}")));
         let config = format!(
-            "{own}\n[store]\ndir = \"{dir}\"\nlisten = \"{store}\"\nkey_file = \"{key}\"\nwait = \"{wait}\"\n",
+            "{config}\n[store]\ndir = \"{dir}\"\nlisten = \"{store}\"\nkey_file = \"{key}\"\nwait = \"{wait}\"\n",
             key = self.key.display()
         );
-        self.start_file(&format!("node{n}.toml"), &config)
+        self.start_from_file(&format!("node{n}.toml"), &config)
     }
 
     /// Starts a node without a store.
-    fn start_alone(&self, config: &str) -> Member {
-        self.start_file("alone.toml", config)
+    fn start_without_store(&self, config: &str) -> Process {
+        self.start_from_file("alone.toml", config)
     }
 
-    fn start_file(&self, name: &str, config: &str) -> Member {
+    /// Starts a node from a configuration file with this name and text.
+    fn start_from_file(&self, name: &str, config: &str) -> Process {
         let file = self.path(name);
         std::fs::write(&file, config).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_stonefold"));
@@ -155,58 +162,65 @@
         command.args(["node", "--config", &file]).stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let (mut clients, mut operators, mut relay) = (None, None, None);
+        let (mut client_addr, mut operator_addr, mut relay_addr) = (None, None, None);
         let mut all = String::new();
-        while clients.is_none() || operators.is_none() {
+        while client_addr.is_none() || operator_addr.is_none() {
             let mut line = String::new();
-            assert!(log.read_line(&mut line).unwrap() > 0, "ended at its start: {all}");
-            let told = |event: &str| {
+            assert!(log.read_line(&mut line).unwrap() > 0, "the process ended during its start: {all}");
+            let address_in = |event: &str| {
                 let (_, at) = line.split_once(&format!(r#"event="{event}" at="#))?;
                 Some(at.split_whitespace().next().unwrap().parse().unwrap())
             };
-            clients = told("listening").or(clients);
-            operators = told("operator_listening").or(operators);
-            relay = told("relay_listening").or(relay);
+            client_addr = address_in("listening").or(client_addr);
+            operator_addr = address_in("operator_listening").or(operator_addr);
+            relay_addr = address_in("relay_listening").or(relay_addr);
             all += &line;
         }
-        Member { child, clients: clients.unwrap(), operators: operators.unwrap(), relay }
+        Process {
+            child,
+            client_addr: client_addr.unwrap(),
+            operator_addr: operator_addr.unwrap(),
+            relay_addr,
+        }
     }
 }
 
-impl Member {
-    fn call(&self, call: &str) -> String {
-        let output = stonefold(&["call", &self.operators.to_string(), call]);
+impl Process {
+    fn operator_call(&self, command: &str) -> String {
+        let output = stonefold(&["call", &self.operator_addr.to_string(), command]);
         String::from_utf8(output.stdout).unwrap()
     }
 
-    /// Gives an order, again where the store could not keep it in the time that an operator waits.
-    fn order(&self, word: &str) {
+    /// Gives an order about the cache, and repeats it if the store could not commit it within the time that an operator
+    /// waits.
+    fn order(&self, command: &str) {
         let end = Instant::now() + TEST_TIMEOUT;
         loop {
-            match self.call(&format!("{word} {CACHE}")).as_str() {
+            match self.operator_call(&format!("{command} {CACHE}")).as_str() {
                 "ok\n" => return,
                 answer => assert!(Instant::now() < end, "{answer}"),
             }
         }
     }
 
-    fn figure(&self, name: &str) -> String {
-        let all = self.call("STATS");
+    fn metric(&self, name: &str) -> String {
+        let all = self.operator_call("STATS");
         let line = all.lines().find(|line| line.starts_with(&format!("{name} "))).unwrap();
         line.rsplit_once(' ').unwrap().1.to_owned()
     }
 
-    /// Waits until a figure has a value.
-    fn until(&self, name: &str, value: &str) {
+    /// Waits until a metric has this value.
+    fn wait_for_metric(&self, name: &str, value: &str) {
         let end = Instant::now() + TEST_TIMEOUT;
-        while self.figure(name) != value {
-            assert!(Instant::now() < end, "{name} is {}, not {value}", self.figure(name));
+        while self.metric(name) != value {
+            assert!(Instant::now() < end, "{name} is {}, not {value}", self.metric(name));
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
+    /// Sends a read, and returns its value or the line of the reply.
     fn read(&self, facts: &str) -> String {
-        let mut stream = TcpStream::connect(self.clients).unwrap();
+        let mut stream = TcpStream::connect(self.client_addr).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let words = ["CACHE.GET", "k", "9b1f03aa5c7e2d41", facts];
         let bulk: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
@@ -222,8 +236,8 @@
     }
 }
 
-/// A discovery that tells whoever asks for the whole list, and has no news.
-fn answering(discovery: FakeServer, list: String) {
+/// Lets discovery reply with this list to requests for the whole list, and never to requests for changes.
+fn serve_list(discovery: FakeServer, list: String) {
     std::thread::spawn(move || {
         let mut waiting = Vec::new();
         loop {
@@ -236,22 +250,24 @@
     });
 }
 
+/// Guards against orders that are lost in the store, or between its members, when reads and writes are cut short or
+/// interrupted.
 #[test]
-fn orders_bind_all_though_calls_are_short_and_interrupted() {
+fn orders_reach_all_members_though_system_calls_are_short_or_interrupted() {
     const ORDERS: usize = 10;
     let plan = FaultPlan::new(9).unwrap();
     let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
-    let site = Site { environment: plan.environment(&library).into(), ..Site::new(3) };
+    let cluster = Cluster { environment: plan.environment(&library).into(), ..Cluster::new(3) };
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
-    let mut nodes = vec![site.start(0, discovery.addr, "10s")];
-    nodes.extend((1..3).map(|n| site.start(n, free_address(), "0s")));
-    answering(discovery, known);
+    let mut nodes = vec![cluster.start(0, discovery.addr, "10s")];
+    nodes.extend((1..3).map(|n| cluster.start(n, free_address(), "0s")));
+    serve_list(discovery, known);
     for (n, member) in [(1, "2"), (2, "3")] {
-        site.store(0, &["store", "add", member, &site.stores[n].to_string()]);
+        cluster.store(0, &["store", "add", member, &cluster.stores[n].to_string()]);
     }
     for node in &nodes {
-        node.until("svc_hosts_listed", "1");
+        node.wait_for_metric("svc_hosts_listed", "1");
     }
     for fault in [Fault::ShortRead, Fault::ShortWrite, Fault::InterruptedRead, Fault::InterruptedWrite] {
         plan.set(fault, 0.1).unwrap();
@@ -260,205 +276,218 @@
         let (call, down) = if n.is_multiple_of(2) { ("DISABLE", "1") } else { ("ENABLE", "0") };
         nodes[n % 3].order(call);
         for node in &nodes {
-            node.until("svc_hosts_down", down);
+            node.wait_for_metric("svc_hosts_down", down);
         }
     }
     assert!(plan.injected(Fault::ShortWrite).unwrap() > 0);
 }
 
+/// Guards against a list, an order or a configuration that one member has committed and another one lacks, or that is
+/// lost when all members are killed at once. A minority takes no change and goes on serving.
 #[test]
-fn what_one_node_learns_all_know_and_still_do_after_all_were_killed_at_once() {
-    let site = Site::new(3);
+fn committed_state_reaches_all_members_and_survives_killing_them_at_once() {
+    let cluster = Cluster::new(3);
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
-    let other = free_address(); // it is out of use all the time
-    let known = server_list(41, &[(CACHE, other), ("s-11d0c3f9", cache.addr)], origin.addr);
-    let nobody = free_address();
-    // One node's discovery answers; the others' do not, and never will.
-    let mut nodes = vec![site.start(0, discovery.addr, "10s")];
-    nodes.extend((1..3).map(|n| site.start(n, nobody, "0s")));
-    answering(discovery, known);
+    let absent_cache = free_address(); // nobody listens there
+    let known = server_list(41, &[(CACHE, absent_cache), ("s-11d0c3f9", cache.addr)], origin.addr);
+    let silent_discovery = free_address();
+    // Only the first node has a discovery that replies.
+    let mut nodes = vec![cluster.start(0, discovery.addr, "10s")];
+    nodes.extend((1..3).map(|n| cluster.start(n, silent_discovery, "0s")));
+    serve_list(discovery, known);
     for (n, member) in [(1, "2"), (2, "3")] {
-        site.store(0, &["store", "add", member, &site.stores[n].to_string()]);
+        cluster.store(0, &["store", "add", member, &cluster.stores[n].to_string()]);
     }
-    assert_eq!(site.store(1, &["store", "members"]).matches("votes").count(), 3);
+    assert_eq!(cluster.store(1, &["store", "members"]).matches("votes").count(), 3);
 
     for node in &nodes {
-        node.until("svc_hosts_listed", "2");
+        node.wait_for_metric("svc_hosts_listed", "2");
     }
-    let serving = |node: &Member| {
+    let assert_serves = |node: &Process| {
         std::thread::scope(|scope| {
             let read = scope.spawn(|| node.read("c=read,d=2000"));
             cache.next_call().reply_value("v");
             assert_eq!(read.join().unwrap(), "v");
         });
     };
-    // An order to one binds all.
+    // An order to one node is in force in all.
     nodes[1].order("DISABLE");
     for node in &nodes {
-        node.until("svc_hosts_down", "1");
+        node.wait_for_metric("svc_hosts_down", "1");
     }
-    serving(&nodes[2]);
+    assert_serves(&nodes[2]);
 
-    // A configuration is in force everywhere when `push` ends, and a bad one nowhere.
-    let shared = |text: &str| {
-        let file = site.path("shared.toml");
+    // A configuration is in force in all nodes when `push` ends, and an invalid one in none.
+    let write_shared = |text: &str| {
+        let file = cluster.path("shared.toml");
         std::fs::write(&file, text).unwrap();
         file
     };
     let class = ["audio", "read"].map(|name| {
         format!("[[class]]\nname = \"{name}\"\naim = \"1s\"\ndeadline = \"2s\"\neffect = \"safe\"\n")
     });
-    for (bad, why) in [("[[class]]\nname = 3", "class[0]"), ("[node]\nname = \"x\"", "each node's own")] {
-        let (code, told) = site.refused(0, &["config", "push", &shared(bad)]);
-        assert!(code == 2 && told.contains(why), "{code}: {told}");
+    for (invalid, reason) in
+        [("[[class]]\nname = 3", "class[0]"), ("[node]\nname = \"x\"", "each node's own")]
+    {
+        let (code, message) = cluster.store_failure(0, &["config", "push", &write_shared(invalid)]);
+        assert!(code == 2 && message.contains(reason), "{code}: {message}");
     }
     assert!(nodes[0].read("c=audio,d=2000").starts_with("-ERR"));
-    site.store(2, &["config", "push", &shared(&class.concat())]);
-    let audio = |node: &Member| !node.read("c=audio,d=50").contains("class");
-    assert!(nodes.iter().all(audio));
+    cluster.store(2, &["config", "push", &write_shared(&class.concat())]);
+    let has_audio_class = |node: &Process| !node.read("c=audio,d=50").contains("class");
+    assert!(nodes.iter().all(has_audio_class));
 
-    // All are killed at once. Without any discovery they start with what was committed.
+    // All nodes are killed at once. They restart with the committed state, without any discovery.
     nodes.clear();
-    nodes = site.start_all(&[0, 1, 2], nobody);
+    nodes = cluster.start_all(&[0, 1, 2], silent_discovery);
     for node in &nodes {
-        node.until("svc_hosts_listed", "2");
-        node.until("svc_hosts_down", "1");
-        assert!(node.call("READY").starts_with("ok") && audio(node));
+        node.wait_for_metric("svc_hosts_listed", "2");
+        node.wait_for_metric("svc_hosts_down", "1");
+        assert!(node.operator_call("READY").starts_with("ok") && has_audio_class(node));
     }
-    serving(&nodes[1]);
+    assert_serves(&nodes[1]);
     nodes[0].order("ENABLE");
-    nodes[1].until("svc_hosts_down", "0");
+    nodes[1].wait_for_metric("svc_hosts_down", "0");
     nodes[1].order("DISABLE");
-    nodes[2].until("svc_hosts_down", "1");
+    nodes[2].wait_for_metric("svc_hosts_down", "1");
 
-    // With two of three gone no change is taken, and requests are still served.
+    // With two of three nodes gone, no change is accepted, and requests are still served.
     nodes.truncate(2);
     nodes.remove(0);
-    let answer = nodes[0].call(&format!("ENABLE {CACHE}"));
+    let answer = nodes[0].operator_call(&format!("ENABLE {CACHE}"));
     assert!(answer.starts_with("fail"), "{answer}");
-    serving(&nodes[0]);
+    assert_serves(&nodes[0]);
 }
 
+/// Guards against a member that cannot start, or waits for good, while the quorum of its store is gone.
 #[test]
-fn a_node_goes_on_from_its_own_disk_without_a_quorum_and_serves() {
-    let site = Site::new(2);
+fn member_restarted_without_quorum_serves_from_its_own_disk() {
+    let cluster = Cluster::new(2);
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
-    let mut nodes = vec![site.start(0, discovery.addr, "10s"), site.start(1, free_address(), "0s")];
-    answering(discovery, server_list(41, &[(CACHE, cache.addr)], origin.addr));
-    site.store(0, &["store", "add", "2", &site.stores[1].to_string()]);
-    nodes[1].until("svc_hosts_listed", "1");
+    let mut nodes = vec![cluster.start(0, discovery.addr, "10s"), cluster.start(1, free_address(), "0s")];
+    serve_list(discovery, server_list(41, &[(CACHE, cache.addr)], origin.addr));
+    cluster.store(0, &["store", "add", "2", &cluster.stores[1].to_string()]);
+    nodes[1].wait_for_metric("svc_hosts_listed", "1");
     nodes.clear();
-    // Its start waits for the other, and not for good.
-    let alone = site.start(1, free_address(), "2s");
-    alone.until("svc_hosts_listed", "1");
-    let ready: f64 = alone.figure("svc_ready_seconds").parse().unwrap();
-    assert!((2.0..10.0).contains(&ready), "the wait counts, and is short: {ready}");
+    // The start waits for the other member for at most `wait`.
+    let alone = cluster.start(1, free_address(), "2s");
+    alone.wait_for_metric("svc_hosts_listed", "1");
+    let ready: f64 = alone.metric("svc_ready_seconds").parse().unwrap();
+    assert!((2.0..10.0).contains(&ready), "the wait counts, and is limited: {ready}");
     let read = std::thread::spawn(move || (alone.read("c=read,d=2000"), alone));
     cache.next_call().reply_value("v");
     assert_eq!(read.join().unwrap().0, "v");
 }
 
+/// Guards against document commands that overwrite a newer revision, restore a damaged snapshot or one over existing
+/// data, or open a store in use.
 #[test]
-fn documents_have_a_history_go_back_and_move_to_another_cluster() {
-    let (site, other) = (Site::new(1), Site::new(1));
-    let nodes = [site.start(0, free_address(), "10s"), other.start(0, free_address(), "10s")];
+fn documents_have_a_history_and_can_be_rolled_back_and_restored_elsewhere() {
+    let (cluster, other) = (Cluster::new(1), Cluster::new(1));
+    let nodes = [cluster.start(0, free_address(), "10s"), other.start(0, free_address(), "10s")];
     let file = |text: &str| {
-        let file = site.path("text");
+        let file = cluster.path("text");
         std::fs::write(&file, text).unwrap();
         file
     };
-    let first = site.store(0, &["store", "set", "rules", &file("one\n"), "--after", "0"]);
+    let first = cluster.store(0, &["store", "set", "rules", &file("one\n"), "--after", "0"]);
     let first = first.trim().strip_prefix("revision ").unwrap().to_owned();
-    site.store(0, &["store", "set", "rules", &file("two\n"), "--after", &first]);
-    let (code, told) = site.refused(0, &["store", "set", "rules", &file("three\n"), "--after", &first]);
-    assert!(code == 1 && told.contains("the latest revision is"), "{told}");
-    assert_eq!(site.store(0, &["store", "history", "rules"]).lines().count(), 2);
-    site.store(0, &["store", "rollback", "rules", &first]);
-    assert_eq!(site.store(0, &["store", "get", "rules"]), "one\n");
-    assert_eq!(site.refused(0, &["store", "get", "none"]).0, 1);
-
-    let snapshot = site.path("snapshot");
-    site.store(0, &["store", "snapshot", &snapshot]);
+    cluster.store(0, &["store", "set", "rules", &file("two\n"), "--after", &first]);
+    let (code, message) =
+        cluster.store_failure(0, &["store", "set", "rules", &file("three\n"), "--after", &first]);
+    assert!(code == 1 && message.contains("the latest revision is"), "{message}");
+    assert_eq!(cluster.store(0, &["store", "history", "rules"]).lines().count(), 2);
+    cluster.store(0, &["store", "rollback", "rules", &first]);
+    assert_eq!(cluster.store(0, &["store", "get", "rules"]), "one\n");
+    assert_eq!(cluster.store_failure(0, &["store", "get", "none"]).0, 1);
+
+    let snapshot = cluster.path("snapshot");
+    cluster.store(0, &["store", "snapshot", &snapshot]);
     let mut bytes = std::fs::read(&snapshot).unwrap();
-    let damaged = site.path("damaged");
+    let damaged = cluster.path("damaged");
     *bytes.last_mut().unwrap() ^= 1;
     std::fs::write(&damaged, bytes).unwrap();
-    let (code, told) = other.refused(0, &["store", "restore", &damaged]);
-    assert!(code == 2 && told.contains("checksum"), "{told}");
+    let (code, message) = other.store_failure(0, &["store", "restore", &damaged]);
+    assert!(code == 2 && message.contains("checksum"), "{message}");
     other.store(0, &["store", "restore", &snapshot]);
     assert_eq!(other.store(0, &["store", "get", "rules"]), "one\n");
-    assert!(other.refused(0, &["store", "restore", &snapshot]).1.contains("holds something"));
+    assert!(other.store_failure(0, &["store", "restore", &snapshot]).1.contains("holds something"));
 
-    // Who has another key is told so, and so is whoever asks for a store that is in use or not there.
+    // A wrong key, a store in use and a missing store are reported.
     let mut at = String::new();
-    let mut args = other.at(0, &["store", "status"], &mut at);
-    *args.last_mut().unwrap() = site.key.to_str().unwrap();
-    let (code, told) = failed(&args);
-    assert!(code == 1 && told.contains("127.0.0.1"), "{told}");
-    let dir = site.path("m0");
-    assert_eq!(failed(&["store", "verify", "--dir", &dir]).0, 1);
+    let mut args = other.args_for(0, &["store", "status"], &mut at);
+    *args.last_mut().unwrap() = cluster.key.to_str().unwrap();
+    let (code, message) = failure_of(&args);
+    assert!(code == 1 && message.contains("127.0.0.1"), "{message}");
+    let dir = cluster.path("m0");
+    assert_eq!(failure_of(&["store", "verify", "--dir", &dir]).0, 1);
     drop(nodes);
-    assert!(done(&["store", "verify", "--dir", &dir]).contains("whole"));
+    assert!(output_of(&["store", "verify", "--dir", &dir]).contains("whole"));
     assert!(
-        failed(&["store", "verify", "--dir", Path::new(&dir).parent().unwrap().to_str().unwrap()])
+        failure_of(&["store", "verify", "--dir", Path::new(&dir).parent().unwrap().to_str().unwrap()])
             .1
             .contains("no store here")
     );
 }
 
+/// Guards against subscribers that miss a change which reaches them through a relay, lose their state in a restart
+/// without a publisher, or can change the store.
 #[test]
-fn nodes_that_only_follow_act_on_what_is_committed_through_a_relay_and_change_nothing() {
-    let site = Site::new(1);
+fn subscribers_apply_the_committed_state_through_a_relay_and_change_nothing() {
+    let cluster = Cluster::new(1);
     let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
-    let member = site.start(0, discovery.addr, "10s");
+    let member = cluster.start(0, discovery.addr, "10s");
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
-    answering(discovery, known);
-    let (key, shared_key) = (site.path("subscribers"), site.key.to_str().unwrap().to_owned());
-    done(&["store", "subscriber-key", "--key-file", &shared_key, &key]);
-    let follows = |n: usize, publishers: SocketAddr, listen: &str, wait: &str| {
-        let (dir, cluster) = (site.path(&format!("f{n}")), &site.cluster);
+    serve_list(discovery, known);
+    let (key, shared_key) = (cluster.path("subscribers"), cluster.key.to_str().unwrap().to_owned());
+    output_of(&["store", "subscriber-key", "--key-file", &shared_key, &key]);
+    let start_subscriber = |n: usize, publisher: SocketAddr, listen: &str, wait: &str| {
+        let (dir, cluster_id) = (cluster.path(&format!("f{n}")), &cluster.cluster_id);
         let store = format!(
-            "[store]\nrole = \"subscriber\"\ndir = \"{dir}\"\ncluster = \"{cluster}\"\nkey_file = \"{key}\"\n\
-             publishers = [[\"{publishers}\"]]\nwait = \"{wait}\"\n{listen}"
+            "[store]\nrole = \"subscriber\"\ndir = \"{dir}\"\ncluster = \"{cluster_id}\"\nkey_file = \"{key}\"\n\
+             publishers = [[\"{publisher}\"]]\nwait = \"{wait}\"\n{listen}"
         );
-        site.start_file(&format!("follows{n}.toml"), &format!("{}\n{store}", own(free_address())))
+        cluster.start_from_file(
+            &format!("follows{n}.toml"),
+            &format!("{}\n{store}", node_config(free_address())),
+        )
     };
-    let relay = follows(1, site.stores[0], "listen = \"127.0.0.1:0\"\n", "10s");
-    let relay_at = relay.relay.unwrap();
-    let mut node = follows(2, relay_at, "", "10s");
-    // Neither has a discovery that answers.
-    for follower in [&relay, &node] {
-        follower.until("svc_hosts_listed", "1");
+    let relay = start_subscriber(1, cluster.stores[0], "listen = \"127.0.0.1:0\"\n", "10s");
+    let relay_at = relay.relay_addr.unwrap();
+    let mut node = start_subscriber(2, relay_at, "", "10s");
+    // Neither of them has a discovery that replies.
+    for subscriber in [&relay, &node] {
+        subscriber.wait_for_metric("svc_hosts_listed", "1");
     }
     member.order("DISABLE");
-    node.until("svc_hosts_down", "1");
-    let answer = node.call(&format!("ENABLE {CACHE}"));
+    node.wait_for_metric("svc_hosts_down", "1");
+    let answer = node.operator_call(&format!("ENABLE {CACHE}"));
     assert!(answer.starts_with("fail") && answer.contains("follows the store"), "{answer}");
     let class = |name: &str| {
         format!("[[class]]\nname = \"{name}\"\naim = \"1s\"\ndeadline = \"2s\"\neffect = \"safe\"\n")
     };
-    let file = site.path("shared.toml");
+    let file = cluster.path("shared.toml");
     std::fs::write(&file, class("audio") + &class("read")).unwrap();
-    site.store(0, &["config", "push", &file]);
+    cluster.store(0, &["config", "push", &file]);
     let end = Instant::now() + TEST_TIMEOUT;
     while node.read("c=audio,d=50").contains("class") {
         assert!(Instant::now() < end, "the configuration is not in force");
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(site.store(0, &["store", "purge", "k"]).starts_with("revision "));
-    // Killed with its relay, and nobody else to be reached: it goes on from its disk.
+    assert!(cluster.store(0, &["store", "purge", "k"]).starts_with("revision "));
+    // The subscriber and its relay are killed. Without a publisher, the subscriber restarts from its disk.
     drop((relay, node));
-    node = follows(2, relay_at, "", "200ms");
-    node.until("svc_hosts_listed", "1");
-    node.until("svc_hosts_down", "1");
+    node = start_subscriber(2, relay_at, "", "200ms");
+    node.wait_for_metric("svc_hosts_listed", "1");
+    node.wait_for_metric("svc_hosts_down", "1");
     assert!(!node.read("c=audio,d=50").contains("class"));
-    // Its key is no client's.
-    let member_at = site.stores[0].to_string();
-    let (code, told) = failed(&["store", "status", "--at", &member_at, "--key-file", &key]);
-    assert!(code == 1 && told.contains("a subscriber's key"), "{told}");
+    // The key of a subscriber does not permit store commands.
+    let member_at = cluster.stores[0].to_string();
+    let (code, message) = failure_of(&["store", "status", "--at", &member_at, "--key-file", &key]);
+    assert!(code == 1 && message.contains("a subscriber's key"), "{message}");
 }
 
-const EMULATED: &str = r#"
+const EMULATED_SITE: &str = r#"
 name = "three"
 nodes = 3
 rate = 120
@@ -478,76 +507,82 @@
 effect = "safe"
 "#;
 
-/// Runs for some seconds; for longer where `STORE_TRIAL_S` says so.
+/// Guards against a committed change that is lost, or a rule that is broken, when members are killed at random under
+/// load. Runs for 4 s, or for as many seconds as `STORE_TRIAL_S` says.
 #[test]
-fn killed_at_random_under_load_nothing_is_lost_and_no_rule_broken() {
+fn random_kills_under_load_lose_no_committed_change_and_break_no_rule() {
     let seconds = std::env::var("STORE_TRIAL_S").ok().and_then(|text| text.parse().ok()).unwrap_or(4);
-    let site: stonefold_model::site::Site = toml::from_str(EMULATED).unwrap();
+    let site: stonefold_model::site::Site = toml::from_str(EMULATED_SITE).unwrap();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
     let started = stonefold_emulator::Emulator::start(site, Default::default());
     let emulator = runtime.block_on(started).unwrap();
-    let stores = Site::new(3);
-    // Each comes back where it was: the load goes on to the same addresses.
-    let (clients, any) = ([0; 3].map(|_| free_address()), "127.0.0.1:0".parse().unwrap());
-    let config = |n: usize| toml::to_string(&emulator.config(n, clients[n], Some(any)).unwrap()).unwrap();
+    let stores = Cluster::new(3);
+    // Each node restarts at its previous address, to which the load goes on.
+    let (client_addrs, any) = ([0; 3].map(|_| free_address()), "127.0.0.1:0".parse().unwrap());
+    let config =
+        |n: usize| toml::to_string(&emulator.config(n, client_addrs[n], Some(any)).unwrap()).unwrap();
     let start = |n: usize, wait: &str| stores.start_with(n, &config(n), wait);
     let mut nodes = [Some(start(0, "10s")), Some(start(1, "0s")), Some(start(2, "0s"))];
     for (n, member) in [(1, "2"), (2, "3")] {
         stores.store(0, &["store", "add", member, &stores.stores[n].to_string()]);
     }
-    let load = stonefold_emulator::Load::new(&emulator, clients.to_vec());
+    let load = stonefold_emulator::Load::new(&emulator, client_addrs.to_vec());
     let running = runtime.spawn(load.clone().run(120.0, Duration::from_secs(seconds)));
     fastrand::seed(seconds);
-    let (mut kept, mut kills, begun) = (0, 0, Instant::now());
+    let (mut committed, mut kills, begun) = (0, 0, Instant::now());
     while begun.elapsed() < Duration::from_secs(seconds) {
         let n = fastrand::usize(..3);
         nodes[n] = None;
         kills += 1;
         let text = stores.path("text");
         std::fs::write(&text, format!("{kills}")).unwrap();
-        // With two of three a change is taken; what was answered for must be there.
+        // With two of three members a change is committed. A change that was confirmed must not be lost.
         let name = format!("d{kills}");
         stores.store((n + 1) % 3, &["store", "set", &name, &text]);
-        kept += 1;
+        committed += 1;
         nodes[n] = Some(start(n, "10s"));
         let got = stores.store(n, &["store", "get", &name]);
-        assert_eq!(got, format!("{kills}"), "what one missed while it was away, it has");
+        assert_eq!(got, format!("{kills}"), "a restarted member has the change that it missed");
     }
     runtime.block_on(running).unwrap();
-    for n in 1..=kept {
+    for n in 1..=committed {
         assert_eq!(stores.store(n % 3, &["store", "get", &format!("d{n}")]), format!("{n}"));
     }
     let (figures, verdict) = (load.figures().0, emulator.verdict());
-    println!("{kills} killed, {kept} changes kept, {:?}, {verdict:?}", figures.summary());
+    println!("{kills} killed, {committed} changes committed, {:?}, {verdict:?}", figures.summary());
     assert!(kills > 1 && figures.served > 0);
-    // A request that a killed node had taken gets no answer: that is the kill's doing, and all it may do.
+    // Requests that a killed node had received get no reply. The kills may have no other effect.
     let broken = verdict.rules_broken() - verdict.lost;
     assert_eq!(broken, 0, "{verdict:?}");
 }
 
-/// A start from what the others know against one from the list in a node's own file: all caches were replaced since
-/// that was written, and discovery does not answer.
+/// Measures a restart with the shared state of the store against one from the list in the node's own file: all caches
+/// were replaced since that file was written, and discovery does not reply.
 #[test]
 #[ignore = "a measurement of 25 s"]
-fn service_after_a_restart_with_the_store_and_from_the_known_list_alone() {
+fn restart_with_the_store_compared_to_a_restart_from_the_known_list() {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-    let site: stonefold_model::site::Site = toml::from_str(EMULATED).unwrap();
+    let site: stonefold_model::site::Site = toml::from_str(EMULATED_SITE).unwrap();
     let started = stonefold_emulator::Emulator::start(site, Default::default());
     let emulator = runtime.block_on(started).unwrap();
-    let (stores, any) = (Site::new(1), "127.0.0.1:0".parse().unwrap());
-    let own = toml::to_string(&emulator.config(0, any, Some(any)).unwrap()).unwrap();
-    let before = stores.start_with(0, &own, "10s");
-    let _within = runtime.enter(); // where faults are played
+    let (stores, any) = (Cluster::new(1), "127.0.0.1:0".parse().unwrap());
+    let config = toml::to_string(&emulator.config(0, any, Some(any)).unwrap()).unwrap();
+    let before = stores.start_with(0, &config, "10s");
+    let _within = runtime.enter(); // the faults run in this runtime
     let fault = |text: &str| emulator.fault(&serde_json::from_str(text).unwrap()).unwrap();
     fault(r#"{"kind":"roll","part":1.0,"for":"2s"}"#);
     std::thread::sleep(Duration::from_secs(6));
     drop(before);
     fault(r#"{"kind":"discovery-away","for":"60s"}"#);
-    for (name, store) in [("the store", true), ("the known list alone", false)] {
+    for (name, with_store) in [("the store", true), ("the known list alone", false)] {
         let begun = Instant::now();
-        let node = if store { stores.start_with(0, &own, "10s") } else { stores.start_alone(&own) };
+        let node = if with_store {
+            stores.start_with(0, &config, "10s")
+        } else {
+            stores.start_without_store(&config)
+        };
         let ready = begun.elapsed();
-        let load = stonefold_emulator::Load::new(&emulator, vec![node.clients]);
+        let load = stonefold_emulator::Load::new(&emulator, vec![node.client_addr]);
         runtime.block_on(load.clone().run(120.0, Duration::from_secs(8)));
         println!("{name}: ready after {} ms, {:?}", ready.as_millis(), load.figures().0.summary());
     }
