--- a/crates/cli/tests/client_ends.rs
+++ b/crates/cli/tests/client_ends.rs
@@ -161,7 +161,8 @@
 /// Guards against a waiting read that is sent once another one ends, though its client has disconnected.
 #[test]
 fn read_in_the_admission_queue_is_dropped_when_its_client_disconnects() {
-    // As many requests as a node that has just started has in flight at once; the next one waits in the admission queue.
+    // As many requests as a node that has just started has in flight at once; the next one waits in the admission
+    // queue.
     const CONCURRENCY_LIMIT: usize = 8;
     for how in DISCONNECTS {
         let fixture = Fixture::new(&settings_without_connect_timeout());
--- a/crates/cli/tests/clocks.rs
+++ b/crates/cli/tests/clocks.rs
@@ -1,5 +1,5 @@
-//! A machine's wall clock may be an hour off, or be stepped while a node runs: a server that has just started is in slow
-//! start all the same, and for no longer than it is cold.
+//! A machine's wall clock may be an hour off, or be stepped while a node runs: a server that has just started is in
+//! slow start all the same, and for no longer than it is cold.
 //!
 //! How many reads a server in slow start gets depends on how long they take, so that each call is checked against the
 //! quota at its own time.
@@ -31,8 +31,8 @@
 /// A node's estimate of its load decays over this part of the time in which a server warms up.
 const LOAD_DECAY: f64 = 0.25;
 const READS: usize = 200;
-/// The tolerance for times in the log, which are whole microseconds of a clock that the node reads at another instant than
-/// the test.
+/// The tolerance for times in the log, which are whole microseconds of a clock that the node reads at another instant
+/// than the test.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(1);
 /// After this time an event is in the log, which a separate thread of the node writes.
 const LOG_DELAY: Duration = Duration::from_millis(200);
@@ -99,8 +99,8 @@
     latest: Instant,
 }
 
-/// Answers the node's calls to discovery with this change of the list until the node has read it; returns the next call,
-/// which waits for the next change. A call that the node has given up meanwhile is answered, too, without effect.
+/// Answers the node's calls to discovery with this change of the list until the node has read it; returns the next
+/// call, which waits for the next change. A call that the node has given up meanwhile is answered, too, without effect.
 fn publish_change(discovery: &FakeServer, watch: Call, version: u64, servers: &str) -> Call {
     let list = format!(r#"{{"version":{version},"full":false,"servers":[{servers}]}}"#);
     let mut call = watch;
@@ -111,8 +111,8 @@
     call
 }
 
-/// The id of a read and the age of its server, from the line that the node logged when it sent the read to a server in slow
-/// start.
+/// The id of a read and the age of its server, from the line that the node logged when it sent the read to a server in
+/// slow start.
 fn logged_age(line: &str) -> (String, Duration) {
     let field = |name: &str| {
         let (_, rest) = line.split_once(&format!("{name}=")).unwrap_or_else(|| panic!("no {name}: {line}"));
@@ -151,8 +151,8 @@
     }
 }
 
-/// Asserts that a server in slow start got no more calls in any window than its capacity allowed at that time. Its quota
-/// opens gradually within `opening`, from when its start was published.
+/// Asserts that a server in slow start got no more calls in any window than its capacity allowed at that time. Its
+/// quota opens gradually within `opening`, from when its start was published.
 fn assert_within_quota(
     case: &str,
     round: &Round,
@@ -182,8 +182,8 @@
     }
 }
 
-/// Starts a server while a node runs whose wall clock is this far ahead. Asserts that the node knows at each call when the
-/// server started, keeps to the quota of slow start, and takes the server for warm in time.
+/// Starts a server while a node runs whose wall clock is this far ahead. Asserts that the node knows at each call when
+/// the server started, keeps to the quota of slow start, and takes the server for warm in time.
 fn check_slow_start_with_clock(ahead_ms: i64) {
     let case = format!("{ahead_ms} ms ahead");
     let plan = FaultPlan::new(1).unwrap();
@@ -195,13 +195,13 @@
     let slow_start = format!(r#""Cold":{}.0"#, SLOW_START_TIME.as_millis());
     let settings = SETTINGS.replace(r#""Cold":20000.0"#, &slow_start);
     let known = server_list(41, &[(WARM_ID, warm_addr)], origin.addr);
-    let start = NodeOptions {
+    let options = NodeOptions {
         settings: &settings,
         shell: SHELL_WITH_TRACE,
         keep_log_open: true,
         ..NodeOptions::new(&known, discovery.addr)
     };
-    let mut node = NodeOptions { environment: plan.environment(&library).into(), ..start }.start();
+    let mut node = NodeOptions { environment: plan.environment(&library).into(), ..options }.start();
     let events = node.logged_events("attempt_to_warming_server");
     let (_warm, started) = (answer_all(warm), answer_all(started));
     // The changes since the known list. Then reads give the node a load, from which it derives the servers' capacity.
@@ -260,12 +260,12 @@
     ];
     let started_latest = Instant::now();
     let known = format!(r#"{{"version":41,"full":true,"servers":[{}]}}"#, entries.join(","));
-    let start = NodeOptions {
+    let options = NodeOptions {
         shell: SHELL_WITH_TRACE,
         keep_log_open: true,
         ..NodeOptions::new(&known, discovery.addr)
     };
-    let mut node = NodeOptions { environment: plan.environment(&library).into(), ..start }.start();
+    let mut node = NodeOptions { environment: plan.environment(&library).into(), ..options }.start();
     let events = node.logged_events("attempt_to_warming_server");
     let next_addr = next.addr;
     let (_warm, started, _next) = (answer_all(warm), answer_all(started), answer_all(next));
--- a/crates/cli/tests/common/addresses.rs
+++ b/crates/cli/tests/common/addresses.rs
@@ -5,8 +5,8 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// The first port that is given out. The range lies below the kernel's ephemeral ports, so that no other socket is given
-/// a port between its choice here and the start of the process that listens at it.
+/// The first port that is given out. The range lies below the kernel's ephemeral ports, so that no other socket is
+/// given a port between its choice here and the start of the process that listens at it.
 const FIRST_PORT: u16 = 12_000;
 /// The number of ports in the range.
 const PORT_COUNT: u16 = 16_000;
@@ -26,10 +26,11 @@
     }
 }
 
-/// Whether a process can listen at this TCP address. The socket is bound and never listens: a child process that another
-/// thread spawns at that moment holds it until its exec, and a listening socket would accept connections until then.
+/// Whether a process can listen at this TCP address. The socket is bound and never listens: a child process that
+/// another thread spawns at that moment holds it until its exec, and a listening socket would accept connections until
+/// then.
 fn can_listen(address: SocketAddr) -> bool {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.set_reuse_address(true).unwrap(); // as `TcpListener::bind` does: connections in TIME_WAIT don't occupy the port
+    socket.set_reuse_address(true).unwrap(); // like `TcpListener::bind`: TIME_WAIT doesn't occupy the port
     socket.bind(&address.into()).is_ok()
 }
--- a/crates/cli/tests/common/fakes.rs
+++ b/crates/cli/tests/common/fakes.rs
@@ -93,8 +93,8 @@
         FakeServer::start(TcpListener::bind("127.0.0.1:0").unwrap(), read_request)
     }
 
-    /// A cache that does not read the values of writes, which have to begin with a line's end. The kernels of both sides
-    /// buffer less than [`BYTES_BEYOND_BUFFERS`] of a value.
+    /// A cache that does not read the values of writes, which have to begin with a line's end. The kernels of both
+    /// sides buffer less than [`BYTES_BEYOND_BUFFERS`] of a value.
     pub fn cache_that_leaves_values_unread() -> FakeServer {
         FakeServer::start(listener_with_small_receive_buffer(), read_command_without_value)
     }
@@ -294,7 +294,7 @@
     addr: SocketAddr,
     operator_addr: Option<SocketAddr>,
     config: tempfile::NamedTempFile,
-    /// The log lines up to the one that tells the last address.
+    /// The log lines up to the last one that tells an address.
     startup_lines: Vec<String>,
     /// The rest of the log, if its pipe is held open.
     log: Option<BufReader<ChildStderr>>,
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! File descriptors for discovery, servers and operators are reserved: clients cannot use them up, however many they are
-//! and whatever they do.
+//! File descriptors for discovery, servers and operators are reserved: clients cannot use them up, however many they
+//! are and whatever they do.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -18,8 +18,8 @@
 const DISCOVERY_RECOVERY_LIMIT: Duration = Duration::from_secs(6);
 const INCOMPLETE_COMMAND: &str = "*4\r\n$9\r\nCACHE.GET\r\n$1\r\n";
 
-/// Clients that reconnect as soon as they are closed, until they are told to end: of three, one sends nothing, one sends a
-/// command and stays idle, and one sends a part of a command.
+/// Clients that reconnect as soon as they are closed, until they are told to end: of three, one sends nothing, one
+/// sends a command and stays idle, and one sends a part of a command.
 struct ReconnectingClients {
     ended: Arc<AtomicBool>,
     connections: Arc<AtomicUsize>,
@@ -63,8 +63,8 @@
     }
 }
 
-/// Fills the descriptors of a node with clients while discovery is down. `mode` is how the node gets its lists, `sockets`
-/// how many descriptors it may have.
+/// Fills the descriptors of a node with clients while discovery is down. `mode` is how the node gets its lists,
+/// `sockets` how many descriptors it may have.
 fn check_reserved_descriptors(mode: &str, sockets: usize) {
     let (caches, origin, discovery) =
         ([FakeServer::cache(), FakeServer::cache()], FakeServer::http(), BackloggedServer::http());
@@ -73,8 +73,8 @@
     let known = server_list(41, &servers, origin.addr);
     let settings = SETTINGS.replace("automatic", mode);
     let shell = format!("ulimit -n {sockets}; exec \"$0\" node");
-    let start = NodeOptions::new(&known, discovery.addr);
-    let node = NodeOptions { sockets, settings: &settings, shell: &shell, operator: true, ..start }.start();
+    let options = NodeOptions::new(&known, discovery.addr);
+    let node = NodeOptions { sockets, settings: &settings, shell: &shell, operator: true, ..options }.start();
     let mut writer = node.client();
     writer.send(&["CACHE.SET", "w", "an-id-of-its-own", "c=put,d=15000", "v"]);
     let open = origin.next_call();
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -1,5 +1,5 @@
-//! Requests and replies that are pending at the instant when something ends: each test produces one rare order of events.
-//! `docs/design/endings.md` lists them.
+//! Requests and replies that are pending at the instant when something ends: each test produces one rare order of
+//! events. `docs/design/endings.md` lists them.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -179,7 +179,8 @@
 /// maximum number of replies.
 #[test]
 fn client_disconnect_is_noticed_at_the_pending_reply_limit() {
-    // The end of the connection comes right after the command that reaches the limit, or behind commands that are not read.
+    // The end of the connection comes right after the command that reaches the limit, or behind commands that are not
+    // read.
     for pings in [1_023, 6_000] {
         let (node, cache, origin) = node_with_backlogged_origin(&settings_without_connect_timeout());
         let (mut client, mut other) = (node.client(), node.client());
@@ -395,7 +396,8 @@
 
 // ---- the process stops ----
 
-/// Tells a node to stop, and waits until it reads no more commands from busy clients, which is when it closes the idle ones.
+/// Tells a node to stop, and waits until it reads no more commands from busy clients, which is when it closes the idle
+/// ones.
 fn begin_shutdown(node: &Node) {
     let mut idle = node.client();
     idle.ping();
--- a/crates/cli/tests/faults.rs
+++ b/crates/cli/tests/faults.rs
@@ -1,5 +1,5 @@
-//! A node whose system calls are cut short, interrupted, or fail for a moment for want of a resource. Every request gets
-//! its reply.
+//! A node whose system calls are cut short, interrupted, or fail for a moment for want of a resource. Every request
+//! gets its reply.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -108,8 +108,8 @@
     let plan = FaultPlan::new(7).unwrap();
     let (cache, origin) = (FakeServer::cache(), FakeServer::http());
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
-    let start = NodeOptions { operator: true, ..NodeOptions::new(&known, FakeServer::http().addr) };
-    let node = NodeOptions { environment: plan.environment(&fault_library()).into(), ..start }.start();
+    let options = NodeOptions { operator: true, ..NodeOptions::new(&known, FakeServer::http().addr) };
+    let node = NodeOptions { environment: plan.environment(&fault_library()).into(), ..options }.start();
     let _cache = ConstantServer::start(cache, CACHED_VALUE);
     let _origin = ConstantServer::start(origin, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv");
     let without_faults = send_reads(&node, CLIENTS);
@@ -177,8 +177,8 @@
     let plan = FaultPlan::new(7).unwrap();
     let (cache, origin) = (FakeServer::cache(), FakeServer::http());
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
-    let start = NodeOptions::new(&known, FakeServer::http().addr);
-    let node = NodeOptions { environment: plan.environment(&fault_library()).into(), ..start }.start();
+    let options = NodeOptions::new(&known, FakeServer::http().addr);
+    let node = NodeOptions { environment: plan.environment(&fault_library()).into(), ..options }.start();
     // One client has not sent anything yet, and one is idle after a command.
     let mut idle = [node.client(), node.client()];
     idle[1].ping();
--- a/crates/cli/tests/folders.rs
+++ b/crates/cli/tests/folders.rs
@@ -1,4 +1,5 @@
-//! Files and sockets of the machine fail for a moment: a node starts all the same, and keeps the orders of its operators.
+//! Files and sockets of the machine fail for a moment: a node starts all the same, and keeps the orders of its
+//! operators.
 
 #[path = "common/fakes.rs"]
 mod fakes;
@@ -37,9 +38,9 @@
     fn start_node(&self, plan: &FaultPlan) -> Node {
         let library = library_beside(&std::env::current_exe().unwrap()).unwrap();
         let known = server_list(41, &[(CACHE, self.cache.addr)], self.origin.addr);
-        let start = NodeOptions { operator: true, ..NodeOptions::new(&known, self.discovery.addr) };
+        let options = NodeOptions { operator: true, ..NodeOptions::new(&known, self.discovery.addr) };
         let state_dir: Option<&Path> = Some(self.state_folder.path());
-        NodeOptions { state_dir, environment: plan.environment(&library).into(), ..start }.start()
+        NodeOptions { state_dir, environment: plan.environment(&library).into(), ..options }.start()
     }
 
     /// Sends a read, and returns whether it goes to the cache instead of the origin.
@@ -82,7 +83,7 @@
     );
 }
 
-/// Guards against an operator who waits for good, and against an order in force that a restart would lose, when the
+/// Guards against an operator who waits forever, and against an order in force that a restart would lose, when the
 /// state file cannot be written.
 #[test]
 fn order_is_rejected_without_effect_while_syncs_always_fail() {
--- a/crates/cli/tests/large_fleet.rs
+++ b/crates/cli/tests/large_fleet.rs
@@ -66,9 +66,9 @@
     let settings = large_fleet_settings();
     let empty = r#"{"version":0,"full":true,"servers":[]}"#;
     let state_dir = tempfile::tempdir().unwrap();
-    let start = NodeOptions::new(empty, discovery.addr);
+    let options = NodeOptions::new(empty, discovery.addr);
     let node =
-        NodeOptions { settings: &settings, operator: true, state_dir: Some(state_dir.path()), ..start }
+        NodeOptions { settings: &settings, operator: true, state_dir: Some(state_dir.path()), ..options }
             .start();
     discovery.next_call().reply_http("200 OK", &list_with_only_the_last_serving(41, &last, &unused, &origin));
     let watch = discovery.next_call(); // the node requests further changes once the list is in force
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -65,8 +65,8 @@
     let call = fixture.origin.next_call();
     assert_eq!(call.words[..2], ["GET", "/7f3a%209c"]);
     assert!(call.words.contains(&"x-correlation-id: 9b1f03aa5c7e2d41".into()), "{:?}", call.words);
-    // The facts are as the client sent them, but for the time: a further attempt states no more than is left. The node had
-    // the request before it called the cache, and reserves 5 ms for sending the reply back.
+    // The facts are as the client sent them, but for the time: a further attempt states no more than is left. The node
+    // had the request before it called the cache, and reserves 5 ms for sending the reply back.
     let facts = call.words.iter().find_map(|word| word.strip_prefix("x-facts: ")).expect("facts");
     let [class, time, size] = facts.split(',').collect::<Vec<_>>()[..] else { panic!("{facts}") };
     assert_eq!([class, size], ["c=read", "size=7"]);
@@ -171,7 +171,7 @@
     // All but one of the requests that a node which has just started may have in flight at a cache.
     let unanswered: Vec<Call> = (0..7)
         .map(|n| {
-            let name = format!("unanswered-{n}");
+            let name = format!("swallowed-{n}");
             first_client.send(&["CACHE.GET", &name, &name, "c=read,d=60000"]);
             fixture.caches[0].next_call()
         })
@@ -444,7 +444,7 @@
 
 /// Guards against a node that ignores the start times in its known list: a cold cache then gets all of its reads.
 #[test]
-fn just_started_server_is_in_slow_start_and_an_older_one_is_not() {
+fn just_started_server_is_in_slow_start_an_older_one_is_not() {
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     for (age, cold) in [(Duration::ZERO, true), (Duration::from_secs(60), false)] {
         let (cache, origin, discovery) = (FakeServer::cache(), FakeServer::http(), FakeServer::http());
@@ -475,7 +475,7 @@
     assert_eq!(discovery.next_call().words[1], "/discovery/hosts");
 }
 
-/// Guards against a node that waits for good on a call to discovery which gets no response.
+/// Guards against a node that waits forever on a call to discovery which gets no response.
 #[test]
 fn silent_discovery_call_is_repeated_on_a_new_connection() {
     let fixture = start_fixture(1);
@@ -819,7 +819,7 @@
     assert!(fixture.caches[0].try_next_call().is_none());
 }
 
-/// Guards against a write that gets no reply because its time goes on for longer than the node does.
+/// Guards against a write that gets no reply because its deadline is later than the end of the process.
 #[test]
 fn stopping_node_answers_a_write_whose_deadline_outlasts_the_shutdown() {
     let mut fixture = start_fixture(1);
--- a/crates/cli/tests/operation.rs
+++ b/crates/cli/tests/operation.rs
@@ -95,16 +95,16 @@
     let fixture = Fixture::new();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let known = fixture.known_list();
-    let start = || NodeOptions {
+    let options = || NodeOptions {
         operator: true,
         passed_socket: Some(&listener),
         ..NodeOptions::new(&known, fixture.discovery.addr)
     };
-    let mut old = start().start();
+    let mut old = options().start();
     let mut old_client = old.client();
     old_client.send_get("k", "c=read,d=15000");
     let call = fixture.cache.next_call();
-    let new = start().start();
+    let new = options().start();
     while new.operator_call("READY\n") != "ok\n" {}
     old.terminate();
     while old.operator_call("READY\n") == "ok\n" {}
@@ -162,7 +162,7 @@
     let known = server_list(41, &[(CACHE, fixture.cache.addr), ("s-spare", spare.addr)], fixture.origin.addr);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let dir = tempfile::tempdir().unwrap();
-    let start = || {
+    let options = || {
         let passed_socket = Some(&listener);
         NodeOptions {
             operator: true,
@@ -171,7 +171,7 @@
             ..NodeOptions::new(&known, fixture.discovery.addr)
         }
     };
-    let old = start().start();
+    let old = options().start();
     assert!(old.operator_call("DISABLE s-nobody\n").starts_with("fail "));
     assert!(old.operator_call("ENABLE s-nobody\n").starts_with("fail "));
     assert!(old.operator_call("DISABLE\n").starts_with("fail "));
@@ -185,7 +185,7 @@
     }
     assert!(fixture.cache.try_next_call().is_none());
     // The successor knows the orders from its start, and a command to it is in force in both processes.
-    let new = start().start();
+    let new = options().start();
     assert_eq!(new.operator_call(format!("ENABLE {CACHE}\n")), "ok\n");
     assert_eq!(new.operator_call("DISABLE s-spare\n"), "ok\n");
     // Once the old process has taken over both orders, it sends reads to the enabled server as far as slow start
@@ -223,16 +223,16 @@
     let dir = tempfile::tempdir().unwrap();
     std::fs::write(dir.path().join("stonefold-orders.json"), "{\"version\":1,").unwrap();
     let known = fixture.known_list();
-    let start = || NodeOptions {
+    let options = || NodeOptions {
         operator: true,
         state_dir: Some(dir.path()),
         ..NodeOptions::new(&known, fixture.discovery.addr)
     };
-    let node = start().start();
+    let node = options().start();
     assert_eq!(node.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     drop(node);
     // After a restart the server is still disabled: the read goes to the origin.
-    let node = start().start();
+    let node = options().start();
     let mut client = node.client();
     send_read(&mut client, "k", "i");
     fixture.origin.next_call().reply_http("200 OK", "v");
@@ -304,12 +304,12 @@
     let fixture = Fixture::new();
     let dir = tempfile::tempdir().unwrap();
     let known = fixture.known_list();
-    let start = NodeOptions {
+    let options = NodeOptions {
         operator: true,
         state_dir: Some(dir.path()),
         ..NodeOptions::new(&known, fixture.discovery.addr)
     };
-    let node = start.start();
+    let node = options.start();
     assert_eq!(node.operator_call(format!("DISABLE {CACHE}\n")), "ok\n");
     wait_for_metric(&node, "svc_hosts_down", 1);
     assert_eq!(node.operator_call(format!("ENABLE {CACHE}\n")), "ok\n");
@@ -437,8 +437,8 @@
     let fixture = Fixture::new();
     // Each rejection logs a line, and all of them together are more than the pipe and the queue hold.
     let (known, shell) = (fixture.known_list(), "STONEFOLD_LOG=debug exec \"$0\" node");
-    let start = NodeOptions::new(&known, fixture.discovery.addr);
-    let node = NodeOptions { shell, keep_log_open: true, operator: true, ..start }.start();
+    let options = NodeOptions::new(&known, fixture.discovery.addr);
+    let node = NodeOptions { shell, keep_log_open: true, operator: true, ..options }.start();
     let mut client = node.client();
     for n in 0..4000 {
         client.send(&["CACHE.GET", "k", &format!("{n:016}"), "c=read,d=0"]);
--- a/crates/cli/tests/ready.rs
+++ b/crates/cli/tests/ready.rs
@@ -19,13 +19,13 @@
     let (known, settings) =
         (server_list(41, &[(CACHE, cache.addr)], origin), SETTINGS.replace("automatic", mode));
     let begun = Instant::now();
-    let start = NodeOptions {
+    let options = NodeOptions {
         settings: &settings,
         operator: true,
         keep_log_open: true,
         ..NodeOptions::new(&known, discovery)
     };
-    let mut node = start.start();
+    let mut node = options.start();
     while node.operator_call("READY\n") != "ok\n" {
         assert!(begun.elapsed() < TEST_TIMEOUT, "not ready");
     }
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -359,7 +359,7 @@
     assert_serves(&nodes[0]);
 }
 
-/// Guards against a member that cannot start, or waits for good, while the quorum of its store is gone.
+/// Guards against a member that cannot start, or waits forever, while the quorum of its store is gone.
 #[test]
 fn member_restarted_without_quorum_serves_from_its_own_disk() {
     let cluster = Cluster::new(2);
@@ -517,7 +517,7 @@
     let started = stonefold_emulator::Emulator::start(site, Default::default());
     let emulator = runtime.block_on(started).unwrap();
     let stores = Cluster::new(3);
-    // Each node restarts at its previous address, to which the load goes on.
+    // Each node restarts at its previous address, since the load continues there.
     let (client_addrs, any) = ([0; 3].map(|_| free_address()), "127.0.0.1:0".parse().unwrap());
     let config =
         |n: usize| toml::to_string(&emulator.config(n, client_addrs[n], Some(any)).unwrap()).unwrap();
