--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,20 +1,20 @@
-//! Validation across values: names that must differ, values that must fit together.
+//! Validation across values: names that must be unique, and values that depend on each other.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
 use crate::tree::{Config, Membership, Node, RequestClass, Role, Store, Tenant};
 
-/// The most addresses of publishers in `store.publishers`, over all tiers.
+/// The maximum number of addresses in `store.publishers`, over all tiers.
 const MAX_PUBLISHERS: usize = 1_024;
-/// The most addresses in `membership.seeds`.
+/// The maximum number of addresses in `membership.seeds`.
 const MAX_SEEDS: usize = 1_024;
 /// The longest name of a node or a cluster that membership accepts, in bytes.
 const MAX_NAME_LENGTH: usize = 64;
-/// The largest sum of the tenants' quotas: 1, and what rounding may add to it.
+/// The largest allowed sum of the tenants' quotas: 1, plus a tolerance for rounding errors.
 const MAX_QUOTA_SUM: f64 = 1.000_001;
 
-/// A value that does not fit the others.
+/// A value that is inconsistent with other values.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct CheckError {
@@ -25,7 +25,7 @@
 }
 
 impl CheckError {
-    /// A value that does not fit, and why.
+    /// An error for the value of `key`, with the reason.
     pub fn new(key: impl Into<String>, reason: impl Into<String>) -> CheckError {
         CheckError { key: key.into(), reason: reason.into() }
     }
@@ -39,10 +39,10 @@
 
 /// A tree that can be validated as a whole.
 pub trait Check {
-    /// Validates that the values fit together.
+    /// Validates that the values are consistent.
     ///
     /// # Errors
-    /// For the first key whose value does not fit.
+    /// For the first key whose value is inconsistent.
     fn check(&self) -> Result<(), CheckError>;
 }
 
@@ -80,11 +80,11 @@
         return Err(CheckError::new("node.discovery", reason));
     }
     if let Some(seed) = node.seed.as_ref().filter(|seed| u64::from_str_radix(seed, 16).is_err()) {
-        let reason = format!("{seed:?} is no number of up to 16 hex digits");
+        let reason = format!("{seed:?} is not a number of up to 16 hex digits");
         return Err(CheckError::new("node.seed", reason));
     }
     if let Some(zone) = node.zone.as_ref().filter(|zone| !zones.contains(zone)) {
-        let reason = format!("{zone:?} is none of fleet.zones: {zones:?}");
+        let reason = format!("{zone:?} is not one of fleet.zones: {zones:?}");
         return Err(CheckError::new("node.zone", reason));
     }
     let node_count = node.node_count.get();
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-/// Names must not be empty, must differ, and must fit into a list of `name=value` pairs.
+/// Checks that names are not empty, are unique, and can be a value in a list of `name=value` pairs.
 fn check_names<'a>(
     section: &str,
     field: &str,
@@ -106,7 +106,7 @@
         let invalid = |reason: String| CheckError::new(format!("{section}[{index}].{field}"), reason);
         if name.is_empty() || name.contains([',', '=']) || name.chars().any(char::is_control) {
             return Err(invalid(format!(
-                "{name:?} is no name: it must not be empty, and has no comma, no = and no control character"
+                "{name:?} is no name: it must not be empty or contain a comma, an = or a control character"
             )));
         }
         if !seen.insert(name) {
@@ -118,7 +118,7 @@
 
 fn check_store(store: &Store) -> Result<(), CheckError> {
     if let Some(listen) = store.listen.filter(|listen| !listen.ip().is_loopback()) {
-        let reason = format!("{listen} is no loopback address: the store listens on those alone");
+        let reason = format!("{listen} is no loopback address: the store listens on loopback addresses only");
         return Err(CheckError::new("store.listen", reason));
     }
     match store.role {
@@ -133,11 +133,11 @@
         return Err(CheckError::new("store.listen", reason));
     }
     if store.cluster.is_some() {
-        let reason = "a member's is in its folder: only a subscriber is told it";
+        let reason = "only a subscriber states it: a member reads it from its folder";
         return Err(CheckError::new("store.cluster", reason));
     }
     if !store.publishers.is_empty() {
-        let reason = "only a subscriber has publishers: members find each other";
+        let reason = "only a subscriber has publishers: a member finds the others by itself";
         return Err(CheckError::new("store.publishers", reason));
     }
     Ok(())
@@ -157,10 +157,10 @@
         );
     }
     if publishers.len() > MAX_PUBLISHERS {
-        return invalid(format!("at most {MAX_PUBLISHERS} are taken"));
+        return invalid(format!("at most {MAX_PUBLISHERS} addresses are allowed"));
     }
     match publishers.iter().find(|&&publisher| Some(publisher) == store.listen) {
-        Some(publisher) => invalid(format!("{publisher} is where this very node listens")),
+        Some(publisher) => invalid(format!("{publisher} is the address at which this very node listens")),
         None => Ok(()),
     }
 }
@@ -170,12 +170,15 @@
         [("membership.listen", Some(membership.listen)), ("membership.advertise", membership.advertise)];
     for (key, address) in addresses {
         if let Some(address) = address.filter(|address| !address.ip().is_loopback()) {
-            let reason = format!("{address} is no loopback address: membership uses those alone");
+            let reason = format!("{address} is no loopback address: membership uses loopback addresses only");
             return Err(CheckError::new(key, reason));
         }
     }
     if membership.seeds.len() > MAX_SEEDS {
-        return Err(CheckError::new("membership.seeds", format!("at most {MAX_SEEDS} are taken")));
+        return Err(CheckError::new(
+            "membership.seeds",
+            format!("at most {MAX_SEEDS} addresses are allowed"),
+        ));
     }
     if membership.cluster.is_empty() || membership.cluster.len() > MAX_NAME_LENGTH {
         let reason = format!("needed: a name of 1 to {MAX_NAME_LENGTH} bytes");
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the configuration, and the locations that they name.
+//! Errors in a configuration, and the locations that they name.
 
 use std::fmt;
 use std::io;
@@ -7,18 +7,18 @@
 /// Where a value was stated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Location {
-    /// In a file; line and column count from 1.
+    /// In a file.
     File {
         /// The file.
         path: PathBuf,
-        /// Its line.
+        /// The line, counting from 1.
         line: usize,
-        /// Its column, in characters.
+        /// The column in characters, counting from 1.
         column: usize,
     },
-    /// In an environment variable of this name.
+    /// In the environment variable of this name.
     Environment(String),
-    /// In a flag; its text as it was given.
+    /// In a flag, with its text as it was given.
     Flag(String),
     /// Nowhere: a required value is missing.
     Unstated,
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -1,4 +1,4 @@
-//! Loading: from layers to a validated tree that knows where its values came from.
+//! Loads layers into a validated tree that remembers where its values came from.
 
 use schemars::{Schema, schema_for};
 use serde::Serialize;
@@ -11,7 +11,7 @@
 use crate::merged::MergedDocument;
 use crate::tree::Config;
 
-/// The least Jaro-Winkler similarity, from 0 to 1, of a name that is suggested for an unknown one.
+/// The smallest Jaro-Winkler similarity, from 0 to 1, at which a known name is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.75;
 
 /// A validated tree, and where its values came from.
@@ -21,7 +21,7 @@
     merged: MergedDocument,
 }
 
-/// A value that is in force.
+/// An effective value.
 #[derive(Debug, PartialEq)]
 pub struct EffectiveValue {
     /// The key's path.
@@ -45,7 +45,7 @@
     Ok(Loaded { tree, merged })
 }
 
-/// Names the location of a value that could not be deserialized; for an unknown key, also the known ones.
+/// Adds the location to an error of deserialization; for an unknown key, also the known keys.
 fn explain_serde_error(
     error: &serde_path_to_error::Error<toml::de::Error>,
     merged: &MergedDocument,
@@ -67,7 +67,7 @@
     })
 }
 
-/// What serde's message on an unknown key contains.
+/// The contents of serde's message on an unknown key.
 struct UnknownKey<'a> {
     name: &'a str,
     known: Vec<&'a str>,
@@ -83,6 +83,7 @@
     }
 }
 
+/// The known name that is most similar to an unknown one, if it is similar enough.
 fn closest_name(name: &str, known: &[&str]) -> Option<String> {
     let ranked = known.iter().map(|known| (strsim::jaro_winkler(name, known), known));
     let (similarity, best) = ranked.max_by(|left, right| left.0.total_cmp(&right.0))?;
@@ -90,7 +91,7 @@
 }
 
 impl<T: Serialize> Loaded<T> {
-    /// All values that are in force, in the order of the tree.
+    /// All effective values, in the order of the tree.
     pub fn explain(&self) -> Vec<EffectiveValue> {
         let mut values = Vec::new();
         if let Ok(root) = Value::try_from(&self.tree) {
--- a/crates/config/src/merged.rs
+++ b/crates/config/src/merged.rs
@@ -1,4 +1,4 @@
-//! Layers merged into one document that remembers where each value was stated.
+//! Merges layers into one document that remembers where each value was stated.
 
 use std::fs;
 use std::path::Path;
@@ -10,10 +10,11 @@
 use crate::layers::{Layers, SharedDocument, ValueSource};
 use crate::positions::{Locations, TextFile};
 
-/// Environment variables that state values begin with this; the rest of the name is the key, with `__` between its
-/// parts. Names of a single part (`STONEFOLD_LOG`) belong to the command line: no value stands at the top of the tree.
+/// The prefix of environment variables that state values. The rest of the name is the key, with `__` between its parts.
+/// Names without `__`, such as `STONEFOLD_LOG`, are variables of the command line: the top level of the tree contains
+/// sections only, so that no value has a key of a single part.
 const VARIABLE_PREFIX: &str = "STONEFOLD_";
-/// What separates the parts of a key in a variable's name.
+/// The separator between the parts of a key in a variable's name.
 const VARIABLE_SEPARATOR: &str = "__";
 /// Sections that a shared document must not contain, because they belong to a single node.
 const PER_NODE_SECTIONS: [&str; 4] = ["node", "limits", "log", "store"];
@@ -59,11 +60,11 @@
         Ok(MergedDocument { table, locations: file.locations_in(spanned.get_ref()) })
     }
 
-    /// Sections of the shared document override keys of the file's sections, not the sections as a whole.
+    /// Applies the shared document. A section of it overrides single keys of the file's section, not the section as a whole.
     fn apply_shared(&mut self, shared: &SharedDocument) -> Result<(), ConfigError> {
         let document = MergedDocument::parse(Path::new(&shared.name), &shared.text)?;
         if let Some(key) = PER_NODE_SECTIONS.into_iter().find(|key| document.table.contains_key(*key)) {
-            let reason = "is each node's own, and not for a shared document";
+            let reason = "is each node's own, and is not allowed in a shared document";
             return Err(ConfigError::invalid(document.location(key), key, reason));
         }
         for (key, value) in document.table {
@@ -99,7 +100,7 @@
         self.insert(key.trim(), parse_value(text.trim()), location)
     }
 
-    /// Overrides the value of one key; sections on the way to it are created.
+    /// Sets the value of one key, and creates the sections on its path that are missing.
     fn insert(&mut self, key: &str, value: Value, location: Location) -> Result<(), ConfigError> {
         let mut table = &mut self.table;
         let (parents, last) = key.rsplit_once('.').unwrap_or(("", key));
@@ -114,14 +115,15 @@
             table = section;
         }
         if last.is_empty() {
-            return Err(ConfigError::invalid(location, key, "an empty key"));
+            return Err(ConfigError::invalid(location, key, "the last part of the key is empty"));
         }
         table.insert(last.to_owned(), value);
         self.locations.insert(key.to_owned(), location);
         Ok(())
     }
 
-    /// Where the value of a key was stated, or else the innermost section or array round it that was.
+    /// Where the value of a key was stated, or else the location of the innermost section or array that contains it and was
+    /// stated.
     pub(crate) fn location(&self, key: &str) -> Location {
         let mut key = key;
         loop {
@@ -144,7 +146,7 @@
     }
 }
 
-/// Parses a value as TOML; what is no TOML value is a plain string, so that flags need no quotes.
+/// Parses a value as TOML. Text that is not a TOML value becomes a string, so that flags need no quotes.
 fn parse_value(text: &str) -> Value {
     const KEY: &str = "v";
     let parsed = format!("{KEY} = {text}").parse::<Table>().ok().and_then(|mut table| table.remove(KEY));
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,4 +1,4 @@
-//! The tree in the form of the platform's own configuration, which is what the node reads.
+//! Conversion of the tree to the platform's configuration document, which is the form that the node reads.
 
 use serde_json::{Value, json};
 
@@ -10,7 +10,7 @@
 const TIMER_GRANULARITY_MS: f64 = 1.0;
 
 impl Config {
-    /// This configuration as the platform would state it. `seed` is used if the tree states none.
+    /// This configuration as the platform's document. `seed` is used if the tree states none.
     pub fn to_platform(&self, seed: u64) -> Value {
         let seed = self.node.seed.clone().unwrap_or_else(|| format!("{seed:016x}"));
         json!({
--- a/crates/config/src/positions.rs
+++ b/crates/config/src/positions.rs
@@ -1,4 +1,4 @@
-//! Positions of the values of a TOML text.
+//! The positions of the values in a TOML text.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -9,10 +9,10 @@
 
 use crate::error::Location;
 
-/// Locations by the path of their key; elements of arrays have an index in it, as in `class[1].aim`.
+/// Locations by key path. The path of an array element contains its index, as in `class[1].aim`.
 pub(crate) type Locations = BTreeMap<String, Location>;
 
-/// A text and the file that it was read from.
+/// A TOML text and the file that it was read from.
 pub(crate) struct TextFile<'a> {
     pub(crate) path: &'a Path,
     pub(crate) text: &'a str,
--- a/crates/config/src/tree/fleet.rs
+++ b/crates/config/src/tree/fleet.rs
@@ -1,4 +1,4 @@
-//! Sections of the servers: the fleet in general, and servers that are known from the start.
+//! Sections of the servers: `fleet` for all servers, and `server` for each one that is known from the start.
 
 use std::net::SocketAddr;
 
@@ -8,36 +8,36 @@
 use super::{HOUR, SECOND};
 use crate::units::{Count, DurationMillis, Fraction, Positive};
 
-/// The cache servers and the origin in general.
+/// Settings of all cache servers and of the origin.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Where a missing value is fetched.
+    /// How a value that a cache server lacks is fetched.
     #[serde(rename = "mode")]
     pub cache_mode: CacheMode,
-    /// The kind of server that is the origin.
+    /// The machine type (`kind`) of the origin.
     #[serde(rename = "origin_kind")]
     pub origin_machine_type: String,
-    /// The zones, by name.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Whether changes of the list come by a watch.
+    /// Whether discovery is watched for changes of the server list.
     #[serde(rename = "subscribe")]
     pub watch_required: bool,
-    /// The list is asked for at least this often.
+    /// Discovery is asked for the server list at least this often.
     #[serde(rename = "ask_within")]
     pub max_poll_interval: DurationMillis<100, HOUR>,
-    /// A started server is warm after this time.
+    /// A server is warm this long after its start.
     #[serde(rename = "cold")]
     pub slow_start_duration: DurationMillis<0, HOUR>,
-    /// A started server has at least this part of its capacity.
+    /// A server has at least this part of its capacity right after its start.
     #[serde(rename = "cold_from")]
     pub initial_capacity: Fraction,
-    /// A cold server collapses if sent this multiple of its capacity ...
+    /// A cold server collapses if it is sent this multiple of its capacity for the time `overload_for`.
     pub overload_factor: Positive,
-    /// ... for this long.
+    /// A cold server collapses if it is sent `overload_factor` times its capacity for this time.
     #[serde(rename = "overload_for")]
     pub overload_window: DurationMillis<1, HOUR>,
-    /// What an attempt at another zone costs, as a part of what the service is worth.
+    /// The cost of an attempt in another zone, as a part of what the service is worth.
     #[serde(rename = "cross_zone_price")]
     pub cross_zone_cost: Fraction,
 }
@@ -59,35 +59,35 @@
     }
 }
 
-/// Where a missing value is fetched.
+/// How a value that a cache server lacks is fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "Mode")]
 pub enum CacheMode {
-    /// A cache answers that it misses, and the node asks the origin.
+    /// A cache server reports a miss, and the node requests the value from the origin.
     Aside,
-    /// The cache fetches by itself.
+    /// The cache server fetches the value itself.
     Through,
 }
 
-/// A server as it is known before discovery has answered.
+/// A server that is known before discovery has answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Its id, the same at every node.
+    /// The server's id, the same at every node.
     pub id: String,
-    /// Where it is reached.
+    /// The address of the server.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// The zone of the server.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine, or the origin's.
+    /// The machine type of the server; the origin's is `fleet.origin_kind`.
     #[serde(rename = "kind", default)]
     pub machine_type: String,
-    /// The few servers that share its keys.
+    /// The number of the server's cell: the few servers that share its keys.
     #[serde(default)]
     pub cell: Count<0, 65_535>,
-    /// Its size in comparison with the others.
+    /// The size of the server in comparison with the others.
     #[serde(default = "unit_weight")]
     pub weight: Positive,
 }
--- a/crates/config/src/tree/mod.rs
+++ b/crates/config/src/tree/mod.rs
@@ -1,8 +1,8 @@
 //! The tree of a node's configuration, a module for each group of sections.
 //!
-//! Keys of the file are fixed by the operators' documentation; where the field's term differs, the Rust field has the term
-//! and `serde(rename)` the key. The doc comments of sections and fields are the descriptions in
-//! `deploy/node.schema.json`, and use the words of that documentation. `docs/GLOSSARY.md` maps one to the other.
+//! The keys of the file are those of the operators' documentation. Where the usual technical term differs from a key, the
+//! Rust field has the term and `serde(rename)` states the key; `docs/GLOSSARY.md` maps one to the other. The doc comments
+//! of sections and fields are the descriptions in `deploy/node.schema.json`.
 
 mod fleet;
 mod node;
@@ -28,31 +28,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// The node itself, and where it is reached.
+    /// The node itself and its addresses.
     pub node: Node,
-    /// What the node may use of its machine.
+    /// The resources of the machine that the node may use.
     pub limits: Limits,
     /// What is logged on standard error.
     pub log: Log,
-    /// How requests are tried, and what clients are told.
+    /// How requests are attempted, and what clients are told.
     pub requests: Requests,
     /// Connections to servers.
     pub connections: Connections,
-    /// The cache servers and the origin in general.
+    /// Settings of all cache servers and of the origin.
     pub fleet: Fleet,
-    /// The store that nodes keep together; none if it is absent.
+    /// The store that the nodes replicate; if it is absent, the node uses no store.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub store: Option<Store>,
-    /// The membership of nodes: who is alive, failed, left or unreachable; none if it is absent.
+    /// The membership of nodes: which are alive, failed, left or unreachable. If it is absent, the node takes no part in it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub membership: Option<Membership>,
-    /// Classes of requests; at least one.
+    /// The classes of requests; at least one is required.
     #[serde(rename = "class", skip_serializing_if = "Vec::is_empty")]
     pub classes: Vec<RequestClass>,
     /// Tenants and their shares of the service.
     #[serde(rename = "tenant", skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<Tenant>,
-    /// Servers as they are known before discovery has answered.
+    /// The servers that are known before discovery has answered.
     #[serde(rename = "server", skip_serializing_if = "Vec::is_empty")]
     pub servers: Vec<Server>,
 }
--- a/crates/config/src/tree/node.rs
+++ b/crates/config/src/tree/node.rs
@@ -8,32 +8,32 @@
 use super::MIB;
 use crate::units::{Count, Size};
 
-/// The node itself, and where it is reached.
+/// The node itself and its addresses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Node {
-    /// Its name, the same after a restart.
+    /// The node's name, which stays the same after a restart.
     pub name: String,
-    /// Where clients connect. Needed.
+    /// The address at which clients connect. Required.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
-    /// Where discovery answers. Needed.
+    /// The address of discovery. Required.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub discovery: Option<SocketAddr>,
-    /// Where operators call; nowhere if it is absent.
+    /// The address for operator commands; if it is absent, the node takes none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub operator: Option<SocketAddr>,
-    /// Seeds random choices: up to 16 hex digits; drawn anew at each start if it is absent.
+    /// The seed of random choices, up to 16 hex digits; if it is absent, a new one is drawn at each start.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub seed: Option<String>,
-    /// The zone it stands in, one of `fleet.zones`.
+    /// The zone of the node, one of `fleet.zones`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Nodes that send to the same servers, this one included.
+    /// The number of nodes that send to the same servers, this one included.
     #[serde(rename = "siblings")]
     pub node_count: Count<1, 65_536>,
-    /// Which of them this one is, counting from 0: below `siblings`, and another at each. Without it the parts of cold
-    /// servers that nodes take agree on average only.
+    /// The index of this node among them, counting from 0: less than `siblings`, and different at each node. Without it,
+    /// the parts of a cold server's capacity that the nodes use add up correctly only on average.
     #[serde(rename = "index", skip_serializing_if = "Option::is_none")]
     pub node_index: Option<Count<0, 65_535>>,
 }
@@ -53,13 +53,13 @@
     }
 }
 
-/// What the node may use of its machine.
+/// The resources of the machine that the node may use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Descriptors; a third at most is held by clients.
+    /// The number of file descriptors; a third of them is guaranteed to clients.
     pub sockets: Count<120, 1_048_576>,
-    /// Memory that the node reckons with.
+    /// The memory that the node may use; the limits on buffered requests and values are derived from it.
     pub memory: Size<{ 16 * MIB }, { 65_536 * MIB }>,
 }
 
@@ -73,9 +73,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The least level, and others for some targets: `info,stonefold_node::discovery=debug`.
+    /// The lowest level that is logged, and other levels for some targets: `info,stonefold_node::discovery=debug`.
     pub level: String,
-    /// The form of the lines.
+    /// The format of the log lines.
     pub format: LogFormat,
 }
 
@@ -85,13 +85,13 @@
     }
 }
 
-/// The form of log lines.
+/// The format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// One object a line.
+    /// One JSON object per line.
     Json,
 }
--- a/crates/config/src/tree/requests.rs
+++ b/crates/config/src/tree/requests.rs
@@ -6,23 +6,23 @@
 use super::{HOUR, SECOND};
 use crate::units::{Count, DurationMillis, Fraction, Positive};
 
-/// How requests are tried, and what clients are told.
+/// How requests are attempted, and what clients are told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Requests {
-    /// Most attempts for a request.
+    /// The maximum number of attempts for a request.
     #[serde(rename = "attempts")]
     pub max_attempts: Count<1, 16>,
-    /// Whether a safe read may be out twice at once.
+    /// Whether a safe read may have two attempts in flight at once.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// Whether servers stop work that is cancelled.
+    /// Whether servers stop work on a cancelled attempt.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
-    /// The longest that a refused client is asked to stay away; 0s for no advice.
+    /// The longest time after which a rejected client is told to retry; 0s if clients are told none.
     #[serde(rename = "retry_after")]
     pub max_retry_after: DurationMillis<0, HOUR>,
-    /// What a request beyond its tenant's share is worth, as a part of its class's worth.
+    /// What a request beyond its tenant's share is worth, as a part of the worth of its class.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: Fraction,
 }
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Connections {
-    /// A connection that is not up after this time has failed.
+    /// A connection that is not established after this time has failed.
     pub connect_timeout: DurationMillis<1, 60_000>,
-    /// Servers close a connection that has idled for so long.
+    /// Servers close a connection that has been idle for this time.
     #[serde(rename = "keepalive")]
     pub idle_timeout: DurationMillis<100, { 24 * HOUR }>,
 }
@@ -64,20 +64,20 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Class")]
 pub struct RequestClass {
-    /// Its name, as clients state it.
+    /// The class's name, as clients state it.
     pub name: String,
     /// An answer within this time has full worth.
     #[serde(rename = "aim")]
     pub latency_objective: DurationMillis<1, HOUR>,
-    /// No client waits longer; at least the aim.
+    /// No client waits longer than this time; at least `aim`.
     pub deadline: DurationMillis<1, HOUR>,
-    /// What a repeat may do.
+    /// Whether a request may be repeated.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Of a keyed class: which servers discard repeats.
+    /// For a keyed class: the servers that discard repeats.
     #[serde(rename = "scope", default)]
     pub deduplication_scope: DeduplicationScope,
-    /// Of a keyed class: for how long they do.
+    /// For a keyed class: how long the servers discard repeats.
     #[serde(rename = "window", default = "deduplication_window")]
     pub deduplication_window: DurationMillis<1, HOUR>,
     /// What one answer is worth, in comparison with other classes.
@@ -93,17 +93,17 @@
     Positive::new(1.0)
 }
 
-/// What a repeat may do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "Effect")]
 pub enum Idempotency {
-    /// It may be repeated freely.
+    /// A request may be repeated freely.
     #[serde(rename = "safe")]
     Idempotent,
-    /// Servers discard repeats for a time.
+    /// A request has a key by which servers discard repeats for the time `window`.
     Keyed,
-    /// It must not run twice.
+    /// A request must not run twice.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
@@ -113,22 +113,22 @@
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "Scope")]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All servers.
     #[default]
     All,
-    /// Those in one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those in one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A tenant and its share.
+/// A tenant and its share of the service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, as clients state it.
+    /// The tenant's name, as clients state it.
     pub name: String,
-    /// Its part of the service.
+    /// The tenant's part of the service.
     #[serde(rename = "share")]
     pub quota: Fraction,
 }
--- a/crates/config/src/tree/store.rs
+++ b/crates/config/src/tree/store.rs
@@ -1,4 +1,4 @@
-//! Sections of what nodes do together: the replicated store and the membership.
+//! Sections of the services that nodes run together: the replicated store and the membership.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,42 +9,45 @@
 use super::SECOND;
 use crate::units::DurationMillis;
 
-/// Hex digits of a cluster's id: 128 bits.
+/// The number of hex digits in a cluster's id of 128 bits.
 const CLUSTER_ID_DIGITS: usize = 32;
 
-/// The store that nodes keep together: configuration, orders and the list of servers.
+/// The store that the nodes replicate: the shared configuration, the operators' overrides and the server list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Whether this node is a member, or follows what members keep.
+    /// Whether this node is a member of the store or a subscriber.
     #[serde(default)]
     pub role: Role,
-    /// The folder it is kept in: a member's as `stonefold store init` made it, a subscriber's is made if it is absent.
+    /// The folder of the store. `stonefold store init` creates a member's; a subscriber's is created if it is absent.
     pub dir: PathBuf,
-    /// Where others reach it, a loopback address: a member's needed; a subscriber's makes it a relay.
+    /// The loopback address at which others reach this node's store. Required for a member; it
+    /// makes a subscriber a relay.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
-    /// The file of the key: a member's that all members share, a subscriber's as `stonefold store subscriber-key` made it.
+    /// The key file: for a member, the key that all members share; for a subscriber, the file that
+    /// `stonefold store subscriber-key` wrote.
     pub key_file: PathBuf,
-    /// The cluster that a subscriber follows, as `stonefold store init` printed it.
+    /// The id of the cluster that a subscriber follows, as `stonefold store init` printed it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cluster: Option<String>,
-    /// Whom a subscriber follows, by tier, the nearest first: relays of its site, relays of its region, members.
+    /// The addresses that a subscriber follows, by tier, the nearest first: relays of its site, relays of its region,
+    /// members.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub publishers: Vec<Vec<SocketAddr>>,
-    /// A starting node waits so long for the others to tell what is committed.
+    /// The longest time that a starting node waits to learn the committed state from the others.
     #[serde(default = "store_wait")]
     pub wait: DurationMillis<0, 60_000>,
 }
 
-/// What a node is to its store.
+/// The role of a node in its store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It votes, and may change what is kept.
+    /// The node votes, and can change the store.
     #[default]
     Member,
-    /// It follows what is committed.
+    /// The node receives what is committed, and cannot change the store.
     Subscriber,
 }
 
@@ -60,24 +63,25 @@
     DurationMillis::new(2 * SECOND)
 }
 
-/// The membership of nodes: each finds out which of the others are alive, failed, left or unreachable from here. Changes
-/// of this section take effect at the next start.
+/// The membership of nodes: each node finds out which of the others are alive, failed, left or unreachable from it.
+/// Changes of this section take effect at the next start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Membership {
-    /// Where other nodes' datagrams are taken, a loopback address.
+    /// The loopback address at which the node receives the datagrams of other nodes.
     pub listen: SocketAddr,
-    /// Where others reach that, if it is another address.
+    /// The address at which others reach this node, if it differs from `listen`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// Addresses of nodes to begin with; its own may be among them.
+    /// The addresses of nodes to contact first; this node's own may be among them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub seeds: Vec<SocketAddr>,
-    /// The cluster's name: nodes of another one are not heard.
+    /// The name of the cluster; messages from nodes of other clusters are ignored.
     pub cluster: String,
     /// The file of the key that all nodes share, as `stonefold store init` makes it.
     pub key_file: PathBuf,
-    /// A node probes one other this often; other times follow from it. The same at all nodes.
+    /// The interval at which a node probes one other node; it must be the same at all nodes. Other times are derived from
+    /// it.
     #[serde(default = "probe_interval")]
     pub probe_interval: DurationMillis<100, 60_000>,
 }
--- a/crates/config/src/units/count.rs
+++ b/crates/config/src/units/count.rs
@@ -16,18 +16,18 @@
         Count(clamp(number, MIN, MAX))
     }
 
-    /// As an index or length.
+    /// The number, for use as an index or a length.
     pub const fn get(self) -> usize {
         self.0 as usize
     }
 
-    /// The allowed values, for messages.
+    /// The allowed values, for error messages.
     fn range() -> String {
         format!("a whole number of {MIN} to {MAX}")
     }
 }
 
-/// The least of the range.
+/// The smallest value of the range.
 impl<const MIN: u64, const MAX: u64> Default for Count<MIN, MAX> {
     fn default() -> Self {
         Self::new(MIN)
--- a/crates/config/src/units/fraction.rs
+++ b/crates/config/src/units/fraction.rs
@@ -15,12 +15,12 @@
 pub struct Positive(f64);
 
 impl Fraction {
-    /// This part, clamped to 0 to 1.
+    /// This part, clamped to the range of 0 to 1.
     pub const fn new(part: f64) -> Self {
         Fraction(part.clamp(0.0, 1.0))
     }
 
-    /// As a number.
+    /// The value as a number.
     pub const fn get(self) -> f64 {
         self.0
     }
@@ -35,7 +35,7 @@
         Positive(number.clamp(f64::MIN_POSITIVE, Self::MAX))
     }
 
-    /// As a number.
+    /// The value as a number.
     pub const fn get(self) -> f64 {
         self.0
     }
--- a/crates/config/src/units/mod.rs
+++ b/crates/config/src/units/mod.rs
@@ -1,4 +1,4 @@
-//! Values with units and ranges. Each type carries its range, so that error messages and the schema state the same.
+//! Values with units and ranges. Each type contains its range, so that error messages and the schema state the same.
 
 mod count;
 mod fraction;
--- a/crates/config/src/units/quantity.rs
+++ b/crates/config/src/units/quantity.rs
@@ -12,9 +12,9 @@
 
 /// How quantities of one kind are counted, written and parsed.
 pub trait Unit {
-    /// What a quantity is, with its article, for messages.
+    /// The name of such a quantity with its article, for error messages.
     const KIND: &'static str;
-    /// A quantity as it may be written, for messages.
+    /// An example of a written quantity, for error messages.
     const EXAMPLE: &'static str;
 
     /// Writes an amount so that [`parse`](Unit::parse) returns it.
@@ -104,40 +104,40 @@
 }
 
 impl<const MIN: u64, const MAX: u64> DurationMillis<MIN, MAX> {
-    /// In milliseconds.
+    /// The duration in milliseconds.
     pub const fn ms(self) -> u64 {
         self.amount
     }
 
-    /// As a duration.
+    /// The duration as a [`Duration`].
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.amount)
     }
 }
 
 impl<const MIN: u64, const MAX: u64> DurationMicros<MIN, MAX> {
-    /// In microseconds.
+    /// The duration in microseconds.
     pub const fn us(self) -> u64 {
         self.amount
     }
 }
 
 impl<const MIN: u64, const MAX: u64> Size<MIN, MAX> {
-    /// In bytes.
+    /// The size in bytes.
     pub const fn bytes(self) -> u64 {
         self.amount
     }
 }
 
 impl<U: Unit, const MIN: u64, const MAX: u64> Quantity<U, MIN, MAX> {
-    /// The allowed values, for messages.
+    /// The allowed values, for error messages and the schema.
     fn range() -> String {
         let (min, max) = (U::format(MIN), U::format(MAX));
         format!("{} of {min} to {max}, with its unit, such as \"{}\"", U::KIND, U::EXAMPLE)
     }
 }
 
-/// The least of the range.
+/// The smallest value of the range.
 impl<U, const MIN: u64, const MAX: u64> Default for Quantity<U, MIN, MAX> {
     fn default() -> Self {
         Self::new(MIN)
--- a/crates/config/src/units/visitor.rs
+++ b/crates/config/src/units/visitor.rs
@@ -6,7 +6,7 @@
 
 /// Parses a string with `parse`, which returns `None` for a value that is not allowed.
 pub(super) struct TextVisitor<F> {
-    /// The allowed values, for messages.
+    /// The allowed values, for error messages.
     pub(super) expected: String,
     pub(super) parse: F,
 }
@@ -26,7 +26,7 @@
 
 /// Converts a number with `convert`, which returns `None` for a value that is not allowed.
 pub(super) struct NumberVisitor<F> {
-    /// The allowed values, for messages.
+    /// The allowed values, for error messages.
     pub(super) expected: String,
     pub(super) convert: F,
 }
--- a/crates/config/tests/load.rs
+++ b/crates/config/tests/load.rs
@@ -1,11 +1,11 @@
-//! Loading a configuration: every error names its location and key; a rejected configuration has no effect in part.
+//! Loading a configuration: every error names its location and key, and no part of a rejected configuration is used.
 
 use std::fs;
 use std::path::PathBuf;
 
 use stonefold_config::{Config, Layers, Loaded, Role, ValueSource, load, schema};
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [node]
 listen = "127.0.0.1:6379"
 discovery = "127.0.0.1:8500"
@@ -33,7 +33,7 @@
 
 #[test]
 fn errors_name_the_location_the_key_and_the_allowed_values() {
-    let swap = |from: &str, to: &str| GOOD.replace(from, to);
+    let swap = |from: &str, to: &str| VALID.replace(from, to);
     let cases = [
         (swap("listen", "lisen"), "3:1: node.lisen: unknown key", "did you mean `listen`?"),
         (swap("[node]", "[nod]"), "2:2: nod: unknown key", "did you mean `node`?"),
@@ -51,29 +51,29 @@
         (swap("127.0.0.1:6379", "localhost"), "3:1: node.listen", "invalid socket address"),
         (swap("listen = \"127.0.0.1:6379\"", ""), "2:2: node.listen", "where clients connect"),
         (swap("effect", "worth = 0\neffect"), "10:1: class[0].worth", "a number above 0"),
-        (format!("{GOOD}\n[limits]\nmemory = \"1KiB\""), "13:1: limits.memory", "a size of 16MiB to 64GiB"),
+        (format!("{VALID}\n[limits]\nmemory = \"1KiB\""), "13:1: limits.memory", "a size of 16MiB to 64GiB"),
         (
-            format!("{GOOD}\n[limits]\nsockets = 1.5"),
+            format!("{VALID}\n[limits]\nsockets = 1.5"),
             "13:1: limits.sockets",
             "a whole number of 120 to 1048576",
         ),
-        (format!("{GOOD}\n[log]\nlevel = \"inf\""), "13:1: log.level", "bad log level"),
+        (format!("{VALID}\n[log]\nlevel = \"inf\""), "13:1: log.level", "bad log level"),
         (
             swap("[node]", "[node]\nindex = 4\nsiblings = 4"),
             "3:1: node.index",
             "none of node.siblings: 0 to 3",
         ),
         (
-            format!("{GOOD}\n[[class]]\nname = \"read\"\naim=\"1ms\"\ndeadline=\"1ms\"\neffect=\"safe\""),
+            format!("{VALID}\n[[class]]\nname = \"read\"\naim=\"1ms\"\ndeadline=\"1ms\"\neffect=\"safe\""),
             "13:1: class[1].name",
             "used twice",
         ),
         (
-            format!("{GOOD}\n[[tenant]]\nname=\"a\"\nshare=0.8\n[[tenant]]\nname=\"b\"\nshare=0.8"),
+            format!("{VALID}\n[[tenant]]\nname=\"a\"\nshare=0.8\n[[tenant]]\nname=\"b\"\nshare=0.8"),
             "12:3: tenant",
             "add up to 1.600",
         ),
-        (format!("{GOOD}\n[[tenant]]\nname=\"a,b\"\nshare=0.8"), "13:1: tenant[0].name", "is no name"),
+        (format!("{VALID}\n[[tenant]]\nname=\"a,b\"\nshare=0.8"), "13:1: tenant[0].name", "is no name"),
         (swap("aim = ", "aim "), "8:5", ""),
         (swap("[node]", "[node"), "2:", ""),
         (String::new(), "node.listen", "needed"),
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn store_takes_exactly_the_keys_of_its_role() {
-    let store = |rest: &str| format!("{GOOD}\n[store]\ndir = \"d\"\nkey_file = \"k\"\n{rest}");
+fn store_section_needs_exactly_the_keys_of_its_role() {
+    let store = |rest: &str| format!("{VALID}\n[store]\ndir = \"d\"\nkey_file = \"k\"\n{rest}");
     let cluster = format!("cluster = \"{}\"\n", "0a".repeat(16));
     let subscriber = |rest: &str| store(&format!("role = \"subscriber\"\n{rest}"));
     let publishers = "publishers = [[\"127.0.0.1:2\"], [\"127.0.0.1:3\", \"127.0.0.1:4\"]]\n";
@@ -120,7 +120,7 @@
             "{message}\n  should name {key:?} and {why:?}"
         );
     }
-    // As it was before there were roles, and as a subscriber and a relay are told.
+    // Valid sections: a member's without a role, which is the default, a subscriber's and a relay's.
     for (text, role, listens) in [
         (store("listen = \"127.0.0.1:1\""), Role::Member, true),
         (subscriber(&format!("{cluster}{publishers}")), Role::Subscriber, false),
@@ -137,8 +137,8 @@
 
 #[test]
 fn truncated_file_is_rejected_or_complete() {
-    for end in 0..GOOD.len() {
-        let (_dir, layers) = layers(&GOOD[..end]);
+    for end in 0..VALID.len() {
+        let (_dir, layers) = layers(&VALID[..end]);
         if let Ok(Loaded { tree, .. }) = load::<Config>(&layers) {
             assert_eq!(tree.classes.len(), 1, "cut at {end}");
         }
@@ -147,7 +147,7 @@
 
 #[test]
 fn later_layers_override_earlier_ones_and_values_keep_their_source() {
-    let (_dir, mut layers) = layers(GOOD);
+    let (_dir, mut layers) = layers(VALID);
     layers.environment = vec![
         ("STONEFOLD_LIMITS__SOCKETS".into(), "400".into()),
         ("STONEFOLD_NODE__NAME".into(), "from-env".into()),
@@ -192,7 +192,7 @@
 
 #[test]
 fn serialized_tree_deserializes_to_itself() {
-    let (_dir, layers) = layers(GOOD);
+    let (_dir, layers) = layers(VALID);
     let tree = load::<Config>(&layers).unwrap().tree;
     let text = toml::to_string(&tree).unwrap();
     assert_eq!(toml::from_str::<Config>(&text).unwrap(), tree);
@@ -201,7 +201,7 @@
 #[test]
 fn membership_errors_name_the_key() {
     let of = |rest: &str| {
-        format!("{GOOD}\n[membership]\nlisten = \"127.0.0.1:1\"\ncluster = \"c\"\nkey_file = \"k\"\n{rest}")
+        format!("{VALID}\n[membership]\nlisten = \"127.0.0.1:1\"\ncluster = \"c\"\nkey_file = \"k\"\n{rest}")
     };
     let many: Vec<String> = (1..=1_025).map(|port| format!("\"127.0.0.1:{port}\"")).collect();
     for (text, key, why) in [
@@ -222,16 +222,22 @@
     }
     let (_dir, layers) = layers(&of(&format!("seeds = [{}]", many[..1_024].join(","))));
     let tree = load::<Config>(&layers).unwrap_or_else(|error| panic!("{error}")).tree;
-    assert!(!tree.to_platform(1).to_string().contains("membership"), "the platform's form has none");
+    assert!(
+        !tree.to_platform(1).to_string().contains("membership"),
+        "the platform's document has no membership"
+    );
     assert_eq!(tree.membership.unwrap().seeds.len(), 1_024);
 }
 
 #[test]
 fn schema_and_example_in_deploy_are_current() {
     let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    let kept = fs::read_to_string(deploy.join("node.schema.json")).unwrap();
-    let made = serde_json::to_string_pretty(&schema()).unwrap() + "\n";
-    assert_eq!(kept, made, "make it anew: stonefold check --schema > deploy/node.schema.json");
+    let committed = fs::read_to_string(deploy.join("node.schema.json")).unwrap();
+    let generated = serde_json::to_string_pretty(&schema()).unwrap() + "\n";
+    assert_eq!(
+        committed, generated,
+        "the schema is outdated; run: stonefold check --schema > deploy/node.schema.json"
+    );
     let example = Layers { file: Some(deploy.join("node.toml")), ..Layers::default() };
     let tree = load::<Config>(&example).unwrap().tree;
     assert_eq!(tree.classes.len(), 2);
