--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -54,7 +54,7 @@
     now: Micros,
 }
 
-/// An output of an instance in the batch in progress.
+/// An action or a panic of an instance in the batch in progress.
 struct InstanceOutput {
     instance: u64,
     result: InstanceResult,
@@ -62,7 +62,7 @@
 
 enum InstanceResult {
     Action(Action),
-    /// The message of a panic. It ends the run on the simulator's side.
+    /// The balancer panicked with this message. The simulator ends the run when it receives it.
     Panicked(String),
 }
 
@@ -72,9 +72,9 @@
     batch: Option<Batch>,
     /// The outputs of the instances in the batch in progress, in order.
     outputs: Vec<InstanceOutput>,
-    /// An empty buffer for the actions of one event.
+    /// A reused buffer for the actions of one event; empty between events.
     actions: Vec<Action>,
-    /// A buffer for the output of one batch.
+    /// A reused buffer for the output of one batch.
     bytes: Vec<u8>,
 }
 
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    /// Drops what an instance did earlier in the batch, since it was killed.
+    /// Drops the outputs of an instance that was killed or started again in the batch in progress.
     fn drop_outputs(&mut self, id: u64) {
         self.outputs.retain(|output| output.instance != id);
     }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the adapter stops.
+//! The errors that end a run of the adapter.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("input line {line}: {kind}")]
 pub struct AdapterError {
-    /// The number of the input line, from 1.
+    /// The number of the input line, counting from 1.
     pub line: u64,
     /// What was wrong.
     pub kind: AdapterErrorKind,
@@ -17,10 +17,10 @@
 /// What was wrong with the input, or with its reader or writer.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterErrorKind {
-    /// The input could not be read, or the output not be written.
+    /// The input could not be read, or the output could not be written.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A line is no message of the protocol.
+    /// A line is not a message of the protocol.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// The input ended before the batch of this number was complete.
@@ -38,13 +38,13 @@
     /// The settings of an instance cannot be used.
     #[error("CONFIGURE: {0}")]
     Settings(SettingsError),
-    /// An endpoint list is neither complete, nor changes, nor a failure.
+    /// The scope of an endpoint list is unknown: neither complete, nor changes, nor a failure.
     #[error("ENDPOINTS: unknown scope {0:?}")]
     UnknownScope(String),
-    /// A server is in no known state.
+    /// The state of a server is unknown.
     #[error("ENDPOINTS: unknown lifecycle {0:?}")]
     UnknownServerState(String),
-    /// An attempt ended with no known outcome.
+    /// The outcome of an attempt is unknown.
     #[error("FINISHED: unknown code {0:?}")]
     UnknownOutcome(String),
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! A simulated node: its balancer, and the translation between the protocol's messages and the balancer's events.
+//! A simulated node: its balancer, and the translation between messages of the protocol and events and actions of the
+//! balancer.
 
 use serde::de::IgnoredAny;
 use stonefold_balancer::settings_document::{ResolvedSettings, micros_from_millis};
@@ -15,7 +16,7 @@
 /// The cache status of an attempt that found the value in the cache.
 const CACHE_HIT: u32 = 1;
 
-/// A balancer, and the indices that its settings gave to names.
+/// A balancer, and its settings, which map the protocol's names to indices.
 pub(crate) struct Instance {
     balancer: Balancer,
     settings: ResolvedSettings,
@@ -32,14 +33,15 @@
         Ok(Instance { balancer: Balancer::new(settings.settings.clone(), started.seed, now), settings })
     }
 
-    /// Reports an event to the balancer, whose actions are appended to `actions`. Returns the message of a panic.
+    /// Reports an event to the balancer, whose actions are appended to `actions`. If the balancer
+    /// panics, returns the panic's message.
     pub(crate) fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) -> Option<String> {
         let decide = || self.balancer.on_event(now, event, actions);
         let panic = std::panic::catch_unwind(std::panic::AssertUnwindSafe(decide)).err()?;
         Some(panic_message(&*panic))
     }
 
-    /// The event for an endpoint list.
+    /// Translates an endpoint list to an event.
     ///
     /// # Errors
     ///
@@ -78,7 +80,7 @@
         })
     }
 
-    /// The event for a request.
+    /// Translates a request to an event.
     pub(crate) fn request(&self, request: RequestReceived) -> Event {
         let tenant = match request.tenant {
             Some(NameOrNumber::Name(name)) => self.settings.tenant(&name),
@@ -95,7 +97,7 @@
     }
 }
 
-/// The event for the end of an attempt.
+/// Translates the end of an attempt to an event.
 ///
 /// # Errors
 ///
@@ -121,11 +123,11 @@
         settled: ended.settled.unwrap_or(false),
         cache_hit: cache_status.map(|status| status == CACHE_HIT),
         utilization: ended.load.and_then(|load| load.utilization),
-        bytes_sent: true, // the protocol does not say
+        bytes_sent: true, // the protocol does not report it
     }))
 }
 
-/// The output for an action.
+/// Translates an action to a line of output.
 pub(crate) fn output(instance: u64, action: Action) -> Output {
     match action {
         Action::Send { request, server, timeout, .. } => {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the simulator's protocol on standard input and output.
+//! Runs the adapter with the simulator's protocol on standard input and output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/messages.rs
+++ b/crates/simulator-adapter/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of the simulator's protocol, with its names mapped to ours.
+//! The messages of the simulator's protocol, with its names mapped to the terms of this project.
 //!
 //! Times are in milliseconds.
 
@@ -35,7 +35,7 @@
     /// The result of a health check, which this adapter never asks for.
     #[serde(rename = "CHECKED")]
     HealthChecked(IgnoredAny),
-    /// A message of another instance, none of which sends any.
+    /// A message from another instance. It is ignored: instances send each other no messages.
     #[serde(rename = "FROM_PEER")]
     Gossip(IgnoredAny),
 }
@@ -72,7 +72,7 @@
     pub(crate) number: u64,
 }
 
-/// An instance starts, without any state.
+/// An instance starts without state of an earlier run.
 #[derive(Deserialize)]
 pub(crate) struct InstanceStarted {
     #[serde(rename = "I")]
@@ -140,7 +140,7 @@
     pub(crate) write: Option<bool>,
 }
 
-/// A name, or a number in its place, which means that there is none.
+/// A name, or a number in its place, which means that there is no name.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(crate) enum NameOrNumber {
@@ -172,7 +172,7 @@
     pub(crate) outcome: Cow<'a, str>,
     #[serde(rename = "Duration")]
     pub(crate) elapsed: f64,
-    /// Whether it was the final answer of its request.
+    /// Whether the request has its final answer, through this attempt or an earlier one.
     #[serde(rename = "Settled", default)]
     pub(crate) settled: Option<bool>,
     /// 1 for a cache hit, larger for a miss, 0 if the server did not say.
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire, on hand-written transcripts.
+//! The simulator's protocol, tested with hand-written transcripts.
 
 use stonefold_simulator_adapter::run;
 
@@ -27,23 +27,23 @@
 }
 
 #[test]
-fn the_transcript_is_answered_as_written() {
+fn transcript_is_answered_with_the_recorded_output() {
     let (result, output, notes) = answer(include_str!("transcript.in"));
     assert_eq!(result, Ok(()));
-    // Timers are left out: when they fall due is a matter of tuning.
+    // Timers are left out, because their times depend on constants of the balancer that may be tuned.
     let answers: Vec<&str> = output.lines().filter(|l| !l.contains("NOTIFY_ME")).collect();
     assert_eq!(answers.join("\n") + "\n", include_str!("transcript.out"));
     assert_eq!(notes, "");
 }
 
 #[test]
-fn an_empty_batch_is_answered_by_its_number() {
+fn empty_batch_is_answered_with_its_number() {
     let (_, output, _) = answer("{\"ROUND\":{\"AtTime\":8412.25,\"n\":1}}\n{\"FLUSH\":{}}\n");
     assert_eq!(output, "{\"EOR\":{\"n\":1}}\n");
 }
 
 #[test]
-fn instances_share_nothing_and_each_answers_for_itself() {
+fn instance_acts_the_same_with_and_without_other_instances() {
     let batch =
         |events: &str| format!("{{\"ROUND\":{{\"AtTime\":9.0,\"n\":2}}}}\n{events}{{\"FLUSH\":{{}}}}\n");
     let both = answer(&(configured(&[1, 2]) + &batch(&(request(1, 5) + &request(2, 6))))).1;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_killed_instance_asks_for_nothing_and_may_begin_anew() {
+fn killed_instance_outputs_no_actions_and_can_start_again() {
     let setup = configured(&[1]);
     let again =
         setup.lines().filter(|l| !l.contains("ROUND") && !l.contains("FLUSH")).collect::<Vec<_>>().join("\n");
@@ -71,19 +71,19 @@
 }
 
 #[test]
-fn what_is_unknown_is_skipped_and_what_is_not_ours_ignored() {
-    let odd = "{\"ROUND\":{\"AtTime\":9.0,\"n\":2}}\n{\"NEWS\":{\"I\":1,\"x\":[1,2]}}\n\
+fn unknown_events_are_skipped_and_unknown_ids_ignored() {
+    let unknown = "{\"ROUND\":{\"AtTime\":9.0,\"n\":2}}\n{\"NEWS\":{\"I\":1,\"x\":[1,2]}}\n\
         {\"TIMER\":{\"I\":1,\"Ref\":\"sweep\"}}\n{\"CLIENT_GONE\":{\"I\":1,\"Rid\":77,\"New\":null}}\n\
         {\"FINISHED\":{\"I\":1,\"Rid\":77,\"Leg\":3,\"Server\":8,\"Code\":\"Ok\",\"Duration\":1.0}}\n\
         {\"FROM_PEER\":{\"I\":1,\"From\":2,\"Raw\":\"00\"}}\n{\"FLUSH\":{}}\n";
-    let (result, output, notes) = answer(&(configured(&[1]) + odd));
+    let (result, output, notes) = answer(&(configured(&[1]) + unknown));
     assert_eq!(result, Ok(()));
     assert!(output.ends_with("{\"EOR\":{\"n\":2}}\n"));
     assert!(notes.contains("NEWS"), "{notes}");
 }
 
 #[test]
-fn connections_are_let_go_on_the_wire() {
+fn idle_connections_are_closed_with_let_go_messages() {
     let setup =
         SETUP.replace("\"FamilyInfo\"", "\"Siblings\":400,\"Limits\":{\"Keepalive\":4000.0},\"FamilyInfo\"");
     let begin = configured(&[1]).replace(SETUP, &setup);
@@ -104,33 +104,33 @@
 }
 
 #[test]
-fn malformed_input_is_named_with_its_line_and_gets_no_reply() {
-    let begun = "{\"ROUND\":{\"AtTime\":9.0,\"n\":2}}\n";
-    for (bad, says) in [
+fn malformed_input_is_reported_with_its_line_and_not_answered() {
+    let batch_start = "{\"ROUND\":{\"AtTime\":9.0,\"n\":2}}\n";
+    for (bad, expected) in [
         ("nonsense\n".to_string(), "line 1"),
-        (begun.to_string(), "within batch 2"),
-        (format!("{begun}{{\"NEW_REQUEST\":{{\"I\":1}}}}\n"), "Rid"),
-        (format!("{begun}{begun}"), "within a batch"),
+        (batch_start.to_string(), "within batch 2"),
+        (format!("{batch_start}{{\"NEW_REQUEST\":{{\"I\":1}}}}\n"), "Rid"),
+        (format!("{batch_start}{batch_start}"), "within a batch"),
         ("{\"FLUSH\":{}}\n".to_string(), "outside a batch"),
-        (format!("{begun}{}", request(4, 4)), "instance 4"),
-        (format!("{begun}{{\"EXIT\":{{\"I\":true}}}}\n"), "line 2"),
-        (format!("{begun}{{\"EXIT\":{{\"I\":3}}}}\n"), "instance 3"),
+        (format!("{batch_start}{}", request(4, 4)), "instance 4"),
+        (format!("{batch_start}{{\"EXIT\":{{\"I\":true}}}}\n"), "line 2"),
+        (format!("{batch_start}{{\"EXIT\":{{\"I\":3}}}}\n"), "instance 3"),
         (
             format!(
-                "{begun}{{\"FINISHED\":{{\"I\":1,\"Rid\":1,\"Leg\":0,\"Code\":\"Odd\",\"Duration\":1}}}}\n"
+                "{batch_start}{{\"FINISHED\":{{\"I\":1,\"Rid\":1,\"Leg\":0,\"Code\":\"Odd\",\"Duration\":1}}}}\n"
             ),
             "Odd",
         ),
     ] {
         let (result, output, _) = answer(&bad);
         let error = result.expect_err(&bad);
-        assert!(error.contains(says), "{error} for {bad}");
+        assert!(error.contains(expected), "{error} for {bad}");
         assert!(!error.contains('\n') && output.is_empty());
     }
 }
 
 #[test]
-fn the_nodes_index_among_its_siblings_is_read() {
+fn node_index_is_read_from_the_settings() {
     use stonefold_balancer::settings_document::{ResolvedSettings, SettingsDocument};
     let index = |me: &str| {
         let text = SETUP.replace("\"FamilyInfo\"", &format!("{me}\"Siblings\":4,\"FamilyInfo\""));
