--- a/crates/config/tests/load.rs
+++ b/crates/config/tests/load.rs
@@ -159,7 +159,7 @@
     assert_eq!(loaded.tree.limits.sockets.get(), 500);
     assert_eq!(loaded.tree.node.name, "from-env");
     let explained = loaded.explain();
-    let of = |key: &str| {
+    let effective = |key: &str| {
         let one = explained.iter().find(|e| e.key == key).unwrap_or_else(|| panic!("{key}"));
         let origin = match &one.source {
             ValueSource::Default => "default".to_owned(),
@@ -167,11 +167,11 @@
         };
         (one.value.clone(), origin)
     };
-    assert_eq!(of("limits.sockets"), ("500".into(), "flag --set limits.sockets=500".into()));
-    assert_eq!(of("node.name"), ("\"from-env\"".into(), "environment STONEFOLD_NODE__NAME".into()));
-    assert_eq!(of("connections.keepalive").0, "\"1m\"");
-    assert_eq!(of("class[0].aim"), ("\"600ms\"".into(), "node.toml:8:1".into()));
-    assert_eq!(of("limits.memory"), ("\"192MiB\"".into(), "default".into()));
+    assert_eq!(effective("limits.sockets"), ("500".into(), "flag --set limits.sockets=500".into()));
+    assert_eq!(effective("node.name"), ("\"from-env\"".into(), "environment STONEFOLD_NODE__NAME".into()));
+    assert_eq!(effective("connections.keepalive").0, "\"1m\"");
+    assert_eq!(effective("class[0].aim"), ("\"600ms\"".into(), "node.toml:8:1".into()));
+    assert_eq!(effective("limits.memory"), ("\"192MiB\"".into(), "default".into()));
     for (variable, flag, place) in [
         (
             Some("STONEFOLD_LIMITS__SOCKTS"),
@@ -200,19 +200,23 @@
 
 #[test]
 fn membership_errors_name_the_key() {
-    let of = |rest: &str| {
+    let with_membership = |rest: &str| {
         format!("{VALID}\n[membership]\nlisten = \"127.0.0.1:1\"\ncluster = \"c\"\nkey_file = \"k\"\n{rest}")
     };
     let many: Vec<String> = (1..=1_025).map(|port| format!("\"127.0.0.1:{port}\"")).collect();
     for (text, key, why) in [
-        (of("listn = 1"), "membership.listn", "`listen`"),
-        (of("probe_interval = \"50ms\""), "membership.probe_interval", "100ms"),
-        (of("advertise = \"10.0.0.1:1\""), "membership.advertise", "no loopback address"),
-        (of("").replace("\"c\"", "\"\""), "membership.cluster", "1 to 64 bytes"),
-        (of("").replace("[node]", &format!("[node]\nname = \"{}\"", "n".repeat(65))), "node.name", "1 to 64"),
-        (of(&format!("seeds = [{}]", many.join(","))), "membership.seeds", "at most 1024"),
-        (of("seeds = [\"x\"]"), "membership.seeds", "invalid socket address"),
-        (of("").replace("key_file = \"k\"", ""), "membership", "key_file"),
+        (with_membership("listn = 1"), "membership.listn", "`listen`"),
+        (with_membership("probe_interval = \"50ms\""), "membership.probe_interval", "100ms"),
+        (with_membership("advertise = \"10.0.0.1:1\""), "membership.advertise", "no loopback address"),
+        (with_membership("").replace("\"c\"", "\"\""), "membership.cluster", "1 to 64 bytes"),
+        (
+            with_membership("").replace("[node]", &format!("[node]\nname = \"{}\"", "n".repeat(65))),
+            "node.name",
+            "1 to 64",
+        ),
+        (with_membership(&format!("seeds = [{}]", many.join(","))), "membership.seeds", "at most 1024"),
+        (with_membership("seeds = [\"x\"]"), "membership.seeds", "invalid socket address"),
+        (with_membership("").replace("key_file = \"k\"", ""), "membership", "key_file"),
     ] {
         let message = load_error(&text);
         assert!(
@@ -220,7 +224,7 @@
             "{message}\n  should name {key:?} and {why:?}"
         );
     }
-    let (_dir, layers) = layers(&of(&format!("seeds = [{}]", many[..1_024].join(","))));
+    let (_dir, layers) = layers(&with_membership(&format!("seeds = [{}]", many[..1_024].join(","))));
     let tree = load::<Config>(&layers).unwrap_or_else(|error| panic!("{error}")).tree;
     assert!(
         !tree.to_platform(1).to_string().contains("membership"),
