--- a/crates/cli/src/args/mod.rs
+++ b/crates/cli/src/args/mod.rs
@@ -21,7 +21,7 @@
 /// Shown after the help of each command.
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 usage or bad configuration.";
 
-/// A cache proxy for many nodes before one slow origin.
+/// A cache proxy: many nodes in front of one slow origin.
 #[derive(Parser)]
 #[command(name = "stonefold", version = VERSION, arg_required_else_help = true, after_help = EXIT_CODES)]
 pub(crate) struct Args {
@@ -31,34 +31,34 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Run one node until it is told to stop.
+    /// Run one node until it is stopped.
     Node(NodeArgs),
-    /// Check a configuration file, as a node would before it acts on it.
+    /// Check a configuration file as a node does before it uses it.
     Check(CheckArgs),
-    /// Play a whole site on loopback: caches, origin, discovery, faults, and a judge of what nodes do.
+    /// Emulate a whole site on loopback: cache servers, origin, discovery and faults, with checks of what nodes do.
     Emulate(EmulateArgs),
-    /// Show all of it at work: a site, nodes, a load, a rolling restart half way.
+    /// Run a demonstration: a site, nodes and a load, with a rolling restart of the cache servers halfway through.
     Demo(DemoArgs),
     /// Read one key through a node.
     Get(GetArgs),
     /// Write one key through a node.
     Set(SetArgs),
-    /// Make one operators' call to a node.
+    /// Send one operator command to a node.
     Call(CallArgs),
-    /// Make, ask and change the store that nodes keep together.
+    /// Create, query and change the store that nodes replicate.
     #[command(subcommand)]
     Store(StoreCommand),
     /// Change the configuration that all nodes of a store share.
     #[command(subcommand)]
     Config(ConfigCommand),
-    /// Measure what the node's control costs against the size of what stands round it; see `stonefold lab --help`.
+    /// Measure how the cost of a node's own code depends on the size of the system around it; see `stonefold lab --help`.
     #[command(disable_help_flag = true)]
     Lab {
-        /// What the laboratory is asked for.
+        /// The arguments of the lab.
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         args: Vec<OsString>,
     },
-    /// Print completions for a shell.
+    /// Print the completions for a shell.
     #[command(
         after_help = "Example: stonefold completions bash > ~/.local/share/bash-completion/completions/stonefold"
     )]
@@ -71,12 +71,12 @@
     Man,
 }
 
-/// How results are printed.
+/// The format of the results.
 #[derive(Clone, Copy, Default, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Format {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
--- a/crates/cli/src/args/node.rs
+++ b/crates/cli/src/args/node.rs
@@ -7,9 +7,10 @@
 use super::Format;
 
 const NODE_HELP: &str = "\
-Without --config the node takes the platform's environment: EDGE_CONFIG names a JSON file; EDGE_LISTEN,
-EDGE_DISCOVERY and EDGE_OPERATOR go before what it says. SIGHUP takes a changed file whole or not at all; SIGTERM
-ends the node once all that it took is answered.
+Without --config the node reads the platform's environment variables: EDGE_CONFIG names a JSON file;
+EDGE_LISTEN, EDGE_DISCOVERY and EDGE_OPERATOR override the addresses in it. SIGHUP reloads a changed
+file, which takes effect as a whole or not at all. SIGTERM ends the node after it has answered all
+requests that it accepted.
 
 Examples:
   stonefold node --config deploy/node.toml
@@ -19,16 +20,16 @@
 #[derive(clap::Args)]
 #[command(after_help = NODE_HELP)]
 pub(crate) struct NodeArgs {
-    /// A TOML file; see deploy/node.toml.
+    /// The configuration, a TOML file; see deploy/node.toml.
     #[arg(long, value_name = "FILE")]
     pub(crate) config: Option<PathBuf>,
-    /// A value that goes before the file's and the environment's; may be given more than once.
+    /// A value that overrides the file's and the environment's; may be given more than once.
     #[arg(long, value_name = "KEY=VALUE", requires = "config")]
     pub(crate) set: Vec<String>,
-    /// What is logged, by target: `info`, `warn,stonefold_node=debug`.
+    /// The lowest level that is logged, by target: `info`, `warn,stonefold_node=debug`.
     #[arg(long, value_name = "LEVELS", env = "STONEFOLD_LOG")]
     pub(crate) log: Option<Levels>,
-    /// The form of log lines: text or json.
+    /// The format of the log lines: text or json.
     #[arg(long, value_name = "FORM", env = "STONEFOLD_LOG_FORMAT")]
     pub(crate) log_format: Option<LogFormat>,
 }
@@ -44,18 +45,19 @@
 #[derive(clap::Args)]
 #[command(after_help = CHECK_HELP)]
 pub(crate) struct CheckArgs {
-    /// The file.
+    /// The configuration file.
     #[arg(required_unless_present = "schema")]
     pub(crate) file: Option<PathBuf>,
-    /// Print every value that would be in force, and where it came from.
+    /// Print every value that would take effect, and where it came from.
     #[arg(long)]
     pub(crate) explain: bool,
     /// Print the JSON Schema of the TOML file instead.
     #[arg(long, conflicts_with_all = ["file", "explain"])]
     pub(crate) schema: bool,
-    /// A value that goes before the file's and the environment's.
+    /// A value that overrides the file's and the environment's; may be given more than once.
     #[arg(long, value_name = "KEY=VALUE")]
     pub(crate) set: Vec<String>,
+    /// The format of the results.
     #[arg(long, value_enum, default_value_t)]
     pub(crate) format: Format,
 }
--- a/crates/cli/src/args/request.rs
+++ b/crates/cli/src/args/request.rs
@@ -1,25 +1,26 @@
-//! Arguments of the small clients: `get`, `set` and `call`.
+//! Arguments of the commands that send one request to a node: `get`, `set` and `call`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::Format;
 
-/// What get and set have in common.
+/// The arguments that `get` and `set` have in common.
 #[derive(clap::Args)]
 pub(crate) struct RequestArgs {
-    /// The node.
+    /// The address at which the node serves clients.
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:6379", env = "STONEFOLD_ADDRESS")]
     pub(crate) node: SocketAddr,
-    /// The class, one of the node's settings; none is a plain request.
+    /// The class of the request, one of those in the node's configuration; without it, the request states none.
     #[arg(long)]
     pub(crate) class: Option<String>,
-    /// The tenant.
+    /// The tenant of the request; without it, the request states none.
     #[arg(long)]
     pub(crate) tenant: Option<String>,
-    /// How long to wait for the answer.
+    /// The deadline of the request: how long to wait for the reply.
     #[arg(long, value_name = "TIME", default_value = "1s", value_parser = humantime::parse_duration)]
     pub(crate) deadline: Duration,
+    /// The format of the results.
     #[arg(long, value_enum, default_value_t)]
     pub(crate) format: Format,
 }
@@ -42,9 +43,9 @@
 pub(crate) struct SetArgs {
     /// The key.
     pub(crate) key: String,
-    /// The value; `-` reads it from standard input.
+    /// The value; `-` reads the value from standard input.
     pub(crate) value: String,
-    /// The key under which servers discard repeats.
+    /// The idempotency key of the request, by which servers discard repeats.
     #[arg(long, value_name = "KEY")]
     pub(crate) idempotency_key: Option<String>,
     #[command(flatten)]
@@ -52,7 +53,7 @@
 }
 
 const CALL_HELP: &str = "\
-Calls: READY, STATS, DISABLE ID, ENABLE ID.
+Commands: READY, STATS, DISABLE ID, ENABLE ID.
 
 Examples:
   stonefold call 127.0.0.1:9901 READY
@@ -62,11 +63,12 @@
 #[derive(clap::Args)]
 #[command(after_help = CALL_HELP)]
 pub(crate) struct CallArgs {
-    /// Where operators call the node.
+    /// The address at which the node takes operator commands.
     pub(crate) address: SocketAddr,
-    /// The call.
+    /// The operator command and its argument.
     #[arg(required = true, num_args = 1..)]
     pub(crate) call: Vec<String>,
+    /// The format of the results.
     #[arg(long, value_enum, default_value_t)]
     pub(crate) format: Format,
 }
--- a/crates/cli/src/args/store.rs
+++ b/crates/cli/src/args/store.rs
@@ -9,8 +9,8 @@
 use super::Format;
 
 const STORE_HELP: &str = "\
-Changes are made by whoever leads, and found from any member. The key file is for its owner alone; two keys in it are
-both believed, of which the first is used.
+The leader makes changes; it is found through any member. Only its owner may have access to the key
+file. If the file contains two keys, both are accepted, and the first is used.
 
 Examples:
   stonefold store init --dir /var/lib/stonefold --member 1 --listen 127.0.0.1:7101 --key-file /etc/stonefold/key
@@ -18,15 +18,16 @@
   stonefold store add 2 127.0.0.1:7102 --at 127.0.0.1:7101 --key-file /etc/stonefold/key
   stonefold store status --at 127.0.0.1:7101 --key-file /etc/stonefold/key";
 
-/// How a store is reached.
+/// The arguments of the commands that connect to a member of the store.
 #[derive(clap::Args)]
 pub(crate) struct StoreClientArgs {
-    /// A member.
+    /// The address of a member.
     #[arg(long, value_name = "ADDRESS", env = "STONEFOLD_STORE")]
     pub(crate) at: SocketAddr,
     /// The file of the key that all members share.
     #[arg(long, value_name = "FILE", env = "STONEFOLD_STORE_KEY")]
     pub(crate) key_file: PathBuf,
+    /// The format of the results.
     #[arg(long, value_enum, default_value_t)]
     pub(crate) format: Format,
 }
@@ -34,57 +35,57 @@
 #[derive(Subcommand)]
 #[command(after_help = STORE_HELP)]
 pub(crate) enum StoreCommand {
-    /// Make a member's store in a folder: the first of a new cluster, or one that is to be added.
+    /// Create a member's store in a folder: the first member of a new cluster, or one that is to be added to a cluster.
     Init {
-        /// The folder.
+        /// The folder of the store.
         #[arg(long)]
         dir: PathBuf,
-        /// The member's number; none is ever given twice.
+        /// The member's number, unique in the cluster; numbers of removed members are never reused.
         #[arg(long, value_parser = clap::value_parser!(u64).range(1..))]
         member: u64,
-        /// Where others will reach it.
+        /// The loopback address at which others will reach the member.
         #[arg(long, value_name = "ADDRESS")]
         listen: SocketAddr,
-        /// The file of the key; made if it is absent.
+        /// The file of the key that all members share; created if it is absent.
         #[arg(long, value_name = "FILE")]
         key_file: PathBuf,
-        /// The cluster to be added to, as its first `init` printed it.
+        /// The id of the cluster that the member will be added to, as the cluster's first `init` printed it.
         #[arg(long, value_name = "CLUSTER")]
         join: Option<String>,
     },
-    /// Write the key with which nodes follow the store, and can do nothing else.
+    /// Write a key file that allows nodes to follow the store, and nothing else.
     SubscriberKey {
         /// The file of the key that all members share.
         #[arg(long, value_name = "FILE")]
         key_file: PathBuf,
-        /// The file to be made.
+        /// The key file to create.
         out: PathBuf,
     },
-    /// Tell all who follow the store that a key's value is not to be served any more.
+    /// Purge a key: tell all nodes that follow the store that its value must not be served any more.
     Purge {
-        /// The key.
+        /// The key to purge.
         key: String,
         #[command(flatten)]
         store: StoreClientArgs,
     },
-    /// How each member stands.
+    /// Print the status of each member.
     Status(StoreClientArgs),
-    /// The members.
+    /// Print the members.
     Members(StoreClientArgs),
-    /// Add a member: it learns until it has caught up, then it votes.
+    /// Add a member: it has no vote until it has caught up.
     Add {
-        /// Its number.
+        /// The member's number.
         member: u64,
-        /// Where it listens.
+        /// The address at which the member listens.
         address: SocketAddr,
         #[command(flatten)]
         store: StoreClientArgs,
     },
-    /// Remove a member, for good.
+    /// Remove a member permanently.
     Remove {
-        /// Its number.
+        /// The member's number.
         member: u64,
-        /// Though too few of the others can be reached.
+        /// Remove the member even if too few of the others can be reached.
         #[arg(long)]
         force: bool,
         #[command(flatten)]
@@ -92,56 +93,56 @@
     },
     /// Print a document's latest revision.
     Get {
-        /// Its name.
+        /// The document's name.
         name: String,
         #[command(flatten)]
         store: StoreClientArgs,
     },
     /// Write a document from a file; `-` is standard input.
     Set {
-        /// Its name.
+        /// The document's name.
         name: String,
-        /// Its text.
+        /// The file with the document's text.
         file: PathBuf,
-        /// Only if this is the latest revision; 0 if there must be none.
+        /// Write only if this is the latest revision; 0 if the document must not exist yet.
         #[arg(long, value_name = "REVISION")]
         after: Option<u64>,
         #[command(flatten)]
         store: StoreClientArgs,
     },
-    /// The revisions of a document that are kept.
+    /// Print the stored revisions of a document.
     History {
-        /// Its name.
+        /// The document's name.
         name: String,
         #[command(flatten)]
         store: StoreClientArgs,
     },
-    /// Write an earlier revision of a document anew.
+    /// Write the text of an earlier revision as a document's new revision.
     Rollback {
-        /// Its name.
+        /// The document's name.
         name: String,
-        /// The revision.
+        /// The earlier revision.
         revision: u64,
         #[command(flatten)]
         store: StoreClientArgs,
     },
-    /// Write all that is kept to a file, with its checksum.
+    /// Write the state of the store to a file, with a checksum.
     Snapshot {
-        /// The file; it must not exist.
+        /// The file to create; it must not exist.
         file: PathBuf,
         #[command(flatten)]
         store: StoreClientArgs,
     },
-    /// Put a snapshot's documents, orders and list into a new cluster.
+    /// Write a snapshot's documents, overrides and server list into a new cluster.
     Restore {
-        /// The file.
+        /// The file of the snapshot.
         file: PathBuf,
         #[command(flatten)]
         store: StoreClientArgs,
     },
-    /// Read all of a folder's store, which nothing else may be using, and say whether it is whole.
+    /// Read the whole store in a folder, and report whether it is intact; no other process may be using it.
     Verify {
-        /// The folder.
+        /// The folder of the store.
         #[arg(long)]
         dir: PathBuf,
     },
@@ -149,14 +150,15 @@
 
 #[derive(Subcommand)]
 pub(crate) enum ConfigCommand {
-    /// Check a file, commit it, and wait until every member has it in force or say which has not.
+    /// Check a file, commit it, and wait until every member uses it; report the members that do not.
     #[command(
         after_help = "Example: stonefold config push shared.toml --at 127.0.0.1:7101 --key-file /etc/stonefold/key"
     )]
     Push {
-        /// Parts of a node's TOML file, but for those that are each node's own.
+        /// A TOML file with sections of a node's configuration, except `node`, `limits`, `log` and `store`, which are each
+        /// node's own.
         file: PathBuf,
-        /// How long to wait for the members.
+        /// How long to wait until every member uses the configuration.
         #[arg(long, value_name = "TIME", default_value = "10s", value_parser = humantime::parse_duration)]
         wait: Duration,
         #[command(flatten)]
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! A small client: one request on one connection.
+//! A client that sends one request on one connection.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,13 +8,13 @@
 use redis_protocol::resp2::types::BytesFrame;
 use stonefold_proto::resp::{append_command, decode_frame};
 
-/// How much longer than the deadline a reply is awaited: it may be on its way.
+/// How long after the deadline a reply is still awaited: one that the node sent in time may arrive after it.
 const REPLY_GRACE: Duration = Duration::from_millis(200);
 /// The shortest timeout that a socket accepts.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
-/// The longest reply in bytes: the longest value, and the frame around it.
+/// The longest reply, in bytes: the longest value (4 MiB) and the frame around it.
 const MAX_REPLY_LENGTH: usize = (4 << 20) + 1024;
-/// Bytes that are read at a time.
+/// The most bytes that are read at a time.
 const READ_LENGTH: usize = 16 << 10;
 
 /// A reply, and how long it took.
@@ -27,7 +27,7 @@
 pub(crate) enum Reply {
     /// The value, or a write's receipt.
     Served(Vec<u8>),
-    /// The request was rejected; it may be retried after so many milliseconds, if the node stated that.
+    /// The request was rejected. Contains the time in milliseconds after which it may be retried, if the node stated one.
     Rejected(Option<u64>),
     /// The request failed, with the node's error.
     Failed(String),
@@ -36,7 +36,7 @@
 /// Sends a command and waits for its reply until shortly after the deadline.
 ///
 /// # Errors
-/// If the node can't be reached, closes the connection, sends no complete reply in time, or is no node.
+/// If the node can't be reached, closes the connection, sends no complete reply in time, or is not a node.
 pub(crate) fn request(node: SocketAddr, words: &[&[u8]], deadline: Duration) -> io::Result<TimedReply> {
     let start = Instant::now();
     let mut stream = TcpStream::connect_timeout(&node, deadline.max(MIN_TIMEOUT))?;
@@ -60,7 +60,7 @@
 }
 
 fn malformed() -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, "the answer can't be read: is this a node's address?")
+    io::Error::new(io::ErrorKind::InvalidData, "the reply can't be parsed: is this a node's address?")
 }
 
 fn parse_reply(frame: BytesFrame) -> Reply {
@@ -70,6 +70,6 @@
             ("BUSY", retry_after) => Reply::Rejected(retry_after.parse().ok()),
             _ => Reply::Failed(text.to_string()),
         },
-        other => Reply::Failed(format!("an unexpected answer: {other:?}")),
+        other => Reply::Failed(format!("unexpected reply: {other:?}")),
     }
 }
--- a/crates/cli/src/commands/call.rs
+++ b/crates/cli/src/commands/call.rs
@@ -9,11 +9,11 @@
 use crate::args::{CallArgs, Format};
 use crate::failure::Failure;
 
-/// How long a reply is awaited. A node replies within a second, whatever the load.
+/// How long a reply is awaited. A node replies within a second under any load.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How much of a reply is read, in bytes.
+/// The most bytes of a reply that are read.
 const MAX_REPLY_LENGTH: u64 = 1 << 20;
-/// The first word of a reply that reports a failure.
+/// The start of a reply that reports a failure.
 const FAIL: &str = "fail";
 
 /// Sends an operator command and prints the reply.
@@ -44,12 +44,12 @@
     let mut reply = String::new();
     stream.take(MAX_REPLY_LENGTH).read_to_string(&mut reply)?;
     if reply.is_empty() {
-        return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "no answer"));
+        return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "no reply"));
     }
     Ok(reply)
 }
 
-/// Metrics by their names; a reply without metrics is a string.
+/// The metrics of a reply as an object by name; a reply without metrics as a string.
 fn reply_as_json(reply: &str) -> Value {
     let parse_metric = |line: &str| {
         let (name, value) = line.rsplit_once(' ')?;
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `stonefold check`: validates a configuration file, and explains where its values come from.
+//! `stonefold check`: validates a configuration file, and prints where its values come from.
 
 use std::io::{self, Write};
 
@@ -9,7 +9,7 @@
 use crate::args::{CheckArgs, Format};
 use crate::failure::Failure;
 
-/// Validates a file and prints what would be in force, or prints the schema.
+/// Validates a file and prints its effective values if `--explain` is given, or prints the schema.
 pub(crate) fn run(args: CheckArgs) -> Result<(), Failure> {
     let mut out = io::stdout().lock();
     let Some(file) = args.file else {
--- a/crates/cli/src/commands/demo/mod.rs
+++ b/crates/cli/src/commands/demo/mod.rs
@@ -1,4 +1,4 @@
-//! `stonefold demo`: a site, nodes, a load, and a rolling restart of all caches half way.
+//! `stonefold demo`: a site, nodes and a load, with a rolling restart of all cache servers halfway through.
 
 mod node_process;
 mod report;
@@ -15,7 +15,7 @@
 use crate::failure::Failure;
 use node_process::NodeProcess;
 
-/// The site: `deploy/sites/twelve.toml`.
+/// The site of the demo: `deploy/sites/twelve.toml`.
 const SITE: &str = include_str!("../../../../../deploy/sites/twelve.toml");
 /// How often a row of the table is printed.
 const ROW_INTERVAL: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
     let mut nodes = Vec::new();
     for number in 0..usize::from(args.nodes) {
         let config = emulator.config(number, ANY_PORT, Some(ANY_PORT));
-        let config = config.ok_or_else(|| Failure::failed("no such node"))?;
+        let config = config.ok_or_else(|| Failure::failed(format!("the site has no node {number}")))?;
         nodes.push(NodeProcess::start(number, &config, folder.path()).await?);
     }
     let load = Load::new(&emulator, nodes.iter().map(|node| node.addresses.clients).collect());
@@ -55,11 +55,11 @@
     }
     match verdict.rules_broken() {
         0 => Ok(()),
-        broken => Err(Failure::failed(format!("{broken} times a rule was broken: {verdict:?}"))),
+        broken => Err(Failure::failed(format!("rules were broken {broken} times: {verdict:?}"))),
     }
 }
 
-/// The embedded site, with the sizes that the arguments state.
+/// The embedded site, with the seed, the sizes and the rate that the arguments state.
 fn site(args: &DemoArgs) -> Result<Site, Failure> {
     let mut site: Site = toml::from_str(SITE).map_err(Failure::failed)?;
     site.seed = Count::new(args.seed.into());
@@ -75,7 +75,7 @@
     Ok(site)
 }
 
-/// Prints a row every second until the load ends; half way, restarts all caches one after the other.
+/// Prints a row every second until the load ends. Halfway through, starts a rolling restart of all cache servers.
 async fn watch_load(emulator: &Emulator, load: &Load, args: &DemoArgs) -> Result<(), Failure> {
     let start = Instant::now();
     let end = start + args.duration;
--- a/crates/cli/src/commands/demo/node_process.rs
+++ b/crates/cli/src/commands/demo/node_process.rs
@@ -14,7 +14,7 @@
 
 use crate::failure::Failure;
 
-/// A node logs its addresses within this time of its start.
+/// How long a node may take from its start until it has logged its addresses.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running node; the process is killed when this is dropped.
@@ -30,10 +30,10 @@
 }
 
 impl NodeProcess {
-    /// Starts a node with this configuration and a subfolder of its own, and waits until it listens.
+    /// Starts a node with this configuration in a new subfolder of `folder`, and waits until it listens.
     ///
     /// # Errors
-    /// If the process can't be started, ends at once, or does not listen in time.
+    /// If the process can't be started, ends during startup, or does not listen in time.
     pub(super) async fn start(number: usize, config: &Config, folder: &Path) -> Result<NodeProcess, Failure> {
         let own_folder = folder.join(format!("node-{number}"));
         fs::create_dir(&own_folder)?;
@@ -49,18 +49,22 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let log = child.stderr.take().ok_or_else(|| Failure::failed("a node without a log"))?;
+        let log = child
+            .stderr
+            .take()
+            .ok_or_else(|| Failure::failed("the standard error of the node is not available"))?;
         let mut log = BufReader::new(log).lines();
         let addresses = timeout(STARTUP_TIMEOUT, read_addresses(&mut log)).await;
-        let addresses =
-            addresses.map_err(|_| Failure::failed(format!("node {number} does not listen")))??;
+        let addresses = addresses.map_err(|_| {
+            Failure::failed(format!("node {number} did not listen within {STARTUP_TIMEOUT:?}"))
+        })??;
         // Drains the rest of the log: the node's log queue would fill if nobody read it.
         tokio::spawn(async move { while let Ok(Some(_)) = log.next_line().await {} });
         Ok(NodeProcess { _child: child, addresses })
     }
 }
 
-/// Reads a node's log until it has stated both addresses.
+/// Reads a node's log until it contains both addresses.
 async fn read_addresses(log: &mut Lines<BufReader<ChildStderr>>) -> Result<NodeAddresses, Failure> {
     let (mut clients, mut operators, mut last_line) = (None, None, String::new());
     while let Some(line) = log.next_line().await? {
@@ -75,5 +79,5 @@
             return Ok(NodeAddresses { clients, operators });
         }
     }
-    Err(Failure::failed(format!("a node ended at its start: {last_line}")))
+    Err(Failure::failed(format!("a node ended during startup: {last_line}")))
 }
--- a/crates/cli/src/commands/demo/report.rs
+++ b/crates/cli/src/commands/demo/report.rs
@@ -1,4 +1,4 @@
-//! What the demo prints.
+//! The output of the demo.
 
 use std::io::{self, IsTerminal, Write};
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::commands::emulate::ANY_PORT;
 use crate::failure::Failure;
 
-/// On a terminal the table's head is repeated after this many rows.
-const ROWS_PER_HEAD: u64 = 20;
+/// The number of rows after which the table's header is repeated on a terminal.
+const ROWS_PER_HEADER: u64 = 20;
 /// The shortest duration that a rate is computed over, in seconds.
 const MIN_RATE_SECONDS: f64 = 1e-3;
 
-/// Prints a row of the table: the load's latest second, and the origin's fetches in it.
+/// Prints a row of the table: the figures of the load's latest second, and the origin's fetches since the last row.
 pub(super) fn print_row(
     emulator: &Emulator,
     load: &Load,
@@ -26,7 +26,7 @@
     fetches: u64,
 ) -> Result<(), Failure> {
     let mut out = io::stdout().lock();
-    if row == 0 || row.is_multiple_of(ROWS_PER_HEAD) && out.is_terminal() {
+    if row == 0 || row.is_multiple_of(ROWS_PER_HEADER) && out.is_terminal() {
         writeln!(
             out,
             "{:>6} {:>8} {:>8} {:>7} {:>6} {:>9} {:>9} {:>9} {:>7}",
@@ -52,7 +52,7 @@
     Ok(out.flush()?)
 }
 
-/// Prints the sums over the whole load.
+/// Prints the summary of the whole load.
 pub(super) fn print_summary(
     emulator: &Emulator,
     load: &Load,
@@ -67,8 +67,8 @@
         Format::Json => writeln!(out, "{}", summary_as_json(&summary, fetch_rate, verdict))?,
         Format::Text => writeln!(
             out,
-            "{} requests: {} served, {} refused, {} failed; p50 {:.1} ms, p99 {:.1} ms; {fetch_rate:.1} fetches a second; \
-            {} times a rule was broken",
+            "{} requests: {} served, {} refused, {} failed; p50 {:.1} ms, p99 {:.1} ms; {fetch_rate:.1} fetches per second; \
+            rules were broken {} times",
             summary.requests,
             summary.served,
             summary.refused,
@@ -81,7 +81,7 @@
     if summary.not_sent > 0 {
         writeln!(
             out,
-            "{} requests were not sent, since too many were out: the load was the bottleneck",
+            "{} requests were not sent, because too many were in flight: the load generator was the bottleneck",
             summary.not_sent
         )?;
     }
@@ -117,6 +117,6 @@
     )?;
     writeln!(out, "     stonefold get record:1 --node {ip}:{port} --class record-lookup")?;
     writeln!(out, "     curl http://{}/verdict", emulator.control())?;
-    writeln!(out, "Ctrl-C ends all of it.")?;
+    writeln!(out, "Ctrl-C stops the site and the nodes.")?;
     Ok(out.flush()?)
 }
--- a/crates/cli/src/commands/emulate.rs
+++ b/crates/cli/src/commands/emulate.rs
@@ -17,7 +17,7 @@
 use crate::args::{EmulateArgs, Format};
 use crate::failure::Failure;
 
-/// Any free port of the loopback interface.
+/// The loopback address with any free port.
 pub(crate) const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Runs a site until it is stopped, and fails if a rule was broken.
@@ -115,6 +115,6 @@
     }
     match verdict.rules_broken() {
         0 => Ok(()),
-        broken => Err(Failure::failed(format!("{broken} times a rule was broken"))),
+        broken => Err(Failure::failed(format!("rules were broken {broken} times"))),
     }
 }
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -23,13 +23,14 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// The TOML file with the layers over it, as the platform's document. The node reads it at its start and at each reload.
+/// The TOML file and the layers that override it, as the platform's document. The node reads it at its start and at each
+/// reload.
 struct FileDocument {
     path: PathBuf,
     flags: Vec<String>,
-    /// Used where the file states no seed; the same for the life of the process.
+    /// The seed if the configuration states none; the same for the lifetime of the process.
     seed: u64,
-    /// The store with the part of the configuration that all nodes share, if there is a store.
+    /// The store with the part of the configuration that all nodes share, if the file has a store section.
     shared: Option<Arc<dyn SharedConfig>>,
 }
 
@@ -68,7 +69,7 @@
     let document = FileDocument { path, flags: args.set, seed: fastrand::u64(..), shared: shared.clone() };
     let mut config =
         NodeConfig::from_source(Source::Document(Box::new(document))).map_err(Failure::unusable)?;
-    config.started = started; // before the store, which may wait for others
+    config.started = started; // counts the store's start, which may wait for other nodes
     config.shared = shared.map(|shared| shared as Arc<dyn ReplicatedState>);
     config.membership = membership.map(|membership| membership_config(node.name, membership)).transpose()?;
     serve(config, &log)
@@ -94,7 +95,7 @@
     let startup_timeout = Duration::from_millis(store.wait.ms());
     let cluster = store.cluster_id();
     let Store { role, dir, listen, key_file, publishers, .. } = store;
-    // The file was validated: it states what its role needs.
+    // The file was validated: it contains the keys that the role needs.
     match (role, listen, cluster) {
         (Role::Subscriber, listen, Some(cluster)) => {
             let settings =
@@ -107,7 +108,7 @@
             daemon.wait();
             Ok(MemberState::new(daemon))
         }
-        _ => Err(Failure::unusable("store: not what its role needs")),
+        _ => Err(Failure::unusable("store: keys that its role needs are missing")),
     }
 }
 
--- a/crates/cli/src/commands/request.rs
+++ b/crates/cli/src/commands/request.rs
@@ -50,7 +50,7 @@
     for (name, value) in named {
         let Some(value) = value else { continue };
         if value.contains([',', '=']) {
-            return Err(Failure::unusable(format!("{value:?} must not hold a comma or =")));
+            return Err(Failure::unusable(format!("{value:?} must not contain a comma or =")));
         }
         attributes += &format!(",{name}={value}");
     }
@@ -71,7 +71,7 @@
     }
     match reply {
         Reply::Served(_) => Ok(()),
-        Reply::Rejected(Some(ms)) => Err(Failure::failed(format!("refused: come again after {ms} ms"))),
+        Reply::Rejected(Some(ms)) => Err(Failure::failed(format!("refused: retry after {ms} ms"))),
         Reply::Rejected(None) => Err(Failure::failed("refused")),
         Reply::Failed(error) => Err(Failure::failed(format!("failed: {error}"))),
     }
--- a/crates/cli/src/commands/store/documents.rs
+++ b/crates/cli/src/commands/store/documents.rs
@@ -73,7 +73,7 @@
     let Some(earlier) = revisions.into_iter().find(|earlier| earlier.revision == revision) else {
         return Err(Failure::failed(format!("{name:?} has no revision {revision}: see `store history`")));
     };
-    // Fails if somebody has changed the document since it was read.
+    // Fails if the document has been changed since it was read.
     let written = write(&mut client, name, earlier.text, latest).await?;
     print_revision(store, written)
 }
--- a/crates/cli/src/commands/store/folder.rs
+++ b/crates/cli/src/commands/store/folder.rs
@@ -1,4 +1,4 @@
-//! Commands on a member's folder and key files, which need no running member.
+//! Commands on a member's folder and on key files. They need no running member.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -21,12 +21,13 @@
     join: Option<&str>,
 ) -> Result<(), Failure> {
     if !listen.ip().is_loopback() {
-        let reason = format!("{listen} is no loopback address: the store listens on those alone");
+        let reason = format!("{listen} is no loopback address: the store listens on loopback addresses only");
         return Err(Failure::unusable(reason));
     }
     let cluster = match join {
-        Some(cluster) => u128::from_str_radix(cluster, 16)
-            .map_err(|_| Failure::unusable(format!("{cluster:?} is no cluster: expected 32 hex digits")))?,
+        Some(cluster) => u128::from_str_radix(cluster, 16).map_err(|_| {
+            Failure::unusable(format!("{cluster:?} is not a cluster id: expected 32 hex digits"))
+        })?,
         None => fastrand::u128(1..),
     };
     if !key_file.exists() {
@@ -40,7 +41,7 @@
     Ok(writeln!(io::stdout(), "{cluster:032x}")?)
 }
 
-/// Reads all of a folder, and prints what it holds.
+/// Reads the whole store in a folder, and prints a summary.
 pub(super) fn verify(dir: &Path) -> Result<(), Failure> {
     let summary = Disk::open(dir).and_then(|disk| disk.verify()).map_err(Failure::failed)?;
     Ok(writeln!(io::stdout(), "{summary}")?)
--- a/crates/cli/src/commands/store/members.rs
+++ b/crates/cli/src/commands/store/members.rs
@@ -10,7 +10,7 @@
 use crate::args::{Format, StoreClientArgs};
 use crate::failure::Failure;
 
-/// A member, and its status or why it sent none.
+/// A member, and its status or the reason why it sent none.
 pub(super) struct MemberReport {
     member: u64,
     addr: String,
@@ -18,7 +18,7 @@
 }
 
 impl MemberReport {
-    /// Describes the member if its node does not use this revision of the configuration yet.
+    /// Describes the member if its node does not use this revision of the configuration yet, or sent no status.
     pub(super) fn behind(&self, revision: u64) -> Option<String> {
         let MemberReport { member, addr, status } = self;
         match status {
@@ -111,13 +111,13 @@
     Ok(())
 }
 
-/// Adds a member, and waits until it votes.
+/// Adds a member, and waits until it is a voter.
 pub(super) async fn add(member: u64, address: SocketAddr, store: &StoreClientArgs) -> Result<(), Failure> {
     let request = Request::AddMember { member, addr: address.to_string() };
     client(store)?.change_members(request).await.map_err(Failure::failed)
 }
 
-/// Removes a member; with `force` also if too few of the others can be reached.
+/// Removes a member; with `force`, even if too few of the others can be reached.
 pub(super) async fn remove(member: u64, force: bool, store: &StoreClientArgs) -> Result<(), Failure> {
     let request = Request::RemoveMember { member, force };
     client(store)?.change_members(request).await.map_err(Failure::failed)
--- a/crates/cli/src/commands/store/mod.rs
+++ b/crates/cli/src/commands/store/mod.rs
@@ -18,12 +18,12 @@
 use crate::args::{ConfigCommand, Format, StoreClientArgs, StoreCommand};
 use crate::failure::Failure;
 
-/// Any cluster: the member's address and the key file determine which one it is.
+/// Stands for any cluster: the member's address and the key file determine the cluster.
 const ANY_CLUSTER: u128 = 0;
-/// The name of a file that stands for standard input.
+/// The file name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Runs a command of the store.
+/// Runs a `store` command.
 pub(crate) fn run(command: StoreCommand) -> Result<(), Failure> {
     match command {
         StoreCommand::Init { dir, member, listen, key_file, join } => {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Runs a command of the configuration that all nodes share.
+/// Runs a `config` command, on the configuration that all nodes share.
 pub(crate) fn config(command: ConfigCommand) -> Result<(), Failure> {
     let ConfigCommand::Push { file, wait, store } = command;
     block_on(push::push(&file, wait, &store))
--- a/crates/cli/src/commands/store/push.rs
+++ b/crates/cli/src/commands/store/push.rs
@@ -1,4 +1,4 @@
-//! `stonefold config push`: a configuration for all nodes.
+//! `stonefold config push`: commits a configuration for all nodes.
 
 use std::path::Path;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     let text = read_text(file)?;
     validate(file, &text)?;
     let mut client = client(store)?;
-    // Written over the latest revision only: of two concurrent pushes the second fails.
+    // The write succeeds only over the revision that was read: of two concurrent pushes the second fails.
     let latest = client.document(CONFIG_DOCUMENT, false).await.map_err(Failure::failed)?;
     let after = latest.last().map_or(0, |latest| latest.revision);
     let revision = documents::write(&mut client, CONFIG_DOCUMENT, text, Some(after)).await?;
--- a/crates/cli/src/commands/store/snapshot.rs
+++ b/crates/cli/src/commands/store/snapshot.rs
@@ -1,4 +1,4 @@
-//! Backup and restore.
+//! Commands that write and restore snapshots of the store.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -12,7 +12,8 @@
 use crate::args::StoreClientArgs;
 use crate::failure::Failure;
 
-/// Writes to a new file what the addressed member has applied; a member that lags lacks the latest changes.
+/// Writes the state that the addressed member has applied to a new file. If the member lags, the latest changes are
+/// missing.
 pub(super) async fn export(file: &Path, store: &StoreClientArgs) -> Result<(), Failure> {
     let sealed = client(store)?.export_snapshot().await.map_err(Failure::failed)?;
     let failed = |error: io::Error| Failure::failed(format!("{}: {error}", file.display()));
@@ -20,7 +21,7 @@
     out.write_all(&sealed).and_then(|()| out.sync_all()).map_err(failed)
 }
 
-/// Writes a snapshot's state into a cluster.
+/// Proposes a snapshot's state as the state of a new cluster.
 pub(super) async fn restore(file: &Path, store: &StoreClientArgs) -> Result<(), Failure> {
     let unusable = |error: io::Error| Failure::unusable(format!("{}: {error}", file.display()));
     let mut sealed = Vec::new();
--- a/crates/cli/src/commands/texts.rs
+++ b/crates/cli/src/commands/texts.rs
@@ -1,4 +1,4 @@
-//! `stonefold completions` and `stonefold man`: texts made from the definition of the command line.
+//! `stonefold completions` and `stonefold man`: texts that are generated from the definition of the command line.
 
 use std::io::{self, Write};
 
@@ -8,7 +8,7 @@
 use crate::args::Args;
 use crate::failure::Failure;
 
-/// Prints completions for a shell.
+/// Prints the completions for a shell.
 pub(crate) fn completions(shell: Shell) -> Result<(), Failure> {
     let mut text = Vec::new();
     clap_complete::generate(shell, &mut Args::command(), "stonefold", &mut text);
--- a/crates/cli/src/failure.rs
+++ b/crates/cli/src/failure.rs
@@ -12,21 +12,21 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Failure {
-    /// It was tried and failed.
+    /// The command was executed and failed.
     #[error("{0}")]
     Failed(Box<dyn Error + Send + Sync>),
-    /// Its arguments or a configuration can't be used.
+    /// The command's arguments or a configuration can't be used.
     #[error("{0}")]
     Unusable(Box<dyn Error + Send + Sync>),
 }
 
 impl Failure {
-    /// Something was tried and failed.
+    /// The failure of a command that was executed.
     pub(crate) fn failed(error: impl Into<Box<dyn Error + Send + Sync>>) -> Failure {
         Failure::Failed(error.into())
     }
 
-    /// Arguments or a configuration can't be used.
+    /// The failure of a command whose arguments or configuration can't be used.
     pub(crate) fn unusable(error: impl Into<Box<dyn Error + Send + Sync>>) -> Failure {
         Failure::Unusable(error.into())
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `stonefold` program: a thin shell over the other crates.
+//! The `stonefold` program: the command line of the other crates.
 
 mod args;
 mod client;
--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -16,36 +16,37 @@
 
 use super::{CONFIG_DOCUMENT, ConfigRevision, SharedConfig, parse_list};
 
-/// How long an override may take, of the half second that an operator waits for the node.
+/// How long an override may take until it is applied. It is less than the half second that an operator's command waits
+/// for the node.
 const OVERRIDE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How often a committed override is looked for until it is applied here.
+/// How often this replica is checked for a committed override until it is applied.
 const APPLIED_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// How long a list may take to be committed.
 const LIST_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause before a list is proposed again.
 const LIST_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// A proposal of a list is delayed by a random time up to this. Nodes learn a list at the same time, and only one of
-/// them needs to write it to the log.
+/// The maximum random delay before a list is proposed. All nodes receive a list at the same time, and only one of them
+/// needs to write it to the log.
 const MAX_LIST_JITTER: Duration = Duration::from_millis(100);
 
 /// An endpoint list that is to be proposed.
 struct ListProposal {
     version: u64,
     text: String,
-    /// Names of servers, and when they started, in milliseconds of Unix time.
+    /// The names of servers and their start times, in milliseconds of Unix time.
     started: Vec<(String, u64)>,
 }
 
-/// The list that waits for the publishing task.
+/// The queue of the publishing task: at most one list, as a newer one replaces it.
 #[derive(Default)]
 struct PublishQueue {
     /// The latest list that is not proposed yet.
     next: Option<ListProposal>,
-    /// Whether the publishing task runs.
+    /// Whether the publishing task is running.
     is_publishing: bool,
 }
 
-/// The state of a member's store.
+/// The shared state of a node whose store is a member.
 pub(crate) struct MemberState {
     daemon: MemberDaemon,
     /// The applied log index at the last call of `changed`.
@@ -55,7 +56,7 @@
 }
 
 impl MemberState {
-    /// The state of a running store.
+    /// The shared state over a running store.
     pub(crate) fn new(daemon: MemberDaemon) -> Arc<MemberState> {
         Arc::new_cyclic(|weak_self| MemberState {
             daemon,
@@ -70,7 +71,7 @@
     }
 
     async fn propose(&self, change: Change, deadline: Instant) -> Result<Reply, String> {
-        // A client id of its own for each proposal: no proposal can supersede another.
+        // Each proposal has a new client id, so that no proposal can supersede another.
         let proposal = Proposal { client: fastrand::u64(..), sequence: 1, change };
         self.daemon.replica.propose(proposal, deadline).await.map_err(|error| error.to_string())
     }
@@ -79,7 +80,7 @@
         self.daemon.replica.shared().read().state.list().map_or(0, |list| list.version)
     }
 
-    /// Takes the next list to propose; without one the publishing task ends.
+    /// Takes the next list to propose. If there is none, the publishing task ends.
     fn next_list(&self) -> Option<ListProposal> {
         let mut queue = self.queue();
         let next = queue.next.take().filter(|next| self.committed_list_version() < next.version);
@@ -134,7 +135,7 @@
         // The leader has committed it; this replica may apply it a moment later.
         while self.daemon.replica.shared().read().state.overrides().get(&server) != Some(&admin_override) {
             if Instant::now() >= deadline {
-                return Err("kept, but not in force here yet: ask again".into());
+                return Err("committed, but not applied at this node yet: try again".into());
             }
             sleep(APPLIED_POLL_INTERVAL).await;
         }
@@ -153,7 +154,7 @@
 impl ReplicatedState for MemberState {
     fn ready(&self) -> BoxFuture<'_, ()> {
         let mut ready = self.daemon.ready.clone();
-        // An error means that the store has ended, which must not block the node.
+        // An error means that the store has ended. The node must not wait for it then.
         Box::pin(async move { _ = ready.wait_for(|ready| *ready).await })
     }
 
--- a/crates/cli/src/shared_state/mod.rs
+++ b/crates/cli/src/shared_state/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated store as a node sees it: through a member's replica, or as a subscriber.
+//! A node's access to the replicated store: through a member's replica, or as a subscriber.
 
 mod member;
 mod subscriber;
@@ -10,23 +10,23 @@
 pub(crate) use member::MemberState;
 pub(crate) use subscriber::SubscriberState;
 
-/// The document with the part of the configuration that all nodes share.
+/// The name of the document with the part of the configuration that all nodes share.
 pub(crate) const CONFIG_DOCUMENT: &str = "config";
 
 /// A committed revision of the shared configuration.
 pub(crate) struct ConfigRevision {
     pub(crate) revision: u64,
-    /// Its text, as TOML.
+    /// The text of the revision, as TOML.
     pub(crate) text: String,
 }
 
 /// Shared state that contains a part of the node's configuration.
 pub(crate) trait SharedConfig: ReplicatedState {
-    /// The committed configuration; `None` if there is none, or it is not known yet.
+    /// The latest committed configuration; `None` if there is none, or if it is not known yet.
     fn config(&self) -> Option<ConfigRevision>;
 }
 
-/// Parses a committed endpoint list; logs why it can't be used.
+/// Parses a committed endpoint list. If it can't be used, logs why and returns `None`.
 fn parse_list(version: u64, text: &str) -> Option<EndpointList> {
     match serde_json::from_str(text) {
         Ok(list) => Some(list),
--- a/crates/cli/src/shared_state/subscriber.rs
+++ b/crates/cli/src/shared_state/subscriber.rs
@@ -1,4 +1,4 @@
-//! Shared state of a node that only subscribes to the store: it receives what is committed, and can change nothing.
+//! Shared state of a node that subscribes to the store: it receives what is committed, and cannot change it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,12 +14,12 @@
 
 use super::{CONFIG_DOCUMENT, ConfigRevision, SharedConfig, parse_list};
 
-/// The state of a subscriber.
+/// The shared state of a node that is a subscriber.
 pub(crate) struct SubscriberState {
     daemon: SubscriberDaemon,
     /// One more than the count of changes at the last call of `changed`; 0 before the first.
     seen_changes: AtomicU64,
-    /// The versions in use. Every list that the subscriber holds is committed.
+    /// The versions in use. Every list that the subscriber has received is committed.
     freshness: Mutex<Freshness>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Purges are only logged: no cache server of this platform supports them.
+/// Logs purge records. Nothing else is done with them: no cache server of this platform supports purges.
 fn log_purge(event: &Event) {
     debug!(event = "purge_records", records = ?event, "purge records were received");
 }
@@ -59,7 +59,7 @@
 impl ReplicatedState for SubscriberState {
     fn ready(&self) -> BoxFuture<'_, ()> {
         let mut ready = self.daemon.ready.clone();
-        // An error means that the subscriber has ended, which must not block the node.
+        // An error means that the subscriber has ended. The node must not wait for it then.
         Box::pin(async move { _ = ready.wait_for(|ready| *ready).await })
     }
 
@@ -84,7 +84,8 @@
 
     fn set_override(&self, _: String, _: Override) -> BoxFuture<'_, Result<(), String>> {
         Box::pin(async {
-            Err("this node follows the store, and can't change it: order at a member's node".into())
+            Err("this node follows the store, and can't change it: send the command to a member's node"
+                .into())
         })
     }
 
