--- a/crates/cli/src/commands/store/push.rs
+++ b/crates/cli/src/commands/store/push.rs
@@ -13,7 +13,7 @@
 
 /// How often the members' status is requested while a push waits for them.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Values that every node must state by itself, so that the shared document alone can be validated.
+/// Placeholders for the values that every node states by itself: with them, the shared document can be validated alone.
 const REQUIRED_VALUES: [&str; 2] = ["node.listen=127.0.0.1:1", "node.discovery=127.0.0.1:1"];
 
 /// Validates a file, commits it, and waits until every member's node uses it.
