--- a/crates/cli/src/commands/store/push.rs
+++ b/crates/cli/src/commands/store/push.rs
@@ -1,4 +1,4 @@
-//! `stonefold config push`: a configuration for all nodes.
+//! `stonefold config push`: commits a configuration for all nodes.
 
 use std::path::Path;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 /// How often the members' status is requested while a push waits for them.
 const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Values that every node must state by itself, so that the shared document alone can be validated.
+/// Placeholders for the values that every node states by itself: with them, the shared document can be validated alone.
 const REQUIRED_VALUES: [&str; 2] = ["node.listen=127.0.0.1:1", "node.discovery=127.0.0.1:1"];
 
 /// Validates a file, commits it, and waits until every member's node uses it.
@@ -21,7 +21,7 @@
     let text = read_text(file)?;
     validate(file, &text)?;
     let mut client = client(store)?;
-    // Written over the latest revision only: of two concurrent pushes the second fails.
+    // The write succeeds only over the revision that was read: of two concurrent pushes the second fails.
     let latest = client.document(CONFIG_DOCUMENT, false).await.map_err(Failure::failed)?;
     let after = latest.last().map_or(0, |latest| latest.revision);
     let revision = documents::write(&mut client, CONFIG_DOCUMENT, text, Some(after)).await?;
