--- a/crates/allotment/src/quota.rs
+++ b/crates/allotment/src/quota.rs
@@ -1,4 +1,4 @@
-//! The quota of one sender for calls to one server while that warms up.
+//! The quota of one sender: how many calls it may send to one server while the server is in slow start.
 
 use std::collections::VecDeque;
 
--- a/crates/allotment/tests/fleet/mod.rs
+++ b/crates/allotment/tests/fleet/mod.rs
@@ -23,9 +23,10 @@
 /// The calls that arrive for the server.
 #[derive(Clone, Copy, Debug)]
 pub enum Demand {
-    /// This many times the server's budget, from all nodes together.
+    /// The calls of all nodes together are this multiple of the server's budget.
     Together(f64),
-    /// At each node this many times its part of the budget, or of one call per window if that is more.
+    /// The calls of each node are, on average, this multiple of its part of the budget, or of one call per window if
+    /// that is more.
     Everywhere(f64),
 }
 
@@ -77,20 +78,20 @@
     /// [`RATE_TIME_CONSTANT`].
     fn new(rate: f64, mean: f64, rng: &mut Rng) -> Self {
         let deviation = if rate > 0.0 { (1.0 / (2.0 * RATE_TIME_CONSTANT * rate)).sqrt() } else { 0.0 };
-        Estimate { mean, deviation, error: deviation * normal(rng), drawn_at: 0 }
+        Estimate { mean, deviation, error: deviation * standard_normal(rng), drawn_at: 0 }
     }
     /// The estimate at this time, in calls per second. Its error changes gradually.
     fn sample(&mut self, now: Micros, rng: &mut Rng) -> f64 {
         let correlation = (-((now - self.drawn_at) as f64) / 1e6 / RATE_TIME_CONSTANT).exp();
         self.error = self.error * correlation
-            + self.deviation * (1.0 - correlation * correlation).sqrt() * normal(rng);
+            + self.deviation * (1.0 - correlation * correlation).sqrt() * standard_normal(rng);
         self.drawn_at = now;
         self.mean * (1.0 + self.error).max(0.0)
     }
 }
 
 /// A sample of the standard normal distribution (Box-Muller transform).
-fn normal(rng: &mut Rng) -> f64 {
+fn standard_normal(rng: &mut Rng) -> f64 {
     (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos()
 }
 
@@ -159,7 +160,7 @@
 
 /// The traffic that each node sees, as a multiple of the mean.
 fn traffic_shares(scenario: &Scenario, rng: &mut Rng) -> Vec<f64> {
-    let mut share = || if rng.f64() < 1.0 / 30.0 { 5.0 } else { (normal(rng) / 2.0).exp() };
+    let mut share = || if rng.f64() < 1.0 / 30.0 { 5.0 } else { (standard_normal(rng) / 2.0).exp() };
     let shares: Vec<f64> = (0..scenario.nodes).map(|_| if scenario.noisy { share() } else { 1.0 }).collect();
     let mean = shares.iter().sum::<f64>() / scenario.nodes as f64;
     shares.into_iter().map(|share| share / mean).collect()
--- a/crates/allotment/tests/quota.rs
+++ b/crates/allotment/tests/quota.rs
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_missing_or_out_of_range_index_is_drawn_from_the_seed() {
-    // A sender's quotas for 64 servers, each with three tokens for all senders.
+    // A sender's quotas for 64 servers, each of which has three tokens that all senders share.
     let quotas = |sender: Sender| -> Vec<u64> {
         let quota = |server| {
             let mut quota = Quota::new(server);
--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -20,7 +20,8 @@
     pub id: ServerId,
     /// Its state.
     pub state: EndpointState,
-    /// Its zone, for [`DeduplicationScope::Zone`].
+    /// Its zone. An attempt at another zone than the node's costs more, a zone may be unreachable as a whole, and
+    /// deduplication may be limited to a zone ([`DeduplicationScope::Zone`]).
     pub zone: u32,
     /// Its cell, for [`DeduplicationScope::Cell`].
     pub cell: u32,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Whether this server and `other` discard repeats of requests that the other one has run.
+    /// Whether each of the two servers discards repeats of the requests that the other one has run.
     pub fn shares_deduplication(&self, other: &Endpoint, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -10,7 +10,7 @@
 pub enum Event {
     /// The endpoint list or changes of it arrived, or a poll or watch of it failed.
     Endpoints {
-        /// What `endpoints` has.
+        /// How `endpoints` relates to the present list.
         update: EndpointUpdate,
         /// Entries of the list.
         endpoints: Vec<Endpoint>,
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -67,8 +67,8 @@
     pub watch_required: bool,
     /// Without a watch, the endpoint list must be polled at least this often.
     pub max_poll_interval: Micros,
-    /// Whether [`Endpoint::weight`](super::Endpoint::weight) is the steady size of a server. If not, weights are not
-    /// used.
+    /// Whether the weights in the endpoint list ([`Endpoint::weight`](super::Endpoint::weight)) are the lasting sizes
+    /// of the servers. If not, the balancer ignores them.
     pub static_weights: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use super::answers::RequestOutcome;
 use crate::api::{Action, AttemptEnd, AttemptId, Micros, Outcome, RequestId, ServerId};
-use crate::concurrency_limit::{Congestion, cache_floor};
+use crate::concurrency_limit::{Congestion, cache_limit_floor};
 use crate::congestion::ExpectedLatency;
 use crate::in_flight::InFlightStatus;
 use crate::relative_latency::{relative_sample, shows_service_time};
@@ -12,7 +12,7 @@
 use crate::tier::Tier;
 
 /// The lowest concurrency limit at the origin, in attempts.
-const ORIGIN_FLOOR: f64 = 1.0;
+const ORIGIN_LIMIT_FLOOR: f64 = 1.0;
 
 /// An attempt whose end was recorded with its request.
 struct EndedAttempt {
@@ -101,8 +101,8 @@
     /// Adapts the concurrency limit of a tier and its response times.
     fn adapt_limit(&mut self, tier: Tier, end: &AttemptEnd, congestion: Option<Congestion>) {
         let floor = match tier {
-            Tier::Caches => cache_floor(self.servers.cache_count(), self.settings.node_count),
-            Tier::Origin => ORIGIN_FLOOR,
+            Tier::Caches => cache_limit_floor(self.servers.cache_count(), self.settings.node_count),
+            Tier::Origin => ORIGIN_LIMIT_FLOOR,
         };
         let time_constant = self.load.time_constant();
         let state = &mut self.tiers[tier];
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -45,7 +45,7 @@
 
 /// The lowest limit at the caches, in attempts, for one of `nodes` that share them: one attempt per cache,
 /// and less where many nodes share them. An idle cache can then be used even under overload.
-pub(crate) fn cache_floor(caches: usize, nodes: usize) -> f64 {
+pub(crate) fn cache_limit_floor(caches: usize, nodes: usize) -> f64 {
     (caches as f64 * initial_share(nodes)).max(1.0)
 }
 
--- a/crates/balancer/src/in_flight.rs
+++ b/crates/balancer/src/in_flight.rs
@@ -63,7 +63,7 @@
         self.attempts.first().is_some_and(|attempt| attempt.overdue_at <= now)
     }
 
-    /// Whether an attempt of this request was written off.
+    /// Whether an attempt of this request is written off and has not ended.
     pub(crate) fn has_written_off(&self, request: RequestId) -> bool {
         self.written_off.iter().any(|attempt| attempt.request == request)
     }
--- a/crates/balancer/src/machine_types.rs
+++ b/crates/balancer/src/machine_types.rs
@@ -36,7 +36,7 @@
 /// The weight and machine type of a cache in service.
 #[derive(Clone, Copy)]
 pub(crate) struct ListedWeight {
-    /// Number of the machine type.
+    /// The number that identifies the machine type.
     pub(crate) machine_type: u32,
     /// Weight according to the endpoint list.
     pub(crate) weight: f64,
--- a/crates/balancer/src/priority.rs
+++ b/crates/balancer/src/priority.rs
@@ -18,7 +18,7 @@
 pub(crate) struct NodeTraffic {
     /// Arrivals per second, including the request whose weight is computed.
     pub(crate) arrivals_per_second: f64,
-    /// Time constant of that rate, in microseconds.
+    /// Time constant over which `arrivals_per_second` is averaged, in microseconds.
     pub(crate) time_constant: f64,
 }
 
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -13,7 +13,7 @@
     pub(crate) server: ServerId,
     /// When it was sent.
     pub(crate) sent_at: Micros,
-    /// Whether its end has not been reported yet.
+    /// True until the embedder reports its end.
     pub(crate) in_flight: bool,
     /// Whether it has ended and may have taken effect.
     pub(crate) may_have_run: bool,
@@ -48,8 +48,8 @@
     pub(crate) class: Option<usize>,
     /// Its latency objective, in microseconds.
     pub(crate) latency_objective: Micros,
-    /// Its priority weight, from [`priority`](crate::priority): without unit, only compared with other
-    /// requests'.
+    /// Its priority weight, from [`priority`](crate::priority): a number without unit that is compared with
+    /// the weights of other requests.
     pub(crate) priority_weight: f64,
     /// Whether it may run more than once.
     pub(crate) idempotency: Idempotency,
--- a/crates/balancer/src/server_list.rs
+++ b/crates/balancer/src/server_list.rs
@@ -96,7 +96,7 @@
 }
 
 /// The weight to use where `listed` is the one in the endpoint list; `is_static` says whether listed
-/// weights are steady sizes.
+/// weights are lasting sizes.
 pub(crate) fn usable_weight(listed: f64, is_static: bool) -> f64 {
     let is_usable = is_static && listed.is_finite() && listed > 0.0;
     if is_usable { listed } else { DEFAULT_WEIGHT }
--- a/crates/balancer/src/settings_document.rs
+++ b/crates/balancer/src/settings_document.rs
@@ -123,8 +123,8 @@
     }
 }
 
-/// The settings of the balancer by the document. Classes and tenant quotas are passed in resolved; `zones` has the
-/// numbers of all zones known so far.
+/// Converts the document to the settings of the balancer. Classes and tenant quotas are passed in resolved; `zones`
+/// maps the names of all zones known so far to their numbers.
 fn balancer_settings(
     document: SettingsDocument,
     classes: Vec<RequestClass>,
--- a/crates/balancer/src/settings_document/document.rs
+++ b/crates/balancer/src/settings_document/document.rs
@@ -43,7 +43,7 @@
     /// The tenants and their quotas.
     #[serde(default)]
     pub(super) tenants: Vec<TenantDocument>,
-    /// `live` if the weight of an endpoint is not its steady size.
+    /// `live` if the weights in the endpoint list are not the lasting sizes of the servers.
     #[serde(default)]
     pub(super) weights: String,
     /// The names of the zones.
@@ -123,7 +123,7 @@
     pub(super) overload_factor: Option<f64>,
 }
 
-/// Limits of attempts and connections.
+/// Limits of attempts and connections, and which optional behaviour is allowed.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct Limits {
--- a/crates/balancer/tests/candidate_set.rs
+++ b/crates/balancer/tests/candidate_set.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// The fraction of 600 reads that goes to the caches 1 to 5, which answer `slowdown` times as slowly as the
-/// other five and have a machine type of their own.
+/// The fraction of the last 600 of 800 reads that goes to the caches 1 to 5, which answer `slowdown` times as slowly
+/// as the other five and have a machine type of their own.
 fn share_of_slow_machine_type(slowdown: Micros) -> f64 {
     let mut node = Node::new(settings(CacheMode::Through), 0);
     let machine_type = |id| if id <= 5 { 1 } else { 2 };
--- a/crates/balancer/tests/concurrency_limit.rs
+++ b/crates/balancer/tests/concurrency_limit.rs
@@ -175,11 +175,11 @@
     let lowest_limit = |nodes| {
         let mut node = Node::new(Settings { node_count: nodes, ..settings(CacheMode::Through) }, 64);
         for id in 0..5_000 {
-            let mut to = sent_to(&node.read(id, &format!("k{id}")));
+            let mut next = sent_to(&node.read(id, &format!("k{id}")));
             node.now += 5_000;
             for attempt in 0.. {
-                let Some(_) = to.take() else { break };
-                to = sent_to(&node.finish(id, attempt, Outcome::Rejected, 1_000));
+                let Some(_) = next.take() else { break };
+                next = sent_to(&node.finish(id, attempt, Outcome::Rejected, 1_000));
             }
         }
         // None of these reads is answered. They share a key, since reads of several keys could also be sent
--- a/crates/balancer/tests/idle_connections.rs
+++ b/crates/balancer/tests/idle_connections.rs
@@ -37,12 +37,12 @@
     let mut due = BTreeSet::new();
     for id in 100..100 + failed_connects {
         node.now += 20 * SECOND; // the cache is probed although it is suspected
-        let mut to = sent_to(&node.read(id, "k"));
+        let mut next = sent_to(&node.read(id, "k"));
         for attempt in 0.. {
-            let Some(_) = to.take() else { break };
+            let Some(_) = next.take() else { break };
             let end = node.finish(id, attempt, Outcome::ConnectFailed, 1_000);
             due.extend(check_times(node.now, &end));
-            to = sent_to(&end);
+            next = sent_to(&end);
         }
     }
     node.now += 20 * SECOND;
--- a/crates/balancer/tests/outlier_detection.rs
+++ b/crates/balancer/tests/outlier_detection.rs
@@ -27,8 +27,8 @@
     assert!(again, "probed again later");
 }
 
-/// Runs reads whose connects fail, after `pause` each, at the caches for which `fails` holds. Returns the
-/// caches that all attempts were sent to.
+/// Runs reads. Each attempt at a cache for which `fails` holds fails to connect, after `pause`; the others succeed.
+/// Returns the caches that the attempts were sent to, in order.
 fn run_reads(
     node: &mut Node,
     ids: std::ops::Range<u32>,
--- a/crates/balancer/tests/property.rs
+++ b/crates/balancer/tests/property.rs
@@ -358,9 +358,9 @@
 
     /// Handles the events of the next `time`.
     fn step(&mut self, time: Micros) {
-        let end = self.now + time;
+        let until = self.now + time;
         while let Some((&(at, sequence), _)) =
-            self.scheduled.first_key_value().filter(|((at, _), _)| *at <= end)
+            self.scheduled.first_key_value().filter(|((at, _), _)| *at <= until)
         {
             self.now = self.now.max(at);
             match self.scheduled.remove(&(at, sequence)).unwrap() {
@@ -375,7 +375,7 @@
                 "a final answer is overdue"
             );
         }
-        self.now = end;
+        self.now = until;
     }
 }
 
--- a/crates/balancer/tests/single_flight.rs
+++ b/crates/balancer/tests/single_flight.rs
@@ -10,8 +10,8 @@
     let first = sent_to(&node.read(1, "k")).unwrap();
     node.read(2, "k");
     assert_eq!(sent_to(&node.finish(1, 0, Outcome::CacheMiss, 5_000)), Some(ServerId(99)));
-    let waiting = node.finish(2, 0, Outcome::CacheMiss, 5_000);
-    assert_eq!(sent_to(&waiting), None, "it waits for the fetch in progress");
+    let second_miss = node.finish(2, 0, Outcome::CacheMiss, 5_000);
+    assert_eq!(sent_to(&second_miss), None, "it waits for the fetch in progress");
     let fetched = node.finish(1, 1, Outcome::Success, 30_000);
     assert_eq!(sent_to(&fetched), Some(first), "it reads what the fetch stored");
 }
@@ -22,8 +22,8 @@
     node.read(1, "k");
     node.read(2, "k");
     node.finish(1, 0, Outcome::CacheMiss, 5_000);
-    let waiting = node.finish(2, 0, Outcome::CacheMiss, 5_000);
-    let (after, token) = first_timer(&waiting).expect("a timer for its deadline");
+    let second_miss = node.finish(2, 0, Outcome::CacheMiss, 5_000);
+    let (after, token) = first_timer(&second_miss).expect("a timer for its deadline");
     assert!(after < SECOND);
     node.now += after;
     assert!(is_answered(&node.timer(token)));
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -5,8 +5,9 @@
 use stonefold_balancer::*;
 
 #[test]
-fn a_restarted_cache_gets_no_more_than_its_reduced_capacity() {
-    // In any second the cache must get less than 3 times its reduced capacity; 3 is the overload factor.
+fn a_restarted_cache_gets_load_in_proportion_to_its_reduced_capacity() {
+    // In any second the cache may get at most 3 times its reduced capacity, as 3 is the overload factor. The load
+    // before the restart counts as the full capacity.
     let mut node = Node::new(settings(CacheMode::Through), 5);
     let mut id = 0;
     let mut run = |node: &mut Node, seconds: u64| {
@@ -54,15 +55,15 @@
         let mut attempts_sent = 0;
         while node.now < end {
             id += 1;
-            let mut to = sent_to(&node.read(id, &format!("k{id}")));
+            let mut next = sent_to(&node.read(id, &format!("k{id}")));
             node.now += 10_000;
-            let is_at_cache = to.is_some_and(|to| to != ServerId(99));
+            let is_at_cache = next.is_some_and(|server| server != ServerId(99));
             if is_at_cache {
                 attempts_sent += 1;
                 let outcome = if id % 10 == 0 { Outcome::Success } else { Outcome::CacheMiss };
-                to = sent_to(&node.finish(id, 0, outcome, 10_000));
+                next = sent_to(&node.finish(id, 0, outcome, 10_000));
             }
-            if to.is_some() {
+            if next.is_some() {
                 node.finish(id, usize::from(is_at_cache), Outcome::Success, 10_000);
             }
             node.handle(Event::ClientDisconnected(RequestId(id)));
@@ -109,12 +110,12 @@
         let mut attempts_sent = 0;
         while node.now < end {
             id += 1;
-            let mut to = sent_to(&node.read(id, &format!("k{id}")));
+            let mut next = sent_to(&node.read(id, &format!("k{id}")));
             node.now += SECOND / rate;
             for attempt in 0.. {
-                let Some(server) = to else { break };
+                let Some(server) = next else { break };
                 attempts_sent += u32::from(server == ServerId(1));
-                to = sent_to(&node.finish(id, attempt, outcome, SECOND / rate));
+                next = sent_to(&node.finish(id, attempt, outcome, SECOND / rate));
             }
         }
         attempts_sent
--- a/crates/balancer/tests/slow_start_quota.rs
+++ b/crates/balancer/tests/slow_start_quota.rs
@@ -32,7 +32,7 @@
     Node { balancer: Balancer::new(settings, seed, now), now }
 }
 
-/// A read of a key of its own with a time limit of 60 s.
+/// Sends a read of the key `k{id}` with a time limit of 60 s.
 fn read_with_ample_time(node: &mut Node, id: u32) -> Vec<Action> {
     let key = Some(format!("k{id}"));
     let read = Request { class: Some(0), key, timeout: 60 * SECOND, ..Request::new(RequestId(id)) };
@@ -202,11 +202,11 @@
     let mut id = 10_000;
     while node.now < end {
         id += 1;
-        let mut to = sent_to(&read_with_ample_time(node, id));
+        let mut next = sent_to(&read_with_ample_time(node, id));
         for attempt in 0.. {
-            let Some(_) = to else { break };
+            let Some(_) = next else { break };
             sends.push(node.now);
-            to = sent_to(&node.finish(id, attempt, Outcome::Rejected, 0));
+            next = sent_to(&node.finish(id, attempt, Outcome::Rejected, 0));
         }
         node.now += 5_000;
     }
