--- a/crates/node/src/clients/disconnect.rs
+++ b/crates/node/src/clients/disconnect.rs
@@ -18,28 +18,29 @@
 /// The timeout of a request counts from its arrival rather than from when it is read. The kernel does not report when
 /// each byte arrived, so all bytes count from the first unread one until the kernel has nothing left to read.
 pub(crate) struct UnreadTracker {
-    since: Option<Instant>,
+    unread_since: Option<Instant>,
     stalls: StallMonitor,
 }
 
 impl UnreadTracker {
     /// Creates a tracker of a connection on which nothing is waiting yet.
     pub(crate) fn new(stalls: StallMonitor) -> UnreadTracker {
-        UnreadTracker { since: None, stalls }
+        UnreadTracker { unread_since: None, stalls }
     }
 
-    /// Records that bytes are waiting now, unless earlier ones were recorded.
+    /// Records the earliest time at which the bytes that are waiting now may have arrived, unless earlier bytes are
+    /// recorded already.
     fn record(&mut self) {
         let arrived = self.stalls.earliest_arrival(Instant::now());
-        self.since.get_or_insert(arrived);
+        self.unread_since.get_or_insert(arrived);
     }
 
     /// The earliest time at which the bytes that were just read may have arrived. Bytes that are read after a stall of
     /// the event loop may have arrived at its start.
     pub(crate) fn earliest_arrival(&mut self, socket: &Socket) -> Instant {
-        let arrived = self.since.unwrap_or_else(|| self.stalls.earliest_arrival(Instant::now()));
-        if self.since.is_some() && socket.is_idle() {
-            self.since = None;
+        let arrived = self.unread_since.unwrap_or_else(|| self.stalls.earliest_arrival(Instant::now()));
+        if self.unread_since.is_some() && socket.is_idle() {
+            self.unread_since = None;
         }
         arrived
     }
--- a/crates/node/src/clients/session.rs
+++ b/crates/node/src/clients/session.rs
@@ -142,11 +142,11 @@
             trace!(event = "client_disconnected", unread, ?ended, "a client's connection is closed");
             return;
         }
-        let closed = &self.context.metrics.unanswered_closes;
+        let unanswered_closes = &self.context.metrics.unanswered_closes;
         if is_ended_by_client(ended) {
-            closed.by_client.increment();
+            unanswered_closes.by_client.increment();
         } else {
-            closed.by_node.increment();
+            unanswered_closes.by_node.increment();
             self.context.metrics.violations.record(Invariant::NoUnansweredClose, &[]);
         }
         debug!(
--- a/crates/node/src/clients/session/commands.rs
+++ b/crates/node/src/clients/session/commands.rs
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Rejects a request without opening it, so that its client may retry it safely. The driver decides how long the
-    /// client should wait.
+    /// Rejects a request of a connection that already has [`MAX_OPEN_REQUESTS`] open. The request is not opened, so its
+    /// client may retry it safely. The driver decides how long the client should wait.
     fn reject_excess(&mut self, request: &ClientRequest) -> PendingReply {
         let (sender, response) = oneshot::channel();
         let class = request.class_name().map(str::to_owned);
--- a/crates/node/src/config/document.rs
+++ b/crates/node/src/config/document.rs
@@ -65,7 +65,8 @@
     ResolvedSettings::try_from(document.settings).map(drop).map_err(ConfigError::Settings)
 }
 
-/// The first key of the document in force that is missing from a new one.
+/// The path of the first key that an object of [`COMPLETE_OBJECTS`] has in the document in force and lacks in a new
+/// one.
 pub(super) fn missing_key(current: &Value, new: &Value) -> Option<String> {
     COMPLETE_OBJECTS.into_iter().find_map(|object| {
         let keys = current.pointer(object)?.as_object()?.keys();
--- a/crates/node/src/discovery/poll_schedule.rs
+++ b/crates/node/src/discovery/poll_schedule.rs
@@ -28,8 +28,8 @@
 /// The timeout for the body of an answer. Without it, a body that stalls would take as long as a watch to time out.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The wait of a watch where lists are pushed and discovery is not overloaded. It limits how long a discovery that has
-/// fallen silent is mistaken for one without changes.
+/// How long a watch waits for changes where an agent pushes the lists and discovery is not overloaded. It limits how
+/// long a discovery that has fallen silent is mistaken for one without changes.
 const MIN_WATCH_WAIT: Duration = Duration::from_secs(2);
 /// The maximum wait of a watch, where discovery is overloaded or shared.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
@@ -101,8 +101,9 @@
     /// Whether changes may have been missed, because a poll timed out or discovery has moved, and no poll has been
     /// answered since.
     missed_changes: bool,
-    /// The wait of a watch where lists are pushed.
-    pushed_watch_wait: Duration,
+    /// How long a watch waits for changes where an agent pushes the lists ([`DiscoverySettings::watch`] is false). It
+    /// grows while discovery is overloaded.
+    adaptive_watch_wait: Duration,
 }
 
 impl PollSchedule {
@@ -113,7 +114,7 @@
             spacing_used: Duration::ZERO,
             immediate,
             missed_changes: false,
-            pushed_watch_wait: MIN_WATCH_WAIT,
+            adaptive_watch_wait: MIN_WATCH_WAIT,
         }
     }
 
@@ -126,7 +127,7 @@
     /// node within 4 s, which is less than [`NOTIFICATION_DEADLINE`].
     pub(super) fn on_new_address(&mut self) {
         *self = PollSchedule {
-            pushed_watch_wait: self.pushed_watch_wait,
+            adaptive_watch_wait: self.adaptive_watch_wait,
             missed_changes: true,
             ..PollSchedule::new(true)
         };
@@ -168,13 +169,14 @@
             let shortest = settings.max_poll_interval.clamp(MIN_WATCH_WAIT / 2, MAX_WATCH_WAIT / 2);
             return shortest + shortest.mul_f64(jitter);
         }
-        self.pushed_watch_wait
+        self.adaptive_watch_wait
     }
 
     /// Records how a poll has ended, and how long it took.
     pub(super) fn on_end(&mut self, poll: Poll, outcome: PollOutcome, took: Duration) {
         if outcome == PollOutcome::Answered {
-            *self = PollSchedule { pushed_watch_wait: self.pushed_watch_wait, ..PollSchedule::new(false) };
+            *self =
+                PollSchedule { adaptive_watch_wait: self.adaptive_watch_wait, ..PollSchedule::new(false) };
             // An answer before the end of the wait has a change, and does not show whether polls queue at discovery.
             if !poll.wait.is_zero() && took >= poll.wait {
                 self.adapt_watch_wait(took - poll.wait > OVERLOAD_DELAY);
@@ -197,10 +199,10 @@
 
     /// Doubles the wait of a watch if discovery is overloaded, and shortens it otherwise.
     fn adapt_watch_wait(&mut self, overloaded: bool) {
-        self.pushed_watch_wait = if overloaded {
-            (self.pushed_watch_wait * 2).min(MAX_WATCH_WAIT)
+        self.adaptive_watch_wait = if overloaded {
+            (self.adaptive_watch_wait * 2).min(MAX_WATCH_WAIT)
         } else {
-            self.pushed_watch_wait.mul_f64(WATCH_WAIT_DECAY).max(MIN_WATCH_WAIT)
+            self.adaptive_watch_wait.mul_f64(WATCH_WAIT_DECAY).max(MIN_WATCH_WAIT)
         };
     }
 }
--- a/crates/node/src/discovery/tests/schedule.rs
+++ b/crates/node/src/discovery/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Tests the backoff, wait and timeout of polls as the schedule alone determines them.
+//! Tests the backoff, wait and timeout that [`PollSchedule`] gives to polls, without any I/O.
 
 use std::time::Duration;
 
@@ -32,14 +32,14 @@
 #[test]
 fn a_watch_waits_longer_up_to_a_bound_while_discovery_is_overloaded() {
     let mut schedule = PollSchedule::new(false);
-    let mut answered = |late: Duration| {
+    let mut wait_after_answer = |late: Duration| {
         let poll = next(&schedule, pushed(300), 1);
         schedule.on_end(poll, PollOutcome::Answered, poll.wait + late);
         next(&schedule, pushed(300), 1).wait
     };
-    let overloaded: Vec<u64> = (0..5).map(|_| answered(SECOND).as_secs()).collect();
-    assert_eq!(overloaded, [4, 8, 16, 20, 20]);
-    assert_eq!((0..20).map(|_| answered(Duration::ZERO)).last(), Some(2 * SECOND));
+    let waits_while_overloaded: Vec<u64> = (0..5).map(|_| wait_after_answer(SECOND).as_secs()).collect();
+    assert_eq!(waits_while_overloaded, [4, 8, 16, 20, 20]);
+    assert_eq!((0..20).map(|_| wait_after_answer(Duration::ZERO)).last(), Some(2 * SECOND));
     let after_rejection = next(&rejected(1, pushed(300)), pushed(300), 1);
     assert_eq!(after_rejection.wait, 4 * SECOND);
 }
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -27,7 +27,7 @@
     pub(crate) attempts: Vec<AttemptState>,
     /// Whether the request may be repeated after it may have been executed.
     pub(crate) idempotency: Idempotency,
-    /// Whether an attempt has ended that may have been executed.
+    /// Whether an attempt that has ended may have been executed.
     pub(crate) may_have_run: bool,
     /// When the final response was sent.
     pub(crate) responded_at: Option<Instant>,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -62,9 +62,9 @@
     /// Must be called right before an attempt is written. A server that is given more time than is left would still
     /// work on the request after the client has stopped waiting.
     pub(crate) fn metadata_with_time_left(&self, left: Duration) -> Vec<u8> {
-        let time_left = format!("{TIMEOUT_PREFIX}{}", left.as_millis());
+        let time_left_field = format!("{TIMEOUT_PREFIX}{}", left.as_millis());
         let fields = self.metadata.split(|&byte| byte == b',').map(|field| {
-            if field.starts_with(TIMEOUT_PREFIX.as_bytes()) { time_left.as_bytes() } else { field }
+            if field.starts_with(TIMEOUT_PREFIX.as_bytes()) { time_left_field.as_bytes() } else { field }
         });
         fields.collect::<Vec<_>>().join(&b","[..])
     }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -55,7 +55,8 @@
     clients: ClientServer,
     membership: Option<Membership>,
     stalls: StallMonitor,
-    /// What operators are told for `READY`: true once requests are served, and false from the start of a shutdown.
+    /// Whether the node serves requests, which the operators' command `READY` reports: true once it is ready, and false
+    /// from the start of a shutdown.
     serving: Arc<AtomicBool>,
 }
 
--- a/crates/node/src/upstream/directory/idle_pool.rs
+++ b/crates/node/src/upstream/directory/idle_pool.rs
@@ -38,12 +38,12 @@
         &mut self,
         server: &str,
         now: Instant,
-        max_idle: Duration,
+        max_idle_time: Duration,
         metrics: &Metrics,
     ) -> Option<ServerConnection> {
         while let Some(index) = self.0.iter().rposition(|idle| now >= idle.since + MIN_IDLE_TIME) {
             let idle = self.0.remove(index);
-            if now < idle.since + max_idle && is_reusable(server, &idle, now, metrics) {
+            if now < idle.since + max_idle_time && is_reusable(server, &idle, now, metrics) {
                 if now < idle.since + DUPLICATE_REPLY_WINDOW {
                     metrics.early_reuses.increment();
                 }
@@ -58,10 +58,10 @@
         &mut self,
         server: &str,
         now: Instant,
-        max_idle: Duration,
+        max_idle_time: Duration,
         metrics: &Metrics,
     ) {
-        self.0.retain(|idle| now < idle.since + max_idle && is_reusable(server, idle, now, metrics));
+        self.0.retain(|idle| now < idle.since + max_idle_time && is_reusable(server, idle, now, metrics));
     }
 
     /// Closes all connections.
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The time since when the connection that has been idle for longest is idle.
-    pub(crate) fn oldest(&self) -> Option<Instant> {
+    /// When the connection that has been idle for longest became idle; `None` if there is no idle connection.
+    pub(crate) fn longest_idle_since(&self) -> Option<Instant> {
         self.0.first().map(|idle| idle.since)
     }
 
--- a/crates/node/src/upstream/directory/mod.rs
+++ b/crates/node/src/upstream/directory/mod.rs
@@ -22,7 +22,7 @@
 
 use super::connection::ServerConnection;
 use super::send_permit::{SendConditions, SendPermit};
-use super::start_times::{ListArrival, StartTimes};
+use super::start_times::{ListArrival, StartTimeConversion};
 use crate::metrics::Metrics;
 
 /// The numerator of the part of the servers' idle timeout after which the node closes an idle connection. It is less
@@ -53,7 +53,7 @@
     disabled: HashMap<ServerId, String>,
     former_names: FormerNames,
     /// An idle connection is closed after this time, before the server closes it.
-    max_idle: Duration,
+    max_idle_time: Duration,
     metrics: Arc<Metrics>,
 }
 
@@ -64,7 +64,7 @@
             servers: HashMap::new(),
             disabled: HashMap::new(),
             former_names: FormerNames::default(),
-            max_idle: Duration::ZERO,
+            max_idle_time: Duration::ZERO,
             metrics,
         };
         directory.set_idle_timeout(idle_timeout);
@@ -73,7 +73,7 @@
 
     /// Sets the idle timeout of the servers, after which they close a connection.
     pub(crate) fn set_idle_timeout(&mut self, idle_timeout: Duration) {
-        self.max_idle = idle_timeout * MAX_IDLE_NUMERATOR / MAX_IDLE_DENOMINATOR;
+        self.max_idle_time = idle_timeout * MAX_IDLE_NUMERATOR / MAX_IDLE_DENOMINATOR;
     }
 
     /// Applies an endpoint list, and returns the servers that the balancer has to update.
@@ -88,7 +88,7 @@
         if list.full {
             self.remove_unlisted(&list.servers);
         }
-        let starts = StartTimes::new(&list.servers, arrival);
+        let starts = StartTimeConversion::new(&list.servers, arrival);
         let new_starts = list.servers.iter().filter(|listed| self.is_new_start(listed));
         let latest = new_starts.map(|listed| listed.started_ms).fold(0.0, f64::max);
         let listed = list.servers.into_iter();
@@ -140,7 +140,7 @@
     fn apply_server(
         &mut self,
         listed: &ListedServer,
-        starts: &StartTimes,
+        starts: &StartTimeConversion,
         settings: &mut ResolvedSettings,
     ) -> Endpoint {
         let id = self.id_of(&listed.id);
@@ -222,7 +222,7 @@
         conditions: SendConditions,
     ) -> Option<(Target, Option<ServerConnection>)> {
         let server = self.servers.get_mut(&id)?;
-        let pooled = server.take_idle(now, self.max_idle, &self.metrics);
+        let pooled = server.take_idle(now, self.max_idle_time, &self.metrics);
         let permit = SendPermit::new(server.serving_flag(), conditions);
         let target = Target { addr: server.addr(), origin: server.is_origin(), permit };
         Some((target, pooled))
@@ -254,7 +254,7 @@
     /// Closes idle connections that are too old, or that cannot be reused.
     pub(crate) fn close_expired(&mut self, now: Instant) {
         for server in self.servers.values_mut() {
-            server.close_expired(now, self.max_idle, &self.metrics);
+            server.close_expired(now, self.max_idle_time, &self.metrics);
         }
     }
 
@@ -265,8 +265,8 @@
 
     /// Closes the connection that has been idle for longest.
     pub(crate) fn close_oldest(&mut self) {
-        let with_idle = self.servers.values_mut().filter(|server| server.oldest_idle().is_some());
-        if let Some(server) = with_idle.min_by_key(|server| server.oldest_idle()) {
+        let with_idle = self.servers.values_mut().filter(|server| server.longest_idle_since().is_some());
+        if let Some(server) = with_idle.min_by_key(|server| server.longest_idle_since()) {
             server.close_oldest();
         }
     }
--- a/crates/node/src/upstream/directory/server.rs
+++ b/crates/node/src/upstream/directory/server.rs
@@ -126,10 +126,10 @@
     pub(crate) fn take_idle(
         &mut self,
         now: Instant,
-        max_idle: Duration,
+        max_idle_time: Duration,
         metrics: &Metrics,
     ) -> Option<ServerConnection> {
-        self.idle.take(&self.name, now, max_idle, metrics)
+        self.idle.take(&self.name, now, max_idle_time, metrics)
     }
 
     pub(crate) fn add_idle(&mut self, now: Instant, connection: ServerConnection) {
@@ -141,17 +141,17 @@
     }
 
     /// Closes idle connections that are too old, or that cannot be reused.
-    pub(crate) fn close_expired(&mut self, now: Instant, max_idle: Duration, metrics: &Metrics) {
-        self.idle.close_expired(&self.name, now, max_idle, metrics);
+    pub(crate) fn close_expired(&mut self, now: Instant, max_idle_time: Duration, metrics: &Metrics) {
+        self.idle.close_expired(&self.name, now, max_idle_time, metrics);
     }
 
     pub(crate) fn idle_connections(&self) -> usize {
         self.idle.len()
     }
 
-    /// The time since when the connection that has been idle for longest is idle.
-    pub(crate) fn oldest_idle(&self) -> Option<Instant> {
-        self.idle.oldest()
+    /// When the connection that has been idle for longest became idle; `None` if there is no idle connection.
+    pub(crate) fn longest_idle_since(&self) -> Option<Instant> {
+        self.idle.longest_idle_since()
     }
 
     /// Closes the connection that has been idle for longest.
--- a/crates/node/src/upstream/origin_connection.rs
+++ b/crates/node/src/upstream/origin_connection.rs
@@ -81,7 +81,7 @@
         Ok(OriginConnection { sender, task, last_write })
     }
 
-    /// Whether the connection is open.
+    /// Whether the connection is still open, so that another request can use it.
     pub(crate) fn is_reusable(&self) -> bool {
         !self.sender.is_closed()
     }
--- a/crates/node/src/upstream/start_times.rs
+++ b/crates/node/src/upstream/start_times.rs
@@ -27,23 +27,23 @@
 /// The time within which a start is reported unless discovery is unavailable, in microseconds.
 const MAX_REPORT_DELAY: Micros = 60_000_000;
 
-/// The start times in one list.
+/// Converts the start times in one list to the driver's clock.
 #[derive(Debug)]
-pub(crate) struct StartTimes {
+pub(crate) struct StartTimeConversion {
     arrival: ListArrival,
     /// By how much our clock is behind at least; 0 if it does not seem to be behind.
     clock_behind: Micros,
 }
 
-impl StartTimes {
-    /// Reads the start times of these servers.
-    pub(crate) fn new(servers: &[ListedServer], arrival: ListArrival) -> StartTimes {
+impl StartTimeConversion {
+    /// Creates the conversion for a list with these servers.
+    pub(crate) fn new(servers: &[ListedServer], arrival: ListArrival) -> StartTimeConversion {
         let latest = servers.iter().map(|server| server.started_ms).fold(0.0, f64::max);
         let clock_behind = match arrival {
             ListArrival::First(now) => micros_from_millis(latest).saturating_sub(now),
             ListArrival::Update(_) => 0,
         };
-        StartTimes { arrival, clock_behind }
+        StartTimeConversion { arrival, clock_behind }
     }
 
     /// Whether the start times depend on our wall clock, which may be ahead.
--- a/crates/node/src/upstream/start_times/tests.rs
+++ b/crates/node/src/upstream/start_times/tests.rs
@@ -13,7 +13,7 @@
         serde_json::from_str::<ListedServer>(&text).unwrap()
     };
     let servers: Vec<ListedServer> = started_ms.iter().map(server).collect();
-    let starts = StartTimes::new(&servers, arrival);
+    let starts = StartTimeConversion::new(&servers, arrival);
     started_ms.iter().map(|&started_ms| starts.driver_time(started_ms)).collect()
 }
 
@@ -39,7 +39,9 @@
 #[test]
 fn reported_start_that_seems_long_past_reveals_a_clock_that_is_ahead() {
     let now = micros_from_millis(NOW_MS);
-    let ahead = |started_ms: f64, arrival: ListArrival| StartTimes::new(&[], arrival).clock_ahead(started_ms);
+    let ahead = |started_ms: f64, arrival: ListArrival| {
+        StartTimeConversion::new(&[], arrival).clock_ahead(started_ms)
+    };
     assert_eq!(
         ahead(NOW_MS - 60.0 * MINUTE_MS, ListArrival::Update(now)),
         Some(micros_from_millis(60.0 * MINUTE_MS))
