--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -122,7 +122,7 @@
     }
 
     /// The probability with which a read should back off before it is sent to this tier: the congestion
-    /// ratio less the overload ratio. It is negative without overload, which means never.
+    /// ratio less [`OVERLOAD_RATIO`]. A value below 0, as without overload, means that no read backs off.
     pub(crate) fn delay_probability(&self) -> f64 {
         self.congestion_ratio - OVERLOAD_RATIO
     }
--- a/crates/balancer/src/in_flight.rs
+++ b/crates/balancer/src/in_flight.rs
@@ -30,9 +30,9 @@
 /// The state of an attempt among those in flight, at its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InFlightStatus {
-    /// It counted against the concurrency limit and was long overdue.
+    /// Whether it counted against the concurrency limit and was overdue.
     pub(crate) was_overdue: bool,
-    /// It was written off and no longer counted against the concurrency limit.
+    /// Whether it was written off and no longer counted against the concurrency limit.
     pub(crate) was_written_off: bool,
 }
 
--- a/crates/balancer/src/machine_types.rs
+++ b/crates/balancer/src/machine_types.rs
@@ -38,7 +38,7 @@
 pub(crate) struct ListedWeight {
     /// The number that identifies the machine type.
     pub(crate) machine_type: u32,
-    /// Weight according to the endpoint list.
+    /// The weight from the endpoint list, or the default weight if the listed one is not used.
     pub(crate) weight: f64,
 }
 
--- a/crates/balancer/src/server.rs
+++ b/crates/balancer/src/server.rs
@@ -84,7 +84,7 @@
         self.health.is_suspect(&self.in_flight, now)
     }
 
-    /// Its weight and machine type by the endpoint list.
+    /// Its weight and machine type, from its entry in the endpoint list.
     pub(crate) fn listed_weight(&self) -> ListedWeight {
         ListedWeight { machine_type: self.endpoint.machine_type, weight: self.endpoint.weight }
     }
--- a/crates/node/src/operator/command.rs
+++ b/crates/node/src/operator/command.rs
@@ -43,7 +43,7 @@
 }
 
 impl OperatorCommand {
-    /// Parses a line, its end of line included.
+    /// Parses a line, which must include its line break.
     pub(super) fn parse(line: &[u8]) -> Result<OperatorCommand, OperatorCommandError> {
         let Some(text) = line.strip_suffix(b"\n") else {
             let too_long = line.len() as u64 >= MAX_COMMAND_LEN;
