--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -45,7 +45,7 @@
 
 /// The lowest limit at the caches, in attempts, for one of `nodes` that share them: one attempt per cache,
 /// and less where many nodes share them. An idle cache can then be used even under overload.
-pub(crate) fn cache_floor(caches: usize, nodes: usize) -> f64 {
+pub(crate) fn cache_limit_floor(caches: usize, nodes: usize) -> f64 {
     (caches as f64 * initial_share(nodes)).max(1.0)
 }
 
@@ -122,7 +122,7 @@
     }
 
     /// The probability with which a read should back off before it is sent to this tier: the congestion
-    /// ratio less the overload ratio. It is negative without overload, which means never.
+    /// ratio less [`OVERLOAD_RATIO`]. A value below 0, as without overload, means that no read backs off.
     pub(crate) fn delay_probability(&self) -> f64 {
         self.congestion_ratio - OVERLOAD_RATIO
     }
--- a/crates/balancer/src/machine_types.rs
+++ b/crates/balancer/src/machine_types.rs
@@ -36,9 +36,9 @@
 /// The weight and machine type of a cache in service.
 #[derive(Clone, Copy)]
 pub(crate) struct ListedWeight {
-    /// Number of the machine type.
+    /// The number that identifies the machine type.
     pub(crate) machine_type: u32,
-    /// Weight according to the endpoint list.
+    /// The weight from the endpoint list, or the default weight if the listed one is not used.
     pub(crate) weight: f64,
 }
 
