--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -105,8 +105,8 @@
     pub async fn wait_for_input(&self) -> io::Result<bool> {
         loop {
             self.0.readable().await?;
-            // The peek goes through the runtime, so that one that would block clears the readiness and the next
-            // iteration waits for an event.
+            // The peek runs inside `try_io`: if it would block, the runtime clears the socket's readiness, so that the
+            // next iteration of this loop waits for a new event.
             let peeked = retry_interrupted(|| self.0.try_io(Interest::READABLE, || self.peek()));
             if !would_block(&peeked) {
                 return peeked.map(|bytes| bytes > 0);
--- a/crates/store/examples/quorum_cost.rs
+++ b/crates/store/examples/quorum_cost.rs
@@ -114,7 +114,7 @@
     sleep(Duration::from_secs(1)).await;
     let (sent_before, cpu_before) = (bytes.load(Ordering::Relaxed), cpu_seconds()?);
     sleep(Duration::from_secs(seconds)).await;
-    let idle = (bytes.load(Ordering::Relaxed) - sent_before) as f64 / time / members_f64;
+    let idle_bandwidth = (bytes.load(Ordering::Relaxed) - sent_before) as f64 / time / members_f64;
     let idle_cpu = (cpu_seconds()? - cpu_before) / time / members_f64 * 100.0;
     let (sent_before, cpu_before, started_at) =
         (bytes.load(Ordering::Relaxed), cpu_seconds()?, Instant::now());
@@ -123,13 +123,13 @@
     )
     .await;
     let time = started_at.elapsed().as_secs_f64();
-    let confirming = (bytes.load(Ordering::Relaxed) - sent_before) as f64 / time / members_f64;
+    let confirming_bandwidth = (bytes.load(Ordering::Relaxed) - sent_before) as f64 / time / members_f64;
     let confirming_cpu = (cpu_seconds()? - cpu_before) / time / members_f64 * 100.0;
     let counts: Vec<(u64, u64)> = results.into_iter().collect::<Result<_, _>>()?;
     let (attempted, failed) =
         counts.iter().fold((0, 0), |(a, f), (attempted, failed)| (a + attempted, f + failed));
     println!(
-        "| {member_count} | {idle:.0} B/s, {idle_cpu:.2}% | {confirming:.0} B/s, {confirming_cpu:.2}% | {failed} of {attempted} |"
+        "| {member_count} | {idle_bandwidth:.0} B/s, {idle_cpu:.2}% | {confirming_bandwidth:.0} B/s, {confirming_cpu:.2}% | {failed} of {attempted} |"
     );
     for member in &members {
         member.stop.cancel();
--- a/crates/store/src/applied.rs
+++ b/crates/store/src/applied.rs
@@ -18,7 +18,7 @@
     pub members: StoredMembership,
     /// The replicated state.
     pub state: State,
-    /// The entry that last changed each part of the state.
+    /// The index of the entry that last changed each part of the state.
     pub changes: ChangeIndex,
 }
 
--- a/crates/store/src/change_index.rs
+++ b/crates/store/src/change_index.rs
@@ -12,9 +12,9 @@
 /// it: their revisions hold the index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeIndex {
-    /// The entry that last set the endpoint list; 0 if none has.
+    /// The index of the log entry that last set the endpoint list; 0 if none has.
     list: u64,
-    /// The entry that last set each server's override.
+    /// The index of the log entry that last set each server's override.
     overrides: BTreeMap<String, u64>,
     /// The keys of the latest purges, from the oldest to the latest.
     purges: VecDeque<String>,
--- a/crates/store/src/feed/frame.rs
+++ b/crates/store/src/feed/frame.rs
@@ -67,7 +67,7 @@
     Override {
         /// The server's id.
         server: String,
-        /// The override.
+        /// The server's override.
         admin_override: AdminOverride,
     },
 }
@@ -110,7 +110,7 @@
 /// An item at a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The entry that set the item.
+    /// The index of the log entry that set the item.
     pub revision: u64,
     /// The encoded item.
     pub item: Vec<u8>,
@@ -119,7 +119,7 @@
 /// A part of an item that is too long for one frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemPart {
-    /// The entry that set the item.
+    /// The index of the log entry that set the item.
     pub revision: u64,
     /// The offset of this part in the encoded item.
     pub offset: u32,
@@ -151,7 +151,7 @@
 pub struct Update {
     /// How fresh the publisher is.
     pub publisher: PublisherStatus,
-    /// The subscriber's revision before this frame.
+    /// The revision that the subscriber must have before this frame.
     pub after: u64,
     /// The subscriber's revision once it has applied this frame.
     pub through: u64,
@@ -170,7 +170,7 @@
 /// A frame of a publisher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublisherFrame {
-    /// Changes or a heartbeat.
+    /// Carries the changes since the last frame, or is a heartbeat if there are none.
     Update(Box<Update>),
     /// The publisher ends the session.
     Rejected(SessionRejection),
@@ -242,7 +242,7 @@
 /// Why a frame is invalid. Nothing of it is applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The frame is too long.
+    /// The frame is longer than [`MAX_FRAME_BYTES`]. The value is its length in bytes.
     #[error("a frame of {0} bytes: at most {MAX_FRAME_BYTES} are read")]
     FrameTooLong(usize),
     /// The frame can't be decoded, or is of another version.
--- a/crates/store/src/feed/publisher/mod.rs
+++ b/crates/store/src/feed/publisher/mod.rs
@@ -268,7 +268,7 @@
             let Some((key, item)) = table.next_after(&self.position) else { return };
             let (revision, complete) = (item.revision, item.bytes.clone());
             let position = Position { revision, after_item: Some(key.clone()) };
-            let Some(bytes) = self.bytes_to_send(&position, complete, table) else {
+            let Some(bytes) = self.encoded_for_subscriber(&position, complete, table) else {
                 self.position = position; // the subscriber has this list already
                 continue;
             };
@@ -310,7 +310,7 @@
 
     /// Returns an item as it is sent to this subscriber: the list as a delta from the subscriber's version if there is
     /// one, any other item complete. Returns `None` for the list if the subscriber has the newest version.
-    fn bytes_to_send(
+    fn encoded_for_subscriber(
         &mut self,
         position: &Position,
         complete: Arc<[u8]>,
--- a/crates/store/src/feed/subscriber/mod.rs
+++ b/crates/store/src/feed/subscriber/mod.rs
@@ -69,6 +69,7 @@
     pub table: FeedTable,
     selector: PublisherSelector,
     connection: ConnectionState,
+    /// The item whose parts are being received.
     partial: Option<PartiallyReceivedItem>,
     /// Whether to request the next list complete, because a delta could not be applied.
     needs_complete_list: bool,
@@ -78,7 +79,7 @@
     fresh_as_of: Option<i64>,
     /// The number of publishers in a row that were left because they were stale.
     consecutive_stale_publishers: u32,
-    /// Whether the publisher has rejected the session for a reason that may not hold for another one.
+    /// Whether the publisher has rejected the session for a reason that may not apply to other publishers.
     is_declined: bool,
     counters: Counters,
 }
--- a/crates/store/src/freshness.rs
+++ b/crates/store/src/freshness.rs
@@ -18,9 +18,10 @@
     pub config: u64,
 }
 
-/// A confirmation by the leader, which takes effect once the entry with its index is applied here.
+/// A confirmation by the leader, which takes effect once this node has applied the entry with its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingConfirmation {
+    /// The index up to which everything was committed, as the leader stated.
     index: u64,
     /// The time at which the confirmation was requested.
     requested_at: Millis,
@@ -37,7 +38,7 @@
     config: u64,
     /// The time at which the startup is complete even without a confirmation.
     startup_deadline: Millis,
-    /// The latest point in time for which everything committed by then is known to be applied here.
+    /// The latest point in time for which everything committed by then is known to be applied on this node.
     confirmed_at: Option<Millis>,
     started_at: Millis,
     pending: Option<PendingConfirmation>,
@@ -111,7 +112,7 @@
         });
     }
 
-    /// Records that everything up to this index is applied here.
+    /// Records that this node has applied everything up to this index.
     pub fn index_applied(&mut self, index: u64) {
         if let Some(pending) = self.pending
             && index >= pending.index
--- a/crates/store/src/members.rs
+++ b/crates/store/src/members.rs
@@ -37,7 +37,7 @@
     /// The caller's address differs from the one that the members know: its disk may be a copy.
     #[error("member {member} is at {known}, not at {found}: is its disk a copy?")]
     AddressMismatch {
-        /// The member.
+        /// The id that the caller gives.
         member: MemberId,
         /// The address that the members know.
         known: String,
@@ -53,9 +53,9 @@
     /// The new member's address belongs to another member.
     #[error("{addr} is the address of member {member}")]
     AddressInUse {
-        /// The address.
+        /// The new member's address.
         addr: String,
-        /// The member that has it.
+        /// The member that already has this address.
         member: MemberId,
     },
     /// The caller is not a subscriber, and a relay serves only subscribers.
--- a/crates/store/src/message.rs
+++ b/crates/store/src/message.rs
@@ -59,7 +59,7 @@
     },
     /// Removes a member.
     RemoveMember {
-        /// The member.
+        /// The member to remove.
         member: MemberId,
         /// Whether to remove it even if no quorum of the others is reachable.
         force: bool,
@@ -78,7 +78,7 @@
 /// A member as listed in a [`Status`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The member.
+    /// The member's id.
     pub member: MemberId,
     /// The address that it listens on.
     pub addr: String,
@@ -118,23 +118,23 @@
 /// A response to a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Response {
-    /// To [`Request::AppendEntries`].
+    /// The response to [`Request::AppendEntries`].
     AppendEntries(Result<AppendEntriesResponse<MemberId>, RaftError<MemberId>>),
-    /// To [`Request::Vote`].
+    /// The response to [`Request::Vote`].
     Vote(Result<VoteResponse<MemberId>, RaftError<MemberId>>),
-    /// To [`Request::InstallSnapshot`].
+    /// The response to [`Request::InstallSnapshot`].
     InstallSnapshot(Result<InstallSnapshotResponse<MemberId>, RaftError<MemberId, InstallSnapshotError>>),
-    /// To [`Request::Propose`].
+    /// The response to [`Request::Propose`].
     Proposed(Result<Reply, RequestError>),
-    /// To [`Request::ReadIndex`].
+    /// The response to [`Request::ReadIndex`].
     ReadIndex(Result<u64, RequestError>),
-    /// To [`Request::Status`].
+    /// The response to [`Request::Status`].
     Status(Box<Status>),
-    /// To [`Request::AddMember`] and [`Request::RemoveMember`], and to any request that is rejected.
+    /// The response to [`Request::AddMember`] and [`Request::RemoveMember`], and to any request that is rejected.
     MembersChanged(Result<(), RequestError>),
-    /// To [`Request::ReadDocument`]: the revisions, from the oldest to the latest.
+    /// The response to [`Request::ReadDocument`]: the revisions, from the oldest to the latest.
     Document(Vec<Revision>),
-    /// To [`Request::ExportSnapshot`]: a sealed snapshot.
+    /// The response to [`Request::ExportSnapshot`]: a sealed snapshot.
     Snapshot(Result<Vec<u8>, RequestError>),
 }
 
--- a/crates/store/src/state/change.rs
+++ b/crates/store/src/state/change.rs
@@ -26,11 +26,11 @@
     Document {
         /// The document's name.
         name: String,
-        /// Its text.
+        /// The document's new text.
         text: String,
-        /// Who wrote it.
+        /// Who wrote the text.
         author: String,
-        /// When it was written, in ms of Unix time by the author's clock.
+        /// When the text was written, in ms of Unix time by the author's clock.
         at_ms: u64,
         /// The revision that must be the latest one for the change to be made; 0 for a new document. `None` accepts
         /// any.
@@ -51,7 +51,7 @@
     Override {
         /// The server's id.
         server: String,
-        /// The override.
+        /// The override to set.
         admin_override: AdminOverride,
     },
     /// Restores the state of another cluster's snapshot into an empty store.
@@ -110,9 +110,9 @@
     /// A list of the same or a newer version is already committed.
     #[error("list version {proposed} is not newer than {committed}")]
     StaleList {
-        /// The proposed version.
+        /// The version of the proposed list.
         proposed: u64,
-        /// The committed version.
+        /// The version of the committed list.
         committed: u64,
     },
     /// A text or a name is too long.
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -42,6 +42,7 @@
 /// The last proposal that was carried out for a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct LastProposal {
+    /// The number of the proposal among those of its client.
     sequence: u64,
     reply: Reply,
     /// The index of the proposal's log entry.
--- a/crates/store/tests/compatibility/disk.rs
+++ b/crates/store/tests/compatibility/disk.rs
@@ -1,7 +1,8 @@
 //! The replica's database file: identity, vote, log and snapshot.
 //!
-//! Most pages of the file are empty, so its fixture has only the file's length and its other pages. The rows of
-//! the database's tables are another fixture, because the program has to write them byte for byte.
+//! One fixture is the file: its length and its pages, without the empty ones, which are most of them. The program has
+//! to read this file, but may write other pages. A second fixture has the rows of the database's tables, which the
+//! program has to write byte for byte.
 
 use std::fs;
 use std::path::Path;
--- a/crates/store/tests/feed_sim/cluster.rs
+++ b/crates/store/tests/feed_sim/cluster.rs
@@ -17,7 +17,7 @@
 }
 
 /// A committed entry; its index is its position in the log, from 1.
-pub(crate) struct Entry {
+pub(crate) struct CommittedEntry {
     /// The time of its commit.
     pub at: Millis,
     /// The number of purges up to this entry.
@@ -27,7 +27,7 @@
 
 #[derive(Default)]
 pub(crate) struct Log {
-    pub entries: Vec<Entry>,
+    pub entries: Vec<CommittedEntry>,
     /// The purged keys.
     pub purges: Vec<String>,
     /// The version of the latest list.
@@ -40,13 +40,13 @@
 pub(crate) struct Member {
     pub table: FeedTable,
     applied: usize,
-    /// Until when it is down.
+    /// Until when the member is down.
     pub down_until: Millis,
-    /// Until when it lags: it applies nothing, and doesn't count towards a quorum.
+    /// Until when the member lags: it applies nothing, and doesn't count towards a quorum.
     pub lagging_until: Millis,
     /// The latest time for which everything committed by then is known to be applied.
     pub confirmed_at: Option<Millis>,
-    /// The read index that it has yet to apply, and the time at which it requested it.
+    /// The read index that the member has yet to apply, and the time at which the member requested it.
     pending_read_index: Option<(usize, Millis)>,
 }
 
@@ -84,7 +84,7 @@
             }
         };
         let purges = self.purge_count();
-        self.entries.push(Entry { at, purges, change });
+        self.entries.push(CommittedEntry { at, purges, change });
     }
 
     /// Changes a few servers of the list.
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -52,18 +52,18 @@
 /// A relay or a subscriber.
 pub(crate) struct Node {
     pub subscriber: Subscriber,
-    /// The addresses of its publishers, by tier.
+    /// The addresses of the node's publishers, by tier.
     tiers: Vec<Vec<String>>,
-    /// The state that it has saved on its disk.
+    /// The state that the node has saved on its disk.
     disk: FeedTable,
-    /// When its current incarnation started.
+    /// When the node's current incarnation started.
     pub started_at: Millis,
     pub incarnation: u64,
-    /// Until when it is down; none while it runs.
+    /// Until when the node is down; none while it runs.
     down_until: Option<Millis>,
-    /// Until when it reads nothing.
+    /// Until when the node reads nothing from its connection.
     slow_until: Millis,
-    /// The id of its connection to a publisher.
+    /// The id of the node's connection to a publisher; none while it has no connection.
     conn: Option<u64>,
     pub observed: Observed,
 }
--- a/crates/store/tests/feed_sim/net.rs
+++ b/crates/store/tests/feed_sim/net.rs
@@ -43,7 +43,8 @@
         let limits = SessionLimits::default();
         let (since, sent_bytes) = self.sent.get_or_insert((now, 0));
         *sent_bytes += bytes as u64 + 72; // with the overhead of a frame on the network
-        // A frame may overdraw the token bucket, and heartbeats are sent in any case.
+        // The limit includes frames that overdraw the token bucket, and the heartbeats, which are sent even when it is
+        // empty.
         let elapsed = now - *since;
         let max_bytes = limits.burst_bytes
             + limits.purge_reserve_bytes
--- a/crates/store/tests/hostile/mod.rs
+++ b/crates/store/tests/hostile/mod.rs
@@ -1,5 +1,5 @@
 //! Feeds arbitrary bytes to all decoders, for the fuzz targets and the replay of their corpus. The bytes have to be
-//! rejected or decoded completely, and nothing may panic.
+//! rejected or decoded completely, and nothing may panic. Each function has the name of its fuzz target.
 #![allow(dead_code)] // each fuzz target uses only its own function
 
 use stonefold_store::codec::{decode, encode};
--- a/crates/store/tests/sim/check.rs
+++ b/crates/store/tests/sim/check.rs
@@ -9,9 +9,9 @@
 pub(crate) struct Operation {
     pub name: String,
     pub started: u128,
-    /// The time at which it completed, and the document's revision then; none for a write whose reply did not arrive.
+    /// When the operation completed, and the revision that it read or wrote; none for a write whose reply did not arrive.
     pub completed: Option<(u128, u64)>,
-    /// The text that it wrote or read; empty if it read no document.
+    /// The text that the operation wrote or read; empty if it read no document.
     pub text: String,
     pub write: bool,
     /// The revision that a write requires to be the latest one before it; none if any may be.
@@ -27,17 +27,17 @@
     pub list: u64,
 }
 
-/// Checks all invariants. Returns the first violation. `last` has the final state of each replica.
+/// Checks all invariants. Returns the first violation. `final_states` has the final state of each replica.
 pub(crate) fn check(
     operations: &[Operation],
     list_uses: &[ListUse],
-    last: &[AppliedState],
+    final_states: &[AppliedState],
 ) -> Result<(), String> {
-    for applied in last {
+    for applied in final_states {
         check_acknowledged(operations, applied)?;
     }
     check_linearizable(operations)?;
-    if let Some(pair) = last.windows(2).find(|pair| pair[0].state != pair[1].state) {
+    if let Some(pair) = final_states.windows(2).find(|pair| pair[0].state != pair[1].state) {
         return Err(format!("replicas differ at {:?} and {:?}", pair[0].last, pair[1].last));
     }
     check_lists_never_go_back(list_uses)
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -49,7 +49,7 @@
 const CLUSTER: u128 = 0x5f01d;
 /// How long faults are injected.
 const FAULTS_DURATION: Duration = Duration::from_secs(12);
-/// How long the cluster may take to recover from them.
+/// How long the cluster may take to recover after the faults have ended.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What the clients and the nodes record during a run.
@@ -291,7 +291,7 @@
     }
 }
 
-/// Uses lists as a node does: each new one that it may use.
+/// Uses lists as a node does: each list that is newer than the one in use, if it may be used.
 async fn use_lists(
     member: MemberId,
     incarnation: u64,
