--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -27,25 +27,25 @@
 /// Why a datagram is rejected as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// It is shorter than any message, or truncated.
+    /// The datagram is shorter than any message, or truncated.
     #[error("datagram is too short or truncated")]
     TooShort,
-    /// It is longer than [`MAX_DATAGRAM`].
+    /// The datagram is longer than [`MAX_DATAGRAM`].
     #[error("datagram is longer than {MAX_DATAGRAM} bytes")]
     TooLong,
-    /// It has another version of the format.
+    /// The datagram has another version of the format.
     #[error("datagram has another protocol version")]
     UnknownVersion,
-    /// It belongs to another cluster.
+    /// The datagram belongs to another cluster.
     #[error("datagram belongs to another cluster")]
     WrongCluster,
-    /// It is signed with a key that this node does not have.
+    /// The datagram is signed with a key that this node does not have.
     #[error("datagram is signed with an unknown key")]
     UnknownKey,
-    /// Its authentication code is wrong.
+    /// The datagram's authentication code is wrong.
     #[error("authentication code of the datagram is wrong")]
     BadMac,
-    /// It is authentic, but does not decode to a message.
+    /// The datagram is authentic, but does not decode to a message.
     #[error("datagram does not decode to a message")]
     Malformed,
     /// A name is too long, or does not hash to its member's id.
--- a/crates/membership/src/detector/event.rs
+++ b/crates/membership/src/detector/event.rs
@@ -25,66 +25,67 @@
 pub enum Event {
     /// A member that was not known has joined.
     Joined {
-        /// Its name.
+        /// The member's name.
         name: String,
     },
     /// A member did not answer a probe of this node or of another one.
     Suspected {
-        /// Its name.
+        /// The member's name.
         name: String,
-        /// The member that suspects it.
+        /// The member that suspects the named one.
         by: MemberId,
     },
     /// A suspicion has ended, because the member refuted it or is known to be alive.
     Refuted {
-        /// Its name.
+        /// The member's name.
         name: String,
     },
     /// A member did not refute its suspicion, and did not answer this node's confirming probe.
     Failed {
-        /// Its name.
+        /// The member's name.
         name: String,
-        /// The members that suspected it.
+        /// The members that suspected the failed one.
         suspected_by: Vec<MemberId>,
     },
     /// A member that had failed or left is back.
     Returned {
-        /// Its name.
+        /// The member's name.
         name: String,
     },
     /// A member runs in a new process.
     Restarted {
-        /// Its name.
+        /// The member's name.
         name: String,
     },
     /// A member has announced that it leaves.
     Left {
-        /// Its name.
+        /// The member's name.
         name: String,
     },
     /// The reachability of a live member from this node has changed.
     ReachabilityChanged {
-        /// Its name.
+        /// The member's name.
         name: String,
-        /// Its reachability from now on.
+        /// The member's new reachability.
         reachability: Reachability,
     },
     /// A member that failed or left long ago was removed.
     Reaped {
-        /// Its name.
+        /// The member's name.
         name: String,
     },
     /// Another member has declared this node failed. This node has refuted that.
     DeclaredFailed {
-        /// The member that declared it.
+        /// The member that declared this node failed.
         by: MemberId,
     },
     /// This process was paused, or its timers were late. Answers missing in that time cause no suspicion.
     Paused {
-        /// For how long.
+        /// How long the pause or the delay of the timers lasted.
         duration: Micros,
     },
-    /// A later process runs under this node's name. This one no longer takes part.
+    /// Another process, which started later, runs under this node's name. This process no longer takes part in the
+    /// membership protocol.
     NameConflict {
         /// The address of the other process.
         address: SocketAddr,
@@ -94,14 +95,14 @@
 /// How many messages and updates were dropped, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounters {
-    /// Messages that had been received before.
+    /// The number of messages that had been received before.
     pub replayed: u64,
-    /// Claims about an incarnation too far in the future.
+    /// The number of updates about an incarnation too far in the future.
     pub far_future: u64,
-    /// Claims about an outdated incarnation.
+    /// The number of updates about an outdated incarnation.
     pub stale: u64,
-    /// New members beyond [`Settings::max_members`](crate::Settings::max_members).
+    /// The number of updates about new members beyond [`Settings::max_members`](crate::Settings::max_members).
     pub members_full: u64,
-    /// Synchronisation digests of the wrong length.
+    /// The number of messages with the wrong number of bucket digests.
     pub malformed: u64,
 }
--- a/crates/membership/src/detector/mod.rs
+++ b/crates/membership/src/detector/mod.rs
@@ -67,6 +67,7 @@
     relayed_pings: VecDeque<RelayedPing>,
     /// The sequence number of the message that was sent last.
     sequence: u64,
+    /// The number of the next probe or relayed ping.
     next_probe_number: u32,
     schedule: Schedule,
     /// The latest time for the next call of `on_timer`, as last stated to the caller.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -42,25 +42,25 @@
 /// The state of a member in a node's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It answers probes, of this node or of others.
+    /// The member answers probes, of this node or of others.
     Alive,
-    /// It did not answer a probe of this node or of another one; it may refute the suspicion.
+    /// The member did not answer a probe of this node or of another one; it may refute the suspicion.
     Suspect,
-    /// It was declared failed: it did not refute the suspicion in time, nor answer a confirming probe.
+    /// The member was declared failed: it did not refute the suspicion in time, nor answer a confirming probe.
     Failed,
-    /// It announced that it leaves the cluster.
+    /// The member announced that it leaves the cluster.
     Left,
 }
 
 /// Whether a member answers this node's own pings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Reachability {
-    /// No probe of it has shown that yet.
+    /// No probe of the member has ended yet that shows whether it answers.
     #[default]
     Unknown,
-    /// It answers this node.
+    /// The member answers this node.
     Direct,
-    /// It answers other members, but not this node.
+    /// The member answers other members, but not this node.
     IndirectOnly,
 }
 
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -19,13 +19,13 @@
     pub sequence: u64,
     /// A hash of the sender's view; it reveals views that differ.
     pub digest: u32,
-    /// What the message is for.
+    /// The kind of the message and its content.
     pub body: Body,
     /// Updates about members, which may include the sender.
     pub updates: Vec<Update>,
 }
 
-/// What a message is for.
+/// The kind of a message and its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// Asks for an [`Ack`](Body::Ack) with the same number.
@@ -44,7 +44,7 @@
         probe: u32,
         /// The member to ping.
         target: MemberId,
-        /// Its address, as the sender knows it.
+        /// The address of the member to ping, as the sender knows it.
         address: SocketAddr,
     },
     /// The target of a ping request has answered the ping.
@@ -71,9 +71,9 @@
 /// An update about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The member.
+    /// The member that the update is about.
     pub id: MemberId,
-    /// The incarnation of the member that the claim is about.
+    /// The incarnation of this member that the claim is about.
     pub incarnation: u64,
     /// What is claimed.
     pub claim: Claim,
@@ -82,21 +82,21 @@
 /// What an update claims about its member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claim {
-    /// It states itself that it is alive.
+    /// The member itself states that it is alive.
     Alive(Profile),
-    /// It did not answer a probe.
+    /// The member did not answer a probe.
     Suspect {
-        /// The member that suspects it.
+        /// The other member that suspects it.
         by: MemberId,
     },
-    /// It was declared failed.
+    /// The member was declared failed.
     Failed {
-        /// The member that declared it failed.
+        /// The other member that declared it failed.
         by: MemberId,
         /// The failed member's profile, for nodes that don't know it.
         profile: Profile,
     },
-    /// It states itself that it leaves the cluster.
+    /// The member itself states that it leaves the cluster.
     Left(Profile),
 }
 
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -7,11 +7,11 @@
 /// Why a member is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// It is the member's turn in this protocol period.
+    /// The member is the next one in probe order; one member is probed per protocol period.
     Periodic,
-    /// Its suspicion has expired. This probe is its last chance to answer before it is declared failed.
+    /// The suspicion of the member has expired. It is declared failed unless it answers this probe.
     Confirming,
-    /// It has failed and may be back.
+    /// The member has failed and may be back.
     Recovery,
 }
 
@@ -25,9 +25,9 @@
     pub(crate) started: Micros,
     /// Whether the target has answered an indirect probe.
     pub(crate) indirectly_acked: bool,
-    /// Pings sent so far.
+    /// The number of pings sent so far.
     sent: u32,
-    /// Pings in all.
+    /// The number of pings that the probe sends in all.
     pings: u32,
     /// When the next ping is due or, after the last one, the probe times out.
     pub(crate) next_step: Micros,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -61,17 +61,18 @@
     pub probe_interval: Micros,
     /// An unanswered ping of a probe is repeated after this time, multiplied by the factor of the local health score.
     pub ping_timeout: Micros,
-    /// Pings of a periodic probe before its target is suspected.
+    /// The number of unanswered pings of a periodic probe after which its target is suspected.
     pub pings: u32,
-    /// Members that are asked for an indirect probe with each ping from the second on: the parameter k of SWIM.
+    /// The number of members that are asked for an indirect probe with each ping of a probe except the first: the
+    /// parameter k of SWIM.
     pub indirect_probes: usize,
-    /// Pings of the confirming probe, before a member is declared failed.
+    /// The number of unanswered pings of a confirming probe after which its target is declared failed.
     pub confirming_pings: u32,
-    /// Confirming probes that run at the same time at most. Other expired suspicions wait.
+    /// The most confirming probes that run at the same time. Other expired suspicions wait.
     pub max_confirming_probes: usize,
     /// Queued updates are sent this often.
     pub gossip_interval: Micros,
-    /// Members that receive queued updates each time.
+    /// The number of members to which queued updates are sent per gossip interval.
     pub gossip_fanout: usize,
     /// How many times a node sends the same update, and to how many members it announces that it leaves.
     pub transmissions: u32,
@@ -82,7 +83,7 @@
     pub min_suspicion: Micros,
     /// The timeout of an unconfirmed suspicion is this many times the shortest one.
     pub max_suspicion_multiplier: u64,
-    /// Independent confirmations that shorten a suspicion timeout to its minimum.
+    /// The number of independent confirmations that shorten a suspicion timeout to its minimum.
     pub confirmations: usize,
     /// A timer that fires late by more than this shows that the process was paused.
     pub pause_threshold: Micros,
@@ -100,7 +101,7 @@
     /// Incarnations that are further in the future are rejected, in milliseconds. The margin covers clocks that differ
     /// between nodes.
     pub max_incarnation_lead_ms: u64,
-    /// The most other members that are known; further ones are rejected.
+    /// The most members, without this node, that a node records; further ones are rejected.
     pub max_members: usize,
 }
 
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -38,7 +38,7 @@
     message.updates.iter().any(is_notice)
 }
 
-/// How every link treats datagrams.
+/// The loss, duplication and delay of datagrams, the same on every link.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Network {
     /// The fraction of datagrams that are lost.
