--- a/crates/store/examples/feed_simulate.rs
+++ b/crates/store/examples/feed_simulate.rs
@@ -9,7 +9,7 @@
 use std::process::exit;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use feed_sim::{Broken, run};
+use feed_sim::{InjectedBug, run};
 
 fn main() {
     let mut numbers = support::number_args::<u64>().expect("arguments must be numbers").into_iter();
@@ -17,7 +17,7 @@
     let workers = numbers.next().unwrap_or(2) as usize;
     let [changes, purges, kills, disconnected, failed] = [0; 5].map(AtomicU64::new);
     support::run_seeds(first..first + count, workers, |seed| {
-        let report = run(seed, Broken::Nothing);
+        let report = run(seed, InjectedBug::None);
         changes.fetch_add(report.changes as u64, Ordering::Relaxed);
         purges.fetch_add(report.purges, Ordering::Relaxed);
         kills.fetch_add(report.kills, Ordering::Relaxed);
--- a/crates/store/examples/simulate.rs
+++ b/crates/store/examples/simulate.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use sim::{Broken, run};
+use sim::{InjectedBug, run};
 
 fn main() {
     let mut numbers = support::number_args::<u64>().expect("arguments must be numbers").into_iter();
@@ -19,7 +19,7 @@
     let [operations, kills, failed] = [0; 3].map(AtomicU64::new);
     let workers = thread::available_parallelism().map_or(2, |cores| cores.get());
     support::run_seeds(first..first + count, workers, |seed| {
-        let report = run(seed, members, Broken::Nothing);
+        let report = run(seed, members, InjectedBug::None);
         operations.fetch_add(report.answered as u64, Ordering::Relaxed);
         kills.fetch_add(report.kills, Ordering::Relaxed);
         if let Err(violation) = report.verdict {
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -24,14 +24,14 @@
 
 /// A bug that is injected to test the checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Broken {
-    Nothing,
+pub(crate) enum InjectedBug {
+    None,
     /// Publishers sometimes leave out a record.
-    Record,
+    OmittedRecord,
     /// Nodes sometimes drop purges.
-    Purge,
+    DroppedPurge,
     /// Nodes lose their saved state when they restart.
-    Disk,
+    LostSavedState,
 }
 
 /// The step of the virtual time.
@@ -82,7 +82,7 @@
     pub members: Vec<Member>,
     pub nodes: Vec<Node>,
     net: Network,
-    broken: Broken,
+    bug: InjectedBug,
     pub kills: u64,
     /// The number of slow subscribers that were disconnected.
     pub disconnected: u64,
@@ -128,8 +128,8 @@
 }
 
 /// Runs the simulation once.
-pub(crate) fn run(seed: u64, broken: Broken) -> Report {
-    let mut world = World::new(seed, broken);
+pub(crate) fn run(seed: u64, bug: InjectedBug) -> Report {
+    let mut world = World::new(seed, bug);
     let verdict = world.run();
     Report {
         verdict,
@@ -141,7 +141,7 @@
 }
 
 impl World {
-    fn new(seed: u64, broken: Broken) -> World {
+    fn new(seed: u64, bug: InjectedBug) -> World {
         let mut rng = Rng::with_seed(seed);
         let node = |n: usize| Node {
             subscriber: subscriber(n, &FeedTable::default(), rng.u64(..)),
@@ -157,7 +157,7 @@
         let nodes = (0..NODES).map(node).collect();
         let members = (0..MEMBERS).map(|_| Member::default()).collect();
         let (log, net) = (Log::default(), Network::default());
-        World { now: 0, rng, log, members, nodes, net, broken, kills: 0, disconnected: 0, rejected: 0 }
+        World { now: 0, rng, log, members, nodes, net, bug, kills: 0, disconnected: 0, rejected: 0 }
     }
 
     fn run(&mut self) -> Result<(), String> {
@@ -233,11 +233,12 @@
 
     /// Restarts the nodes whose downtime is over.
     fn restart_nodes(&mut self) {
-        let (now, broken) = (self.now, self.broken);
+        let (now, bug) = (self.now, self.bug);
         for n in 0..NODES {
             let node = &mut self.nodes[n];
             if node.down_until.is_some_and(|until| until <= now) {
-                let disk = if broken == Broken::Disk { FeedTable::default() } else { node.disk.clone() };
+                let disk =
+                    if bug == InjectedBug::LostSavedState { FeedTable::default() } else { node.disk.clone() };
                 (node.subscriber, node.down_until, node.started_at) =
                     (subscriber(n, &disk, self.rng.u64(..)), None, now);
                 (node.incarnation, node.conn, node.slow_until) = (node.incarnation + 1, None, 0);
@@ -386,7 +387,7 @@
 
     /// Processes a frame that a subscriber receives. Returns whether the connection goes on.
     fn receive_at_subscriber(&mut self, n: usize, bytes: &[u8]) -> Result<bool, String> {
-        let (now, broken) = (self.now, self.broken);
+        let (now, bug) = (self.now, self.bug);
         let node = &mut self.nodes[n];
         let local_now = now - node.started_at;
         match node.subscriber.on_frame(bytes, local_now) {
@@ -395,7 +396,7 @@
                     if let Event::Changed(_) = &event {
                         node.disk = node.subscriber.table.clone();
                     }
-                    let dropped = broken == Broken::Purge && self.rng.u32(..200) == 0;
+                    let dropped = bug == InjectedBug::DroppedPurge && self.rng.u32(..200) == 0;
                     node.observed.on_event(event, &node.subscriber.table, now, dropped)?;
                 }
                 Ok(true)
@@ -434,9 +435,9 @@
         Ok(())
     }
 
-    /// With [`Broken::Record`], removes the first record of some updates.
+    /// With [`InjectedBug::OmittedRecord`], removes the first record of some updates.
     fn maybe_drop_record(&mut self, bytes: Vec<u8>) -> Vec<u8> {
-        if self.broken != Broken::Record || self.rng.u32(..20) > 0 {
+        if self.bug != InjectedBug::OmittedRecord || self.rng.u32(..20) > 0 {
             return bytes;
         }
         match decode_frame::<PublisherFrame>(&bytes) {
--- a/crates/store/tests/feed_simulation.rs
+++ b/crates/store/tests/feed_simulation.rs
@@ -5,13 +5,13 @@
 
 use std::thread;
 
-use feed_sim::{Broken, run};
+use feed_sim::{InjectedBug, run};
 
 #[test]
 fn no_change_is_skipped_or_reverted_and_without_faults_all_arrive_in_time() {
     let run_worker = |worker: u64| {
         (worker..50).step_by(4).fold((0, 0), |(kills, disconnected), seed| {
-            let report = run(seed, Broken::Nothing);
+            let report = run(seed, InjectedBug::None);
             assert_eq!(report.verdict, Ok(()), "seed {seed}");
             (kills + report.kills, disconnected + report.disconnected)
         })
@@ -30,12 +30,13 @@
 
 #[test]
 fn the_checker_detects_a_lost_record_a_lost_purge_and_an_older_version() {
-    for (broken, expected) in
-        [(Broken::Record, "skipped"), (Broken::Purge, "comes after"), (Broken::Disk, "went back")]
-    {
-        let found = (0..50).find_map(|seed| {
-            run(seed, broken).verdict.err().filter(|violation| violation.contains(expected))
-        });
-        assert!(found.is_some(), "{broken:?} is detected with none of 50 seeds");
+    for (bug, expected) in [
+        (InjectedBug::OmittedRecord, "skipped"),
+        (InjectedBug::DroppedPurge, "comes after"),
+        (InjectedBug::LostSavedState, "went back"),
+    ] {
+        let found = (0..50)
+            .find_map(|seed| run(seed, bug).verdict.err().filter(|violation| violation.contains(expected)));
+        assert!(found.is_some(), "{bug:?} is detected with none of 50 seeds");
     }
 }
--- a/crates/store/tests/sim/client.rs
+++ b/crates/store/tests/sim/client.rs
@@ -9,7 +9,7 @@
 
 use super::check::Operation;
 use super::net::{Network, SimulatedTransport};
-use super::{Broken, FAULTS_DURATION, Records};
+use super::{FAULTS_DURATION, InjectedBug, Records};
 
 /// How long an operation may take.
 const OPERATION_TIMEOUT: Duration = Duration::from_secs(2);
@@ -19,7 +19,7 @@
     id: u64,
     net: Network,
     records: Arc<Mutex<Records>>,
-    broken: Broken,
+    bug: InjectedBug,
     start: Instant,
     sequence: u64,
 }
@@ -41,8 +41,8 @@
 }
 
 impl Client {
-    pub(crate) fn new(id: u64, net: Network, records: Arc<Mutex<Records>>, broken: Broken) -> Client {
-        Client { id, net, records, broken, start: Instant::now(), sequence: 0 }
+    pub(crate) fn new(id: u64, net: Network, records: Arc<Mutex<Records>>, bug: InjectedBug) -> Client {
+        Client { id, net, records, bug, start: Instant::now(), sequence: 0 }
     }
 
     /// Carries out operations for as long as faults are injected.
@@ -81,7 +81,7 @@
 
     async fn read(&self, member: &Member, name: String, deadline: Instant) -> Option<Operation> {
         let started = self.elapsed().as_nanos();
-        if self.broken != Broken::Quorum && member.replica.confirm(deadline).await.is_err() {
+        if self.bug != InjectedBug::UnconfirmedReads && member.replica.confirm(deadline).await.is_err() {
             return None;
         }
         if !self.is_running(member) {
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -24,13 +24,13 @@
 
 /// A bug that is injected to test the checker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) enum Broken {
+pub(crate) enum InjectedBug {
     #[default]
-    Nothing,
+    None,
     /// Writes are acknowledged before they are synced.
-    Sync,
+    MissingSync,
     /// Reads are not confirmed by a quorum.
-    Quorum,
+    UnconfirmedReads,
 }
 
 /// The result of a run.
@@ -64,7 +64,7 @@
     disks: BTreeMap<MemberId, MemoryDisk>,
     incarnations: u64,
     kills: u64,
-    broken: Broken,
+    bug: InjectedBug,
     records: Arc<Mutex<Records>>,
     /// The member in each slot. A removed member is replaced by a new one.
     slots: Vec<MemberId>,
@@ -73,16 +73,16 @@
 }
 
 /// Simulates a cluster with this many members.
-pub(crate) fn run(seed: u64, members: u64, broken: Broken) -> Report {
+pub(crate) fn run(seed: u64, members: u64, bug: InjectedBug) -> Report {
     fastrand::seed(seed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    runtime.unwrap().block_on(simulate(members, broken))
+    runtime.unwrap().block_on(simulate(members, bug))
 }
 
-async fn simulate(members: u64, broken: Broken) -> Report {
-    let mut cluster = Cluster::bootstrap(members, broken).await;
+async fn simulate(members: u64, bug: InjectedBug) -> Report {
+    let mut cluster = Cluster::bootstrap(members, bug).await;
     let clients: Vec<_> = (0..4)
-        .map(|id| Client::new(id, cluster.net.clone(), cluster.records.clone(), broken))
+        .map(|id| Client::new(id, cluster.net.clone(), cluster.records.clone(), bug))
         .map(|client| tokio::spawn(client.run()))
         .collect();
     let end = Instant::now() + FAULTS_DURATION;
@@ -99,14 +99,14 @@
 
 impl Cluster {
     /// Starts the members, and adds all of them to a cluster as voters.
-    async fn bootstrap(members: u64, broken: Broken) -> Cluster {
+    async fn bootstrap(members: u64, bug: InjectedBug) -> Cluster {
         let net = Network::default();
         let mut cluster = Cluster {
             net: net.clone(),
             disks: BTreeMap::new(),
             incarnations: 0,
             kills: 0,
-            broken,
+            bug,
             records: Arc::default(),
             slots: (1..=members).collect(),
             disk_error: None,
@@ -151,7 +151,7 @@
             Err(_) if full => return, // a full disk can't be opened
             Err(error) => return self.disk_error = Some(format!("a disk after a power cut: {error}")),
         };
-        let disk = if self.broken == Broken::Sync { disk.unsynced() } else { disk };
+        let disk = if self.bug == InjectedBug::MissingSync { disk.unsynced() } else { disk };
         let options = ReplicaOptions {
             snapshot_interval: 12,
             retained_entries: 3,
--- a/crates/store/tests/simulation.rs
+++ b/crates/store/tests/simulation.rs
@@ -7,7 +7,7 @@
 
 use sim::memory_disk::MemoryDisk;
 use sim::net::{Network, SimulatedTransport, addr};
-use sim::{Broken, run};
+use sim::{InjectedBug, run};
 use stonefold_store::disk::{Disk, Identity};
 use stonefold_store::message::{Caller, Request, Response};
 use stonefold_store::replica::{Replica, ReplicaOptions};
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// Runs many seeds on all cores. Returns the first seed that violates an invariant, and the violation.
-fn first_failure(seeds: std::ops::Range<u64>, members: u64, broken: Broken) -> Option<(u64, String)> {
+fn first_failure(seeds: std::ops::Range<u64>, members: u64, bug: InjectedBug) -> Option<(u64, String)> {
     let workers = thread::available_parallelism().map_or(2, |cores| cores.get()) as u64;
     thread::scope(|scope| {
         let runs: Vec<_> = (0..workers)
@@ -23,7 +23,7 @@
                 let worker_seeds = seeds.clone().filter(move |seed| seed % workers == worker);
                 scope.spawn(move || {
                     worker_seeds
-                        .map(|seed| (seed, run(seed, members, broken)))
+                        .map(|seed| (seed, run(seed, members, bug)))
                         .find_map(|(seed, report)| report.verdict.err().map(|violation| (seed, violation)))
                 })
             })
@@ -34,14 +34,14 @@
 
 #[test]
 fn acknowledged_writes_survive_and_state_never_goes_back() {
-    assert_eq!(first_failure(0..150, 3, Broken::Nothing), None);
-    assert_eq!(first_failure(1_000..1_050, 5, Broken::Nothing), None);
+    assert_eq!(first_failure(0..150, 3, InjectedBug::None), None);
+    assert_eq!(first_failure(1_000..1_050, 5, InjectedBug::None), None);
 }
 
 #[test]
 fn the_checker_detects_missing_syncs_and_reads_without_a_quorum() {
-    for broken in [Broken::Sync, Broken::Quorum] {
-        assert!(first_failure(0..40, 3, broken).is_some(), "{broken:?} is detected with none of 40 seeds");
+    for bug in [InjectedBug::MissingSync, InjectedBug::UnconfirmedReads] {
+        assert!(first_failure(0..40, 3, bug).is_some(), "{bug:?} is detected with none of 40 seeds");
     }
 }
 
