--- a/crates/membership/src/detector/suspecting.rs
+++ b/crates/membership/src/detector/suspecting.rs
@@ -94,7 +94,8 @@
 
     /// Declares a member failed that has not answered its confirming probe.
     ///
-    /// It does not if the missing answer may be this node's own fault, or if the member is known to be alive.
+    /// The member is not declared failed if the missing answer may be this node's own fault, or if the member is known
+    /// to be alive.
     pub(super) fn declare_failed(&mut self, id: MemberId, now: Micros, out: &mut Vec<Output>) {
         let Some(entry) = self.table.get_mut(id) else { return };
         if entry.member.state != State::Suspect {
@@ -110,7 +111,7 @@
         if entry.last_received.is_some_and(|at| at > suspicion.since) {
             return self.on_alive_without_direct_ack(id, Purpose::Confirming, now, out);
         }
-        // Other members are heard, but none of them answers: the messages of this node are lost.
+        // This node receives messages, but no answers to its pings: the messages that it sends are lost.
         if self.local_health.is_unacked_since(suspicion.since) {
             suspicion.restart(now);
             return;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -67,16 +67,16 @@
 /// A member as one node knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What its process states about itself.
+    /// What the member's process states about itself.
     pub profile: Profile,
     /// Orders the claims about the member: one about a higher incarnation wins. A process raises its own incarnation to
     /// refute a suspicion.
     pub incarnation: u64,
-    /// Its state in this node's view.
+    /// The member's state in this node's view.
     pub state: State,
-    /// Since when it has this state, by this node's clock.
+    /// Since when the member has this state, by this node's clock.
     pub since: Micros,
-    /// Whether it answers this node's own pings.
+    /// Whether the member answers this node's own pings.
     pub reachability: Reachability,
 }
 
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -7,9 +7,9 @@
 /// A suspicion of one member.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
-    /// When it began.
+    /// When the suspicion began, or was last restarted.
     pub(crate) since: Micros,
-    /// The members that suspect it, in the order in which this node learned of their suspicions.
+    /// The members that hold the suspicion, in the order in which this node learned of their suspicions.
     pub(crate) by: Vec<MemberId>,
     /// Whether the confirming probe has begun.
     pub(crate) confirming: bool,
@@ -36,7 +36,7 @@
         self.confirming = false;
     }
 
-    /// When it expires in a cluster of this size.
+    /// When the suspicion expires in a cluster of this size.
     pub(crate) fn expires_at(&self, cluster_size: usize, settings: &Settings) -> Micros {
         self.since.saturating_add(timeout(self.by.len() - 1, cluster_size, settings))
     }
--- a/crates/membership/tests/sim/cases.rs
+++ b/crates/membership/tests/sim/cases.rs
@@ -17,7 +17,7 @@
 /// In a fleet of at most 30 nodes, nodes that start together know each other after this time.
 const STARTUP_TIME: Micros = 20 * SECOND;
 
-/// A scenario.
+/// A scenario in a simulated fleet, and the rules that have to hold in it.
 pub(crate) struct Case {
     pub(crate) name: &'static str,
     /// Plays the scenario from a seed, with a defect if there is one, and returns the violations of its rules.
--- a/crates/store/src/feed/table.rs
+++ b/crates/store/src/feed/table.rs
@@ -18,7 +18,7 @@
 /// A position in the order of revisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// The revision.
+    /// The revision at which the position is.
     pub revision: u64,
     /// The last item of this revision that precedes the position. `None` if all items of the revision precede it.
     pub after_item: Option<ItemKey>,
@@ -27,7 +27,7 @@
 /// An encoded item and its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedItem {
-    /// The entry that set the item.
+    /// The index of the log entry that set the item.
     pub revision: u64,
     /// The encoded item.
     pub bytes: Arc<[u8]>,
@@ -88,7 +88,7 @@
         self.lists.back().map(|list| &list.text)
     }
 
-    /// All items.
+    /// All items, by their keys.
     pub fn items(&self) -> &BTreeMap<ItemKey, EncodedItem> {
         &self.items
     }
--- a/crates/store/src/members.rs
+++ b/crates/store/src/members.rs
@@ -11,9 +11,9 @@
 /// A member of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The address that it listens on.
+    /// The address that the member listens on.
     pub addr: String,
-    /// Whether it is a voter; otherwise it is a learner.
+    /// Whether the member is a voter; otherwise it is a learner.
     pub is_voter: bool,
 }
 
--- a/crates/store/src/message.rs
+++ b/crates/store/src/message.rs
@@ -29,7 +29,7 @@
 pub struct Introduction {
     /// The caller's cluster; 0 for a client that accepts any cluster.
     pub cluster: u128,
-    /// The caller.
+    /// The kind of the caller, and the id of a member.
     pub caller: Caller,
     /// The address that a member listens on; empty for any other caller.
     pub addr: String,
--- a/crates/store/src/state/change.rs
+++ b/crates/store/src/state/change.rs
@@ -15,7 +15,7 @@
     pub client: u64,
     /// The number of this proposal among those of the client, counted from 1.
     pub sequence: u64,
-    /// The change.
+    /// The proposed change.
     pub change: Change,
 }
 
@@ -120,7 +120,7 @@
     TooLong {
         /// The kind of value that is too long.
         what: String,
-        /// Its length, in bytes.
+        /// The length of the value, in bytes.
         bytes: u64,
         /// The longest accepted length, in bytes.
         max: u64,
@@ -128,7 +128,7 @@
     /// A limit of the state is reached.
     #[error("too many {what}: the limit is {max}")]
     LimitExceeded {
-        /// What there are too many of.
+        /// The kind of values whose number would exceed the limit.
         what: String,
         /// The largest number that is accepted.
         max: u64,
@@ -139,9 +139,9 @@
     /// A later proposal of the same client has been carried out.
     #[error("proposal {sequence} is outdated: proposal {last} of the same client has been carried out")]
     Superseded {
-        /// The proposal's number.
+        /// The number of the outdated proposal.
         sequence: u64,
-        /// The number of the client's latest proposal.
+        /// The number of the client's latest proposal that was carried out.
         last: u64,
     },
 }
--- a/crates/store/src/state/mod.rs
+++ b/crates/store/src/state/mod.rs
@@ -18,13 +18,13 @@
 /// A revision of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// The index of the log entry that wrote it, so revision numbers increase but are not consecutive.
+    /// The index of the log entry that wrote this revision, so revision numbers increase but are not consecutive.
     pub revision: u64,
     /// The document's text.
     pub text: String,
-    /// Who wrote it.
+    /// Who wrote this text.
     pub author: String,
-    /// When it was written, in ms of Unix time by the author's clock.
+    /// When the text was written, in ms of Unix time by the author's clock.
     pub at_ms: u64,
 }
 
--- a/crates/store/src/subscriber_folder.rs
+++ b/crates/store/src/subscriber_folder.rs
@@ -37,7 +37,7 @@
     /// The folder belongs to another cluster.
     #[error("{path} is of cluster {theirs:032x}, not of {ours:032x}", path = .path.display())]
     ForeignCluster {
-        /// The file.
+        /// The path of the subscriber's file.
         path: PathBuf,
         /// The cluster that the folder belongs to.
         theirs: u128,
--- a/crates/store/src/wire/feed.rs
+++ b/crates/store/src/wire/feed.rs
@@ -32,7 +32,7 @@
         Some((item.revision, Item::decode(&item.bytes).ok()?))
     }
 
-    /// All items.
+    /// All items, by their keys.
     pub fn items(&self) -> &BTreeMap<ItemKey, EncodedItem> {
         &self.items
     }
--- a/crates/store/tests/feed_sim/mod.rs
+++ b/crates/store/tests/feed_sim/mod.rs
@@ -61,7 +61,7 @@
     pub incarnation: u64,
     /// Until when the node is down; none while it runs.
     down_until: Option<Millis>,
-    /// Until when the node reads nothing from its connection.
+    /// Until when the node is slow: its subscriber takes no action, and reads nothing from its connection.
     slow_until: Millis,
     /// The id of the node's connection to a publisher; none while it has no connection.
     conn: Option<u64>,
