--- a/crates/store/src/feed/publisher/mod.rs
+++ b/crates/store/src/feed/publisher/mod.rs
@@ -49,7 +49,7 @@
     last_purge: u64,
     /// Whether the next frame has to report that the subscriber may lack purges up to `last_purge`.
     purge_gap: bool,
-    /// The latest time of the subscriber's clock that it has sent.
+    /// The latest time of the subscriber's clock that the subscriber has sent.
     subscriber_time: Millis,
     bucket: TokenBucket,
     last_sent_at: Option<Millis>,
--- a/crates/store/src/feed/selector.rs
+++ b/crates/store/src/feed/selector.rs
@@ -30,8 +30,8 @@
     publishers: Vec<String>,
     /// The time until which each publisher is avoided.
     avoided_until: HashMap<usize, Millis>,
-    /// Publishers that can't serve this subscriber at its revision. They are tried again once another publisher has
-    /// served it, or all publishers have declined.
+    /// Publishers that have rejected a session for a reason that may not apply to other publishers. They are tried
+    /// again once another publisher has served this subscriber, or all publishers have declined.
     declined: HashSet<usize>,
     consecutive_failures: u32,
     next_attempt_at: Millis,
@@ -49,7 +49,7 @@
 }
 
 impl PublisherSelector {
-    /// Creates the selector of the subscriber with this id. `seed` is that of the random times.
+    /// Creates the selector of the subscriber with this id. `seed` seeds the random times.
     pub fn new(subscriber: u64, tiers: &[Vec<String>], seed: u64) -> PublisherSelector {
         PublisherSelector {
             publishers: preference_order(subscriber, tiers),
@@ -105,7 +105,8 @@
         self.avoid(index, now, MAX_AVOIDANCE_MS);
     }
 
-    /// Records that a publisher can't serve this subscriber at its revision. Another publisher is tried soon, and this
+    /// Records that a publisher has rejected the session for a reason that may not apply to other publishers: it can't
+    /// serve this subscriber at its revision, or serves too many subscribers. Another publisher is tried soon, and this
     /// one not again for now: otherwise, relays that all lack what the subscriber needs would be tried in turn, and a
     /// member never.
     pub fn on_declined(&mut self, index: usize, now: Millis) {
--- a/crates/store/src/wire/publish.rs
+++ b/crates/store/src/wire/publish.rs
@@ -186,8 +186,8 @@
                 tokio::select! {
                     () = sleep_until(next_poll_at) => {}
                     () = acked.notified() => {}
-                    // This branch is disabled once the source has ended, as it doesn't change any more. Heartbeats
-                    // continue until the connections are closed.
+                    // Once the source has ended it makes no more changes, and `changed` returns an error, which
+                    // disables this branch. Heartbeats continue until the connection is closed.
                     Ok(()) = changes.changed() => {}
                 }
             }
--- a/crates/store/tests/sim/check.rs
+++ b/crates/store/tests/sim/check.rs
@@ -9,7 +9,8 @@
 pub(crate) struct Operation {
     pub name: String,
     pub started: u128,
-    /// When the operation completed, and the revision that it read or wrote; none for a write whose reply did not arrive.
+    /// When the operation completed, and the revision that it read or wrote; none for a write whose reply did not
+    /// arrive.
     pub completed: Option<(u128, u64)>,
     /// The text that the operation wrote or read; empty if it read no document.
     pub text: String,
