--- a/crates/membership/tests/sim/cases.rs
+++ b/crates/membership/tests/sim/cases.rs
@@ -317,8 +317,8 @@
     fleet.run_for(40 * SECOND);
     fleet.start_as(nodes, 1);
     let reported = |fleet: &Fleet| {
-        let conflict = |event: &Event| matches!(event, Event::NameConflict { .. });
-        fleet.events.iter().any(|(_, node, event)| *node == 1 && conflict(event))
+        let is_conflict = |event: &Event| matches!(event, Event::NameConflict { .. });
+        fleet.events.iter().any(|(_, node, event)| *node == 1 && is_conflict(event))
     };
     if fleet.run_until(30 * SECOND, reported).is_none() {
         violations.push("the older process does not report the name conflict".into());
