--- a/crates/store/src/feed/publisher/mod.rs
+++ b/crates/store/src/feed/publisher/mod.rs
@@ -49,7 +49,7 @@
     last_purge: u64,
     /// Whether the next frame has to report that the subscriber may lack purges up to `last_purge`.
     purge_gap: bool,
-    /// The latest time of the subscriber's clock that it has sent.
+    /// The latest time of the subscriber's clock that the subscriber has sent.
     subscriber_time: Millis,
     bucket: TokenBucket,
     last_sent_at: Option<Millis>,
@@ -268,7 +268,7 @@
             let Some((key, item)) = table.next_after(&self.position) else { return };
             let (revision, complete) = (item.revision, item.bytes.clone());
             let position = Position { revision, after_item: Some(key.clone()) };
-            let Some(bytes) = self.bytes_to_send(&position, complete, table) else {
+            let Some(bytes) = self.encoded_for_subscriber(&position, complete, table) else {
                 self.position = position; // the subscriber has this list already
                 continue;
             };
@@ -310,7 +310,7 @@
 
     /// Returns an item as it is sent to this subscriber: the list as a delta from the subscriber's version if there is
     /// one, any other item complete. Returns `None` for the list if the subscriber has the newest version.
-    fn bytes_to_send(
+    fn encoded_for_subscriber(
         &mut self,
         position: &Position,
         complete: Arc<[u8]>,
--- a/crates/store/src/state/change.rs
+++ b/crates/store/src/state/change.rs
@@ -15,7 +15,7 @@
     pub client: u64,
     /// The number of this proposal among those of the client, counted from 1.
     pub sequence: u64,
-    /// The change.
+    /// The proposed change.
     pub change: Change,
 }
 
@@ -26,11 +26,11 @@
     Document {
         /// The document's name.
         name: String,
-        /// Its text.
+        /// The document's new text.
         text: String,
-        /// Who wrote it.
+        /// Who wrote the text.
         author: String,
-        /// When it was written, in ms of Unix time by the author's clock.
+        /// When the text was written, in ms of Unix time by the author's clock.
         at_ms: u64,
         /// The revision that must be the latest one for the change to be made; 0 for a new document. `None` accepts
         /// any.
@@ -51,7 +51,7 @@
     Override {
         /// The server's id.
         server: String,
-        /// The override.
+        /// The override to set.
         admin_override: AdminOverride,
     },
     /// Restores the state of another cluster's snapshot into an empty store.
@@ -110,9 +110,9 @@
     /// A list of the same or a newer version is already committed.
     #[error("list version {proposed} is not newer than {committed}")]
     StaleList {
-        /// The proposed version.
+        /// The version of the proposed list.
         proposed: u64,
-        /// The committed version.
+        /// The version of the committed list.
         committed: u64,
     },
     /// A text or a name is too long.
@@ -120,7 +120,7 @@
     TooLong {
         /// The kind of value that is too long.
         what: String,
-        /// Its length, in bytes.
+        /// The length of the value, in bytes.
         bytes: u64,
         /// The longest accepted length, in bytes.
         max: u64,
@@ -128,7 +128,7 @@
     /// A limit of the state is reached.
     #[error("too many {what}: the limit is {max}")]
     LimitExceeded {
-        /// What there are too many of.
+        /// The kind of values whose number would exceed the limit.
         what: String,
         /// The largest number that is accepted.
         max: u64,
@@ -139,9 +139,9 @@
     /// A later proposal of the same client has been carried out.
     #[error("proposal {sequence} is outdated: proposal {last} of the same client has been carried out")]
     Superseded {
-        /// The proposal's number.
+        /// The number of the outdated proposal.
         sequence: u64,
-        /// The number of the client's latest proposal.
+        /// The number of the client's latest proposal that was carried out.
         last: u64,
     },
 }
