--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -135,7 +135,7 @@
         // The leader has committed it; this replica may apply it a moment later.
         while self.daemon.replica.shared().read().state.overrides().get(&server) != Some(&admin_override) {
             if Instant::now() >= deadline {
-                return Err("committed, but not applied at this node yet: try again".into());
+                return Err("kept, but not in force here yet: ask again".into());
             }
             sleep(APPLIED_POLL_INTERVAL).await;
         }
--- a/crates/cli/src/shared_state/subscriber.rs
+++ b/crates/cli/src/shared_state/subscriber.rs
@@ -84,8 +84,7 @@
 
     fn set_override(&self, _: String, _: Override) -> BoxFuture<'_, Result<(), String>> {
         Box::pin(async {
-            Err("this node follows the store, and can't change it: send the command to a member's node"
-                .into())
+            Err("this node follows the store, and can't change it: order at a member's node".into())
         })
     }
 
