--- a/crates/cli/src/args/emulate.rs
+++ b/crates/cli/src/args/emulate.rs
@@ -57,7 +57,7 @@
     /// The duration of the load.
     #[arg(long, value_name = "TIME", default_value = "20s", value_parser = humantime::parse_duration)]
     pub(crate) duration: Duration,
-    /// The number of nodes.
+    /// The number of nodes to start.
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=64))]
     pub(crate) nodes: u16,
     /// The number of cache servers.
--- a/crates/cli/src/commands/emulate.rs
+++ b/crates/cli/src/commands/emulate.rs
@@ -51,7 +51,7 @@
     print_verdict(emulator.verdict(), args.format)
 }
 
-/// Writes the configuration of each node into a folder, and returns the files.
+/// Writes the configuration of each node to a file in `folder`, and returns the paths of the files.
 fn write_configs(emulator: &Emulator, folder: &PathBuf) -> Result<Vec<PathBuf>, Failure> {
     let failed = |path: &PathBuf, error: io::Error| Failure::failed(format!("{}: {error}", path.display()));
     fs::create_dir_all(folder).map_err(|error| failed(folder, error))?;
@@ -90,8 +90,8 @@
 
 /// Waits for SIGINT or SIGTERM, at most for `duration` if that is given.
 pub(crate) async fn wait_for_end(duration: Option<Duration>) -> Result<(), Failure> {
-    let mut terminated = signal(SignalKind::terminate())?;
-    let mut interrupted = signal(SignalKind::interrupt())?;
+    let mut sigterm = signal(SignalKind::terminate())?;
+    let mut sigint = signal(SignalKind::interrupt())?;
     let elapsed = async {
         match duration {
             Some(duration) => tokio::time::sleep(duration).await,
@@ -99,8 +99,8 @@
         }
     };
     tokio::select! {
-        _ = terminated.recv() => {}
-        _ = interrupted.recv() => {}
+        _ = sigterm.recv() => {}
+        _ = sigint.recv() => {}
         () = elapsed => {}
     }
     Ok(())
--- a/crates/cli/src/commands/store/folder.rs
+++ b/crates/cli/src/commands/store/folder.rs
@@ -11,20 +11,20 @@
 use super::block_on;
 use crate::failure::Failure;
 
-/// Creates a member's folder, and the key file if it is absent; prints the cluster's id. Without `join` the member is
-/// the first of a new cluster.
+/// Creates a member's folder, and the key file if it is absent; prints the cluster's id. Without `cluster_to_join`
+/// the member is the first of a new cluster.
 pub(super) fn init(
     dir: &Path,
     member: u64,
     listen: SocketAddr,
     key_file: &Path,
-    join: Option<&str>,
+    cluster_to_join: Option<&str>,
 ) -> Result<(), Failure> {
     if !listen.ip().is_loopback() {
         let reason = format!("{listen} is no loopback address: the store listens on loopback addresses only");
         return Err(Failure::unusable(reason));
     }
-    let cluster = match join {
+    let cluster = match cluster_to_join {
         Some(cluster) => u128::from_str_radix(cluster, 16).map_err(|_| {
             Failure::unusable(format!("{cluster:?} is not a cluster id: expected 32 hex digits"))
         })?,
@@ -35,7 +35,7 @@
     }
     Keys::read(key_file).map_err(Failure::unusable)?;
     let disk = Disk::create(dir, Identity { cluster, member }).map_err(Failure::failed)?;
-    if join.is_none() {
+    if cluster_to_join.is_none() {
         block_on(async { bootstrap(disk, listen.to_string()).await.map_err(Failure::failed) })?;
     }
     Ok(writeln!(io::stdout(), "{cluster:032x}")?)
--- a/crates/cli/src/shared_state/member.rs
+++ b/crates/cli/src/shared_state/member.rs
@@ -16,8 +16,8 @@
 
 use super::{CONFIG_DOCUMENT, ConfigRevision, SharedConfig, parse_list};
 
-/// How long an override may take until it is applied. It is less than the half second that an operator's command waits
-/// for the node.
+/// The time within which an override must be committed and applied at this replica. It is less than half a second,
+/// because an operator waits 1 s for the answer to a command.
 const OVERRIDE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How often this replica is checked for a committed override until it is applied.
 const APPLIED_POLL_INTERVAL: Duration = Duration::from_millis(2);
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -70,9 +70,9 @@
     /// The file could not be read.
     #[error("cannot read {path}: {source}", path = path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The I/O error of the failed read.
         source: io::Error,
     },
     /// A value cannot be used.
--- a/crates/config/src/tree/fleet.rs
+++ b/crates/config/src/tree/fleet.rs
@@ -37,7 +37,8 @@
     /// A cold server collapses if it is sent `overload_factor` times its capacity for this time.
     #[serde(rename = "overload_for")]
     pub overload_window: DurationMillis<1, HOUR>,
-    /// The cost of an attempt in another zone, as a part of what the service is worth.
+    /// The cost of an attempt at a server in another zone, as a fraction of the value of the service. The higher it is,
+    /// the more the node prefers cache servers in its own zone; a low cost has no effect.
     #[serde(rename = "cross_zone_price")]
     pub cross_zone_cost: Fraction,
 }
--- a/crates/config/src/tree/node.rs
+++ b/crates/config/src/tree/node.rs
@@ -32,8 +32,9 @@
     /// The number of nodes that send to the same servers, this one included.
     #[serde(rename = "siblings")]
     pub node_count: Count<1, 65_536>,
-    /// The index of this node among them, counting from 0: less than `siblings`, and different at each node. Without it,
-    /// the parts of a cold server's capacity that the nodes use add up correctly only on average.
+    /// The index of this node among the nodes that send to the same servers: from 0 to one less than `siblings`, and
+    /// different at each node. Without it, the nodes' shares of a cold server's capacity add up to that capacity only on
+    /// average.
     #[serde(rename = "index", skip_serializing_if = "Option::is_none")]
     pub node_index: Option<Count<0, 65_535>>,
 }
--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -70,7 +70,7 @@
 struct Adapter {
     instances: BTreeMap<u64, Instance>,
     batch: Option<Batch>,
-    /// The outputs of the instances in the batch in progress, in order.
+    /// The outputs of the instances in the batch in progress, in the order in which they are written.
     outputs: Vec<InstanceOutput>,
     /// A reused buffer for the actions of one event; empty between events.
     actions: Vec<Action>,
--- a/crates/simulator-adapter/src/messages.rs
+++ b/crates/simulator-adapter/src/messages.rs
@@ -140,7 +140,7 @@
     pub(crate) write: Option<bool>,
 }
 
-/// A name, or a number in its place, which means that there is no name.
+/// The name of a tenant. The simulator sends a number, whose value is ignored, for a request without a tenant.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(crate) enum NameOrNumber {
