--- a/crates/emulator/src/cache.rs
+++ b/crates/emulator/src/cache.rs
@@ -223,8 +223,8 @@
         });
         tokio::spawn(async move {
             while !world.stop.is_cancelled() {
-                let next = lock(&self.endpoint.state).model.next_event();
-                let until = next.map(|at| world.instant(at));
+                let next_event_at = lock(&self.endpoint.state).model.next_event();
+                let until = next_event_at.map(|at| world.instant(at));
                 tokio::select! {
                     () = world.stop.cancelled() => return,
                     () = self.endpoint.model_changed.notified() => {}
--- a/crates/emulator/src/error.rs
+++ b/crates/emulator/src/error.rs
@@ -6,7 +6,7 @@
 /// Why an emulator did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum EmulatorError {
-    /// It can't listen at an address, for example because the address is in use.
+    /// The emulator can't listen at an address, for example because the address is in use.
     #[error("cannot listen at {at}: {source}")]
     Listen {
         /// The address.
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -83,8 +83,9 @@
     }
 }
 
-/// Returns the servers that a fault affects: the one that it names, or those that run, of its zone if it names one,
-/// reduced at random to its part.
+/// Returns the servers that a fault affects: the server that the fault names, running or not. A fault that names no
+/// server affects the running servers, limited to its zone if it names one, and to a random selection of the size of
+/// its part if it has one.
 fn affected_servers(world: &World, fault: &Fault) -> Vec<Arc<CacheServer>> {
     let mut servers: Vec<Arc<CacheServer>> = world.all_servers();
     if let Some(id) = &fault.server {
--- a/crates/emulator/src/listeners.rs
+++ b/crates/emulator/src/listeners.rs
@@ -121,15 +121,15 @@
 /// Binds a free port of an address without listening. Sockets with `SO_REUSEADDR`, such as the server's listeners, can
 /// still listen there; the kernel does not choose the port for any other socket.
 fn reserve_addr(ip: IpAddr) -> Result<(Socket, SocketAddr), EmulatorError> {
-    let any = SocketAddr::new(ip, 0);
+    let any_port = SocketAddr::new(ip, 0);
     let bind = || {
-        let socket = Socket::new(Domain::for_address(any), Type::STREAM, None)?;
+        let socket = Socket::new(Domain::for_address(any_port), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
-        socket.bind(&any.into())?;
-        let at = socket.local_addr()?.as_socket().unwrap_or(any);
+        socket.bind(&any_port.into())?;
+        let at = socket.local_addr()?.as_socket().unwrap_or(any_port);
         Ok((socket, at))
     };
-    bind().map_err(|source| EmulatorError::Listen { at: any, source })
+    bind().map_err(|source| EmulatorError::Listen { at: any_port, source })
 }
 
 /// Listens at an address.
--- a/crates/emulator/src/load.rs
+++ b/crates/emulator/src/load.rs
@@ -76,29 +76,30 @@
         })
     }
 
-    /// The load balancer opens no new connections to a node from now on; those that are open stay in use.
+    /// Stops the load balancer from opening new connections to a node; those that are open stay in use.
     pub fn close_node(&self, node: usize) {
         self.processes[node].close();
     }
 
-    /// From now on a node may close a new connection without reading its request, as idle clients occupy the nodes'
-    /// file descriptors.
+    /// Allows the nodes to close a new connection without reading its request from now on, as idle clients occupy the
+    /// nodes' file descriptors.
     pub fn excuse_unread_closes(&self) {
         self.unread_closes_excused.store(true, Ordering::Relaxed);
     }
 
-    /// A node's process was sent a termination signal. Its connections stay in use for as long as they are open.
+    /// Records that a node's process was sent a termination signal. Its connections stay in use for as long as they are
+    /// open.
     pub fn node_terminated(&self, node: usize) {
         self.processes[node].terminate(self.world.now());
     }
 
-    /// A node's process is about to be killed. What it has accepted need not be answered, unless it was sent a
-    /// termination signal well before. Called before the kill.
+    /// Records that a node's process is about to be killed; must be called before the kill. What the process has
+    /// accepted need not be answered, unless it was sent a termination signal well before.
     pub fn node_killed(&self, node: usize) {
         self.processes[node].kill();
     }
 
-    /// A new process of a node serves; the idle connections to the earlier one are dropped.
+    /// Records that a new process of a node serves, and drops the idle connections to the earlier process.
     pub fn open_node(&self, node: usize) {
         lock(&self.idle_connections[node]).clear();
         self.processes[node].replace(self.world.now());
@@ -205,7 +206,7 @@
     ) -> NodeAnswer {
         let result = self.try_exchange(request, number, node, deadline_at).await;
         result.unwrap_or_else(|Unanswered { accepted_at }| {
-            match self.processes[node].excuses(accepted_at) {
+            match self.processes[node].may_have_lost(accepted_at) {
                 true => self.world.rule_checker().request_excused(number),
                 false => self.world.rule_checker().request_abandoned(number),
             }
--- a/crates/emulator/src/load/process.rs
+++ b/crates/emulator/src/load/process.rs
@@ -12,9 +12,9 @@
 
 /// A node's process. Times are those of the emulator's clock.
 pub(super) struct NodeProcess {
-    /// Whether the load balancer opens no connections to it, because it is terminating or does not run.
+    /// Whether the load balancer opens no connections to the process, because it is terminating or does not run.
     closed: AtomicBool,
-    /// When it was sent a termination signal; [`NEVER`] if it was not.
+    /// When the process was sent a termination signal; [`NEVER`] if it was not.
     terminated_at: AtomicU64,
     /// Requests accepted before this time may have been lost with a killed process.
     excused_before: AtomicU64,
@@ -30,17 +30,17 @@
         }
     }
 
-    /// Stops new connections to it.
+    /// Stops new connections to the process.
     pub(super) fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
     }
 
-    /// Records that it was sent a termination signal.
+    /// Records that the process was sent a termination signal.
     pub(super) fn terminate(&self, now: Micros) {
         self.terminated_at.store(now, Ordering::Relaxed);
     }
 
-    /// Records that it is about to be killed.
+    /// Records that the process is about to be killed.
     pub(super) fn kill(&self) {
         self.close();
         let terminated_at = self.terminated_at.load(Ordering::Relaxed);
@@ -49,20 +49,20 @@
         self.excused_before.store(excused_before, Ordering::Relaxed);
     }
 
-    /// Records that another process serves in its place from now on.
+    /// Records that a new process of the node serves from now on.
     pub(super) fn replace(&self, now: Micros) {
         self.terminated_at.store(NEVER, Ordering::Relaxed);
         self.excused_before.fetch_min(now, Ordering::Relaxed);
         self.closed.store(false, Ordering::Relaxed);
     }
 
-    /// Whether it gets new connections.
+    /// Whether the process gets new connections.
     pub(super) fn is_open(&self) -> bool {
         !self.closed.load(Ordering::Relaxed)
     }
 
-    /// Whether a request accepted at this time may have been lost with a killed process.
-    pub(super) fn excuses(&self, accepted_at: Micros) -> bool {
+    /// Whether a request that the node accepted at this time may go unanswered because the process was killed.
+    pub(super) fn may_have_lost(&self, accepted_at: Micros) -> bool {
         accepted_at < self.excused_before.load(Ordering::Relaxed)
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -26,7 +26,7 @@
 /// times are right on average.
 pub(crate) const TIMER_GRANULARITY: Micros = 1_000;
 
-/// Options of an emulator.
+/// Where an emulator listens, and whether it injects faults.
 #[derive(Clone, Debug)]
 pub struct EmulatorOptions {
     /// The loopback address at which everything but the control interface listens.
@@ -187,11 +187,11 @@
             State::Draining => "DRAINING",
             State::Deleted => "DELETED",
         };
-        let started = if listed.started == 0 { 0 } else { self.unix_ms(listed.started) };
+        let started_ms = if listed.started == 0 { 0 } else { self.unix_ms(listed.started) };
         Some(
             json!({"id": server.id(), "addr": server.endpoint.addr(node)?, "zone": self.site.network.zones.get(server.zone)?,
             "kind": self.site.caches[server.group].kind, "cell": server.number / 4, "state": state, "weight": 1.0,
-            "started_ms": started}),
+            "started_ms": started_ms}),
         )
     }
 
@@ -237,7 +237,7 @@
         let stop = CancellationToken::new();
         let guard = stop.clone().drop_guard();
         let (seed, nodes) = (site.seed.get() as u64, site.nodes.get());
-        let control = listen(options.control).await?;
+        let control_listener = listen(options.control).await?;
         let origin = OriginEndpoint::open(options.ip, nodes, &site).await?;
         let mut discoveries = Vec::with_capacity(nodes);
         for _ in 0..nodes {
@@ -275,8 +275,8 @@
         world.origin.serve(&world);
         let discovery = discoveries.iter().map(local_addr).collect();
         world.discovery.serve(discoveries, world.clone());
-        let control_addr = local_addr(&control);
-        control::serve(&world, control);
+        let control_addr = local_addr(&control_listener);
+        control::serve(&world, control_listener);
         if options.faults {
             faults::schedule_site_faults(&world);
         }
--- a/crates/emulator/tests/emulator.rs
+++ b/crates/emulator/tests/emulator.rs
@@ -271,8 +271,11 @@
     let mut origin = Peer::connect(server_addr(&emulator, 0, "origin")).await;
     assert_eq!(origin.http(&fetch_request("GET", "k", "i", "read")).await.unwrap().0, 503);
 
-    let (status, all) = fetch_list(&emulator, 0, "").await.unwrap();
-    assert!(status == 200 && all["full"] == true && all["servers"].as_array().unwrap().len() == 3, "{all}");
+    let (status, listing) = fetch_list(&emulator, 0, "").await.unwrap();
+    assert!(
+        status == 200 && listing["full"] == true && listing["servers"].as_array().unwrap().len() == 3,
+        "{listing}"
+    );
     inject(&emulator, r#"{"kind":"replace","server":"c-1","for":"5ms"}"#);
     let (mut version, mut seen) = (1, Vec::new());
     // Discovery may learn the changes of different servers in any order.
@@ -419,13 +422,13 @@
     .await;
     let load = Load::new(&emulator, vec![node]);
     load.clone().run(200.0, Duration::from_millis(200)).await;
-    let all = load.figures().0;
-    assert!(all.served > 10 && all.rejected + all.failed == 0, "{:?}", all.summary());
-    assert_eq!(all.retries, 2 * all.served);
-    assert!(all.latency.min() >= 10_000, "sooner than two delays of 5 ms: {} us", all.latency.min());
+    let figures = load.figures().0;
+    assert!(figures.served > 10 && figures.rejected + figures.failed == 0, "{:?}", figures.summary());
+    assert_eq!(figures.retries, 2 * figures.served);
+    assert!(figures.latency.min() >= 10_000, "sooner than two delays of 5 ms: {} us", figures.latency.min());
     // Each attempt had a final answer of its own.
     let verdict = emulator.verdict();
-    assert_eq!((verdict.requests, verdict.rules_broken()), (3 * all.served, 0), "{verdict:?}");
+    assert_eq!((verdict.requests, verdict.rules_broken()), (3 * figures.served, 0), "{verdict:?}");
 }
 
 #[tokio::test]
--- a/crates/emulator/tests/latency.rs
+++ b/crates/emulator/tests/latency.rs
@@ -67,9 +67,13 @@
     });
     let load = Load::new(&emulator, vec![node]);
     load.clone().run(200.0, Duration::from_millis(500)).await;
-    let all = load.figures().0;
-    assert!(all.served > 50 && all.rejected + all.failed + all.not_sent == 0, "{:?}", all.summary());
+    let figures = load.figures().0;
+    assert!(
+        figures.served > 50 && figures.rejected + figures.failed + figures.not_sent == 0,
+        "{:?}",
+        figures.summary()
+    );
     // Answers may be later than 100 ms on a busy machine, but sooner only by the timers' granularity of 1 ms.
-    assert!(all.latency.min() >= 99_000, "{} us", all.latency.min());
+    assert!(figures.latency.min() >= 99_000, "{} us", figures.latency.min());
     assert_eq!(emulator.verdict().rules_broken(), 0);
 }
--- a/crates/emulator/tests/load_ends.rs
+++ b/crates/emulator/tests/load_ends.rs
@@ -75,13 +75,13 @@
     }
 }
 
-/// A node's connection that is never answered.
+/// Serves a node's connection without ever answering.
 async fn never_answer(mut stream: TcpStream) {
     let mut buffer = [0; 4096];
     while stream.read(&mut buffer).await.is_ok_and(|read| read > 0) {}
 }
 
-/// A node's connection whose first request is answered, and which is closed some time `after` the second.
+/// Serves a node's connection: answers the first request, and closes the connection some time `after` the second.
 async fn close_after_second_request(mut stream: TcpStream, after: Duration) {
     let mut buffer = [0; 4096];
     let _ = stream.read(&mut buffer).await;
@@ -95,15 +95,20 @@
 #[tokio::test]
 async fn a_killed_nodes_requests_are_lost_only_if_accepted_well_after_termination() {
     const DURATION: Duration = Duration::from_millis(1_500);
-    let killed = TestSite::start(never_answer).await.run_load(DURATION, |load| load.node_killed(0)).await;
-    assert!(killed.requests > 50 && killed.lost == 0, "{killed:?}");
+    let killed_figures =
+        TestSite::start(never_answer).await.run_load(DURATION, |load| load.node_killed(0)).await;
+    assert!(killed_figures.requests > 50 && killed_figures.lost == 0, "{killed_figures:?}");
     let site = TestSite::start(never_answer).await;
     site.load.node_terminated(0);
-    let terminated = site.run_load(DURATION, |load| load.node_killed(0)).await;
+    let terminated_figures = site.run_load(DURATION, |load| load.node_killed(0)).await;
     // About the requests that were accepted later than 0.7 s after the signal.
-    assert!(terminated.lost > 20 && terminated.lost < terminated.requests - 20, "{terminated:?}");
-    let exited = TestSite::start(never_answer).await.run_load(DURATION, |load| load.close_node(0)).await;
-    assert_eq!(exited.lost, exited.requests, "{exited:?}");
+    assert!(
+        terminated_figures.lost > 20 && terminated_figures.lost < terminated_figures.requests - 20,
+        "{terminated_figures:?}"
+    );
+    let exited_figures =
+        TestSite::start(never_answer).await.run_load(DURATION, |load| load.close_node(0)).await;
+    assert_eq!(exited_figures.lost, exited_figures.requests, "{exited_figures:?}");
 }
 
 /// Guards against a request that crosses a close being counted as lost, and against a late close being taken for a
@@ -114,11 +119,11 @@
     const LATE_CLOSE_DELAY: Duration = Duration::from_millis(1_300);
     const DURATION: Duration = Duration::from_millis(500);
     let at_once = TestSite::start(|stream| close_after_second_request(stream, Duration::ZERO)).await;
-    let crossing = at_once.run_load(DURATION, |_| {}).await;
-    assert!(crossing.requests > 20 && crossing.lost == 0, "{crossing:?}");
+    let crossing_figures = at_once.run_load(DURATION, |_| {}).await;
+    assert!(crossing_figures.requests > 20 && crossing_figures.lost == 0, "{crossing_figures:?}");
     let late = TestSite::start(|stream| close_after_second_request(stream, LATE_CLOSE_DELAY)).await;
-    let lost = late.run_load(2 * LATE_CLOSE_DELAY, |load| load.node_killed(0)).await;
-    assert!(lost.lost > 5, "{lost:?}");
+    let late_figures = late.run_load(2 * LATE_CLOSE_DELAY, |load| load.node_killed(0)).await;
+    assert!(late_figures.lost > 5, "{late_figures:?}");
 }
 
 /// Guards against clients avoiding a terminated node: they keep using the connections that they have.
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -16,7 +16,7 @@
     Io {
         /// The operation that failed.
         operation: &'static str,
-        /// The cause.
+        /// The I/O error.
         error: io::Error,
     },
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -14,7 +14,7 @@
 /// A process that did not behave as expected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProcessFault {
-    /// It exited without having been signalled, or exited with a failure.
+    /// The process exited without having been signalled, or exited with a failure.
     Crashed {
         /// Number of the node.
         node: usize,
@@ -23,7 +23,7 @@
         /// The last lines of its log.
         log: Vec<String>,
     },
-    /// It was not ready 10 s after its start.
+    /// The process was not ready 10 s after its start.
     NotReady {
         /// Number of the node.
         node: usize,
--- a/crates/soak/tests/schedule.rs
+++ b/crates/soak/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule is a function of its seed.
+//! Tests of the event schedule: it is determined by its seed, and its events stay within their bounds.
 
 use std::time::Duration;
 
