--- a/crates/model/src/cache/job.rs
+++ b/crates/model/src/cache/job.rs
@@ -53,8 +53,8 @@
 /// The end of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// The job.
+    /// Identifier of the job.
     pub id: JobId,
-    /// How it ended.
+    /// How the job ended.
     pub outcome: Outcome,
 }
--- a/crates/model/src/cache/mod.rs
+++ b/crates/model/src/cache/mod.rs
@@ -167,8 +167,8 @@
         if self.slowdown <= 0.0 || now < self.paused_until || self.running.is_empty() {
             return 0.0;
         }
-        let share = (self.kind.cores.get() as f64 / self.running.len() as f64).min(1.0);
-        self.speed * self.warm_up_fraction(now) * share / self.slowdown
+        let cores_per_request = (self.kind.cores.get() as f64 / self.running.len() as f64).min(1.0);
+        self.speed * self.warm_up_fraction(now) * cores_per_request / self.slowdown
     }
 
     /// Caches a value that the origin returned after a miss.
--- a/crates/model/src/clients.rs
+++ b/crates/model/src/clients.rs
@@ -14,7 +14,7 @@
 /// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// When it is sent.
+    /// When the client sends the request.
     pub at: Micros,
     /// Sequence number, from 0.
     pub number: u64,
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -18,11 +18,11 @@
 /// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It accepts requests.
+    /// The server accepts requests.
     Serving,
-    /// It finishes its requests and accepts no new ones.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// It is removed.
+    /// The server is removed from the list.
     Deleted,
 }
 
@@ -31,7 +31,7 @@
 pub struct Listed {
     /// Number of the server.
     pub server: usize,
-    /// Its state.
+    /// State of the server.
     pub state: State,
     /// When the server last started; 0 if before the simulation.
     pub started: Micros,
@@ -42,7 +42,7 @@
 pub struct Listing {
     /// Version of the list after this answer.
     pub version: u64,
-    /// Whether it is the full list.
+    /// Whether the answer is the full list.
     pub full: bool,
     /// The entries, or their changes in order.
     pub servers: Vec<Listed>,
--- a/crates/model/src/origin.rs
+++ b/crates/model/src/origin.rs
@@ -15,9 +15,9 @@
 /// A request to the origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fetch {
-    /// Whether it is a write.
+    /// Whether the request is a write; otherwise it is a read.
     pub write: bool,
-    /// Whether it follows a miss at a cache server that is warming up.
+    /// Whether the request follows a miss at a cache server that is warming up.
     pub warming_up: bool,
 }
 
@@ -31,7 +31,7 @@
 /// An outage of the origin caused by overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outage {
-    /// When it began.
+    /// When the outage began.
     pub at: Micros,
     /// Fraction of the preceding load that followed misses at cache servers that are warming up.
     pub warm_up_share: f64,
@@ -45,7 +45,7 @@
     now: Micros,
     last_id: u64,
     /// End and identifier of the fetches in service.
-    running: BTreeSet<(Micros, u64)>,
+    running_fetches: BTreeSet<(Micros, u64)>,
     queue: VecDeque<(u64, Fetch)>,
     offered: Window,
     /// The part of the offered load that follows misses at cache servers that are warming up.
@@ -66,7 +66,7 @@
             random: Random::new(seed, stream::ORIGIN),
             now: 0,
             last_id: 0,
-            running: BTreeSet::new(),
+            running_fetches: BTreeSet::new(),
             queue: VecDeque::new(),
             offered: Window::new(span),
             offered_warming_up: Window::new(span),
@@ -93,8 +93,8 @@
     pub fn stop(&mut self, now: Micros, until: Micros) -> Vec<u64> {
         self.stopped_until = until.max(self.stopped_until);
         let queued = self.queue.iter().map(|(id, _)| *id);
-        let lost = self.running.iter().map(|&(_, id)| id).chain(queued).collect();
-        self.running.clear();
+        let lost = self.running_fetches.iter().map(|&(_, id)| id).chain(queued).collect();
+        self.running_fetches.clear();
         self.queue.clear();
         self.offered.clear();
         self.offered_warming_up.clear();
@@ -150,7 +150,7 @@
             return None;
         }
         self.last_id += 1;
-        if self.running.len() < self.kind.workers.get() {
+        if self.running_fetches.len() < self.kind.workers.get() {
             self.begin(now, self.last_id, &fetch);
             self.advance(now, completions);
         } else if self.queue.len() < self.kind.queue.get() {
@@ -166,7 +166,7 @@
         let mean = self.kind.time.us() as f64 * cost_factor * self.slowdown;
         let service_time = self.random.lognormal(mean, self.kind.sigma.get());
         self.worked += service_time;
-        self.running.insert((now + service_time as Micros, id));
+        self.running_fetches.insert((now + service_time as Micros, id));
     }
 
     /// Cancels a queued fetch and returns whether it was queued. A fetch in service goes on.
@@ -178,15 +178,15 @@
     /// Time of the next event if no further call changes the origin.
     #[must_use]
     pub fn next_event(&self) -> Option<Micros> {
-        self.running.first().map(|&(at, _)| at)
+        self.running_fetches.first().map(|&(at, _)| at)
     }
 
     /// Advances the time and appends the fetches that end until then.
     pub fn advance(&mut self, now: Micros, completions: &mut Vec<FetchCompletion>) {
-        while let Some(&(at, id)) = self.running.first()
+        while let Some(&(at, id)) = self.running_fetches.first()
             && at <= now
         {
-            self.running.remove(&(at, id));
+            self.running_fetches.remove(&(at, id));
             self.now = self.now.max(at);
             completions.push(FetchCompletion { id });
             if let Some((id, fetch)) = self.queue.pop_front() {
@@ -199,6 +199,6 @@
     /// Number of fetches in service or queued.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.running.len() + self.queue.len()
+        self.running_fetches.len() + self.queue.len()
     }
 }
--- a/crates/model/src/rule_checker.rs
+++ b/crates/model/src/rule_checker.rs
@@ -121,13 +121,13 @@
         }
     }
 
-    /// A node accepted a request with this deadline.
+    /// Records that a node accepted a request with this deadline.
     pub fn request_accepted(&mut self, request: u64, deadline: Micros) {
         self.verdict.requests += 1;
         self.open.insert(request, deadline);
     }
 
-    /// A client got an answer.
+    /// Records that a client got an answer.
     pub fn request_answered(&mut self, now: Micros, request: u64, answer: Answer) {
         let Some(deadline) = self.open.remove(&request) else {
             self.verdict.duplicate_answers += 1;
@@ -142,19 +142,20 @@
         }
     }
 
-    /// The node closed the connection of an accepted request before its answer was complete.
+    /// Records that the node closed the connection of an accepted request before its answer was complete.
     pub fn request_abandoned(&mut self, request: u64) {
         if self.open.remove(&request).is_some() {
             self.verdict.lost += 1;
         }
     }
 
-    /// The node was killed while the request was in flight, so that no answer is expected.
+    /// Records that a request needs no answer: its node was killed while the request was in flight, or closed the
+    /// connection without reading it while idle clients occupied its file descriptors.
     pub fn request_excused(&mut self, request: u64) {
         self.open.remove(&request);
     }
 
-    /// An answer arrived on a connection without an open request.
+    /// Records that an answer arrived on a connection without an open request.
     pub fn unexpected_answer(&mut self) {
         self.verdict.duplicate_answers += 1;
     }
@@ -167,7 +168,7 @@
         self.verdict.lost += (before - self.open.len()) as u64;
     }
 
-    /// A node was notified whether a server serves, or drains or is removed.
+    /// Records that a node was notified whether a server serves, or drains or is removed.
     pub fn server_notified(&mut self, now: Micros, node: usize, server: usize, serving: bool) {
         if serving {
             self.not_serving_since.remove(&(node, server));
@@ -176,14 +177,14 @@
         }
     }
 
-    /// A node was notified that of all `known` servers exactly these serve.
+    /// Records that a node was notified that of all `known` servers exactly these serve.
     pub fn server_list_notified(&mut self, now: Micros, node: usize, serving: &[usize], known: usize) {
         for server in 0..known {
             self.server_notified(now, node, server, serving.contains(&server));
         }
     }
 
-    /// A node sent a new request to a server.
+    /// Records that a node sent a new request to a server.
     pub fn request_sent(&mut self, now: Micros, node: usize, server: usize) {
         let Some(&notified_at) = self.not_serving_since.get(&(node, server)) else { return };
         if now > notified_at + self.rules.drain_grace.us() {
@@ -194,17 +195,18 @@
         }
     }
 
-    /// A node restarted and has lost the notifications it received.
+    /// Records that a node restarted and has lost the notifications it received.
     pub fn node_restarted(&mut self, node: usize) {
         self.not_serving_since.retain(|(notified, _), _| *notified != node);
     }
 
-    /// A server that is warming up collapsed.
+    /// Records that a server that is warming up collapsed.
     pub fn server_collapsed(&mut self) {
         self.verdict.warm_up_collapses += 1;
     }
 
-    /// The origin stopped after overload; `warm_up_share` is the share of servers that are warming up in its load.
+    /// Records that the origin stopped after overload. `warm_up_share` is the fraction of its load that followed misses
+    /// at servers that are warming up.
     pub fn origin_stopped(&mut self, warm_up_share: f64) {
         self.verdict.origin_stops += 1;
         if warm_up_share > MIN_WARM_UP_SHARE {
@@ -212,7 +214,8 @@
         }
     }
 
-    /// A request that is not idempotent ran. Duplicates within `window` are discarded and do not count; 0 for none.
+    /// Records that a non-idempotent request ran. Duplicates within `window` are discarded and do not count; 0 for no
+    /// window.
     pub fn request_run(&mut self, now: Micros, identity: &str, window: Micros) {
         match self.runs.get(identity) {
             Some(&at) if now < at + window => return, // a discarded duplicate
