--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -120,7 +120,8 @@
     /// nodes.
     #[serde(default, rename = "apart")]
     pub thread_per_node: bool,
-    /// A fault that discovery injects into its answer to one node half way, to test that the checks find it.
+    /// A fault that discovery injects into one answer to one node after the first half of the scenario, to test that
+    /// the checks find it.
     #[serde(default, rename = "plant", skip_serializing_if = "Option::is_none")]
     pub injected_fault: Option<InjectedFault>,
     /// Whether nodes must get the list by a watch, which discovery must be able to serve; otherwise they choose how to
--- a/crates/lab/src/hollow/list_checker.rs
+++ b/crates/lab/src/hollow/list_checker.rs
@@ -99,8 +99,8 @@
         self.first_version + self.changes.len() as u64
     }
 
-    /// Discovery has published these changes, each of which made a version. Their start times are in milliseconds of
-    /// Unix time.
+    /// Records that discovery has published these changes, each of which made a version. Their start times are in
+    /// milliseconds of Unix time.
     pub fn changes_published(&mut self, now: Micros, changes: &[Listed]) {
         for &listed in changes {
             let mut servers = self.changes.last().map_or(self.first_list.len(), |change| change.servers);
@@ -113,19 +113,20 @@
         }
     }
 
-    /// Discovery answers no calls in this time, so that a change in it can reach a node only after its end.
+    /// Records a time range in which discovery answers no calls: a change published in it can reach a node only after
+    /// its end.
     pub fn discovery_unavailable(&mut self, time: Range<Micros>) {
         self.unavailable = time;
     }
 
-    /// A node has started with the first list.
+    /// Records that a node has started with the first list.
     pub fn node_started(&mut self, node: usize, now: Micros) {
         self.nodes[node] = NodeProgress { applied: None, initial: self.first_version, started_at: now };
     }
 
-    /// A node has applied a list. `servers` is the number of servers that the node and its balancer have; `status_of`
-    /// returns the status of a server at the node. Returns the time that each newly applied change took to reach the
-    /// node.
+    /// Records that a node has applied a list, and checks the list. `servers` is the number of servers that the node
+    /// and its balancer have; `status_of` returns the status of a server at the node. Returns the time that each newly
+    /// applied change took to reach the node.
     pub fn list_applied(
         &mut self,
         node: usize,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -127,11 +127,11 @@
     let written = report.write(out, plot.as_deref()).map_err(Failure::from)?;
     print!("{}", report.table());
     written.iter().for_each(|path| println!("{}", path.display()));
-    outcome(&report)
+    check_report(&report)
 }
 
-/// Prints the conditions, and fails if there are violations or samples are missing.
-fn outcome(report: &report::Report) -> Result<CommandEnd, CommandEnd> {
+/// Warns if other processes were busy during the samples. Fails if there are violations or samples are missing.
+fn check_report(report: &report::Report) -> Result<CommandEnd, CommandEnd> {
     if report.conditions.beside_other_work {
         println!(
             "other processes used up to {:.1} cores: times are not reliable",
--- a/crates/lab/src/measure/hollow.rs
+++ b/crates/lab/src/measure/hollow.rs
@@ -169,8 +169,8 @@
     let mut real = start_real_nodes(fleet, node_program).await?;
     let before = UsageSnapshot::read(fleet, &mut real);
     let lasts = plan.lasts.duration();
-    let changes = plan.changes_per_min.get() as f64 * lasts.as_secs_f64() / 60.0;
-    run_scenario_with_fault(plan, fleet, changes.round() as usize, lasts).await?;
+    let change_count = plan.changes_per_min.get() as f64 * lasts.as_secs_f64() / 60.0;
+    run_scenario_with_fault(plan, fleet, change_count.round() as usize, lasts).await?;
     let after = UsageSnapshot::read(fleet, &mut real);
     let ended = Instant::now();
     if !fleet.wait_until_settled(plan.catch_up.duration()).await {
--- a/crates/lab/src/measure/store.rs
+++ b/crates/lab/src/measure/store.rs
@@ -25,8 +25,9 @@
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 /// Time over which the loopback traffic of other processes is measured before the members start.
 const BACKGROUND_TIME: Duration = Duration::from_secs(1);
-/// Interval between the requests of a member, and the timeout of a request; both as in a node.
-const ASK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which each member asks the leader to confirm the committed index, and the timeout of such a request;
+/// both as in a node.
+const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a store could not be measured.
 #[derive(Debug, thiserror::Error)]
@@ -107,7 +108,8 @@
 
     let (processor_before, loopback_before, started_at) =
         (own_processor_s(), LoopbackTraffic::now(), Instant::now());
-    let asks = ask_all(&members, plan.asking.duration()).await; // the number sent and the number that failed
+    // The number of requests and how many of them failed.
+    let asks = confirm_at_all_members(&members, plan.asking.duration()).await;
     let seconds = started_at.elapsed().as_secs_f64();
     let asking = LoopbackTraffic::now().rates_since(loopback_before, seconds);
     put_costs(
@@ -190,26 +192,26 @@
             Response::MembersChanged(Err(reason)) if Instant::now() > deadline => {
                 return Err(StoreError::Add { member, reason });
             }
-            Response::MembersChanged(Err(_)) => sleep(ASK_INTERVAL / 10).await,
+            Response::MembersChanged(Err(_)) => sleep(CONFIRM_INTERVAL / 10).await,
             other => return Err(StoreError::UnexpectedResponse(format!("{other:?}"))),
         }
     }
 }
 
-/// Each member asks the leader once a second, at times that are spread over the second. Returns the number of requests
-/// and how many failed.
-async fn ask_all(members: &[RunningMember], time: Duration) -> (u64, u64) {
+/// Has each member ask the leader once a second to confirm the committed index, at times that are spread over the
+/// second. Returns the number of requests and how many failed.
+async fn confirm_at_all_members(members: &[RunningMember], time: Duration) -> (u64, u64) {
     let (start, mut tasks) = (Instant::now(), JoinSet::new());
     for (n, member) in members.iter().enumerate() {
         let replica = member.replica.clone();
-        let first = start + ASK_INTERVAL.mul_f64(n as f64 / members.len() as f64);
+        let first = start + CONFIRM_INTERVAL.mul_f64(n as f64 / members.len() as f64);
         tasks.spawn(async move {
-            let mut due = interval_at(first, ASK_INTERVAL);
+            let mut due = interval_at(first, CONFIRM_INTERVAL);
             due.set_missed_tick_behavior(MissedTickBehavior::Skip);
             let (mut asked, mut failed) = (0, 0);
             while due.tick().await < first + time {
                 asked += 1;
-                failed += u64::from(replica.confirm(Instant::now() + ASK_INTERVAL).await.is_err());
+                failed += u64::from(replica.confirm(Instant::now() + CONFIRM_INTERVAL).await.is_err());
             }
             (asked, failed)
         });
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -71,7 +71,7 @@
 
 /// How the run of a sample's process ended without an error.
 enum SampleOutcome {
-    /// It printed its sample.
+    /// The process printed its sample.
     Completed(Sample),
     /// The time limit of the experiment passed first.
     TimeLimitReached,
