--- a/crates/cli/tests/client_ends.rs
+++ b/crates/cli/tests/client_ends.rs
@@ -55,7 +55,7 @@
 }
 
 impl Fixture {
-    /// A node with one cache, and an origin to which connections stay in progress.
+    /// Starts a node with one cache, and an origin that accepts no connections: connections to it stay in progress.
     fn new(settings: &str) -> Fixture {
         let (cache, origin) = (FakeServer::cache(), BackloggedServer::http());
         let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
--- a/crates/cli/tests/clocks.rs
+++ b/crates/cli/tests/clocks.rs
@@ -34,7 +34,7 @@
 /// The tolerance for times in the log, which are whole microseconds of a clock that the node reads at another instant
 /// than the test.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(1);
-/// After this time an event is in the log, which a separate thread of the node writes.
+/// The maximum time from an event until its line is in the log, which a separate thread of the node writes.
 const LOG_DELAY: Duration = Duration::from_millis(200);
 /// A shell command that starts the node with a log line for each attempt at a server in slow start.
 const SHELL_WITH_TRACE: &str = "exec \"$0\" node --log info,stonefold_node::driver=trace";
--- a/crates/cli/tests/common/addresses.rs
+++ b/crates/cli/tests/common/addresses.rs
@@ -1,4 +1,4 @@
-//! Free addresses for processes that a test tells where to listen.
+//! Unused loopback addresses, for processes that a test starts with a given address to listen at.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU16, Ordering};
--- a/crates/cli/tests/endings.rs
+++ b/crates/cli/tests/endings.rs
@@ -96,8 +96,8 @@
     origin.wait_for_connecting(0);
 }
 
-/// Guards against a disconnect that a stopping node does not notice, since it reads no more commands: with and without
-/// unread bytes before the end.
+/// Guards against a stopping node that does not notice a client's disconnect because it reads no more commands. Covers
+/// a connection with and one without unread bytes before its end.
 #[test]
 fn client_disconnect_is_noticed_while_the_node_stops() {
     for unread_command in [false, true] {
@@ -438,7 +438,7 @@
     assert!(node.wait_for_exit());
 }
 
-/// Guards against a client whose command is cut off because the node was told to stop between its two parts.
+/// Guards against a command that is dropped because the shutdown begins when only its first part has been received.
 #[test]
 fn command_received_in_part_at_shutdown_is_completed_and_answered() {
     let (mut node, cache, _origin) = node_with_backlogged_origin(&settings_without_connect_timeout());
@@ -475,13 +475,13 @@
     assert!(node.wait_for_exit());
 }
 
-/// Guards against connections that hang in the accept queue of a stopping node, and against requests of theirs that are
-/// sent to a server.
+/// Guards against connections that hang in the accept queue of a stopping node, and against their requests being sent
+/// to a server.
 #[test]
 fn connections_in_the_accept_queue_at_shutdown_are_reset_and_not_served() {
-    /// The least number of clients that a node with so few descriptors holds.
+    /// The least number of client connections that a node with so few descriptors accepts at a time.
     const MIN_HELD: usize = 20;
-    /// The largest number of clients that it holds.
+    /// The largest number of client connections that this node accepts at a time.
     const MAX_HELD: usize = 23;
     let (cache, origin) = (FakeServer::cache(), BackloggedServer::http());
     let known = server_list(41, &[(CACHE, cache.addr)], origin.addr);
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -110,8 +110,8 @@
         stop_token.cancel();
         started
     });
-    let ended = measure(&hollow_beside_real_nodes(60_000), 7, Path::new(STONEFOLD), &stop);
-    assert!(matches!(ended, Err(HollowError::Stopped)), "{:?}", ended.map(|figures| figures.figures));
+    let result = measure(&hollow_beside_real_nodes(60_000), 7, Path::new(STONEFOLD), &stop);
+    assert!(matches!(result, Err(HollowError::Stopped)), "{:?}", result.map(|figures| figures.figures));
     assert_eq!(stopping.join().unwrap(), 10, "all nodes had started");
     while running_nodes() > 0 {
         assert!(Instant::now() < deadline, "{} nodes are left", running_nodes());
--- a/crates/cli/tests/node.rs
+++ b/crates/cli/tests/node.rs
@@ -467,7 +467,7 @@
     }
 }
 
-/// Guards against a node that asks for changes only, and stays without servers, where its known list is empty.
+/// Guards against a node with an empty known list that asks discovery for changes only, and so stays without servers.
 #[test]
 fn node_without_known_servers_requests_the_whole_list() {
     let discovery = FakeServer::http();
@@ -971,7 +971,7 @@
     let (mut first, mut second) = (node.client(), node.client());
     first.write(text("i1"));
     let holds_the_memory = fixture.origin.next_call();
-    let waiting = thread::spawn(move || {
+    let second_reply = thread::spawn(move || {
         second.write(text("i2"));
         second.read_reply()
     });
@@ -980,5 +980,5 @@
     holds_the_memory.reply_http("200 OK", "one");
     assert_eq!(first.read_reply().as_deref(), Some("one"));
     fixture.origin.next_call().reply_http("200 OK", "two");
-    assert_eq!(waiting.join().unwrap().as_deref(), Some("two"));
+    assert_eq!(second_reply.join().unwrap().as_deref(), Some("two"));
 }
--- a/crates/cli/tests/pieces.rs
+++ b/crates/cli/tests/pieces.rs
@@ -112,9 +112,9 @@
         let value = value_of(length);
         let (text, header) = reply_with(&value);
         // Of the longest values, only the splits next to the end of the header are tried, since each costs megabytes.
-        let all = splits(text.as_bytes(), header, REPLY_END.len());
+        let all_splits = splits(text.as_bytes(), header, REPLY_END.len());
         let chosen = |split: &Split| length <= MAX_BUFFERED_VALUE + 1 || split.at.abs_diff(header) <= 1;
-        for split in all.into_iter().filter(chosen) {
+        for split in all_splits.into_iter().filter(chosen) {
             client.send_get("k", "c=read,d=15000");
             assert_served(&mut client, fixture.cache.next_call(), &text, split, &value);
         }
@@ -160,7 +160,7 @@
         let mut client = fixture.node.client();
         client.send_get("k", "c=put,d=15000");
         let mut call = fixture.cache.next_call();
-        // The node may close as soon as it has read the length.
+        // The node may close the connection as soon as it has read the length, so each write may fail.
         call.try_reply(&header[..split.at]);
         thread::sleep(split.pause);
         call.try_reply(&format!("{}{}", &header[split.at..], "x".repeat(10_000)));
@@ -251,9 +251,9 @@
         let caches: Vec<_> = names.iter().map(|name| (name.as_str(), cache.addr)).collect();
         let body = server_list(1_000, &caches, origin.addr);
         let header = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        let all = splits(format!("{header}{body}").as_bytes(), header.len(), 2);
+        let all_splits = splits(format!("{header}{body}").as_bytes(), header.len(), 2);
         let few = |(n, _): &(usize, Split)| entries == 1 || n % 8 == 0;
-        for (_, split) in all.into_iter().enumerate().filter(few) {
+        for (_, split) in all_splits.into_iter().enumerate().filter(few) {
             version += 1;
             let text = format!("{header}{}", body.replacen("1000", &format!("{version:4}"), 1));
             write_split(call.stream(), text.as_bytes(), split);
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -305,7 +305,7 @@
 
 /// Guards against nodes or files of a demo with `--keep` that are left after SIGTERM.
 #[test]
-fn kept_demo_serves_requests_and_leaves_nothing_behind_when_terminated() {
+fn demo_with_keep_serves_requests_and_leaves_nothing_behind_when_terminated() {
     let dir = tempfile::tempdir().unwrap();
     let mut demo = Command::new(env!("CARGO_BIN_EXE_stonefold"))
         .args(["demo", "--duration", "1s", "--nodes", "2", "--caches", "2", "--rate", "50", "--keep"])
--- a/crates/cli/tests/store.rs
+++ b/crates/cli/tests/store.rs
@@ -73,7 +73,7 @@
     child: Child,
     client_addr: SocketAddr,
     operator_addr: SocketAddr,
-    /// The address at which it serves subscribers, if it is a relay.
+    /// The address at which the node serves subscribers, if it is a relay.
     relay_addr: Option<SocketAddr>,
 }
 
@@ -204,8 +204,8 @@
     }
 
     fn metric(&self, name: &str) -> String {
-        let all = self.operator_call("STATS");
-        let line = all.lines().find(|line| line.starts_with(&format!("{name} "))).unwrap();
+        let metrics = self.operator_call("STATS");
+        let line = metrics.lines().find(|line| line.starts_with(&format!("{name} "))).unwrap();
         line.rsplit_once(' ').unwrap().1.to_owned()
     }
 
@@ -518,9 +518,9 @@
     let emulator = runtime.block_on(started).unwrap();
     let stores = Cluster::new(3);
     // Each node restarts at its previous address, since the load continues there.
-    let (client_addrs, any) = ([0; 3].map(|_| free_address()), "127.0.0.1:0".parse().unwrap());
+    let (client_addrs, any_port) = ([0; 3].map(|_| free_address()), "127.0.0.1:0".parse().unwrap());
     let config =
-        |n: usize| toml::to_string(&emulator.config(n, client_addrs[n], Some(any)).unwrap()).unwrap();
+        |n: usize| toml::to_string(&emulator.config(n, client_addrs[n], Some(any_port)).unwrap()).unwrap();
     let start = |n: usize, wait: &str| stores.start_with(n, &config(n), wait);
     let mut nodes = [Some(start(0, "10s")), Some(start(1, "0s")), Some(start(2, "0s"))];
     for (n, member) in [(1, "2"), (2, "3")] {
@@ -565,8 +565,8 @@
     let site: stonefold_model::site::Site = toml::from_str(EMULATED_SITE).unwrap();
     let started = stonefold_emulator::Emulator::start(site, Default::default());
     let emulator = runtime.block_on(started).unwrap();
-    let (stores, any) = (Cluster::new(1), "127.0.0.1:0".parse().unwrap());
-    let config = toml::to_string(&emulator.config(0, any, Some(any)).unwrap()).unwrap();
+    let (stores, any_port) = (Cluster::new(1), "127.0.0.1:0".parse().unwrap());
+    let config = toml::to_string(&emulator.config(0, any_port, Some(any_port)).unwrap()).unwrap();
     let before = stores.start_with(0, &config, "10s");
     let _within = runtime.enter(); // the faults run in this runtime
     let fault = |text: &str| emulator.fault(&serde_json::from_str(text).unwrap()).unwrap();
--- a/crates/cli/tests/time_left.rs
+++ b/crates/cli/tests/time_left.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// Guards against a request that is sent in vain: its connection comes up only after the deadline, and the node finds
-/// both at once.
+/// Guards against a request that is sent after its deadline: its connection is established only then, and the node
+/// learns of both at the same time.
 #[test]
 fn request_is_not_sent_on_a_connection_made_after_its_deadline() {
     const DEADLINE: Duration = Duration::from_millis(300);
